--- a/packages/zinniahook-core/src/zinniahook_core/agents.py
+++ b/packages/zinniahook-core/src/zinniahook_core/agents.py
@@ -85,7 +85,7 @@
         unknown = Service(service, 0, Address("0.0.0.0", 0))
         self.requests = Requests(identity.name, unknown, rng, self.placement)
         self._known = self.membership.roster
-        self._believed = self.membership.believed
+        self._believed = self.membership.effective_roster
         self._ready_since: float | None = None
         self._running: set[int] = set()
 
@@ -120,7 +120,7 @@
         handler = _HANDLERS_BY_EVENT.get(type(event))
         if handler is None:
             raise TypeError(f"not an event of an agent: {event!r}")
-        effects = self._follow(now, self.membership.wake(now))
+        effects = self._follow(now, self.membership.detect_pause(now))
         effects += handler(self, now, event)
         self._note_running(effects)
         return effects
@@ -150,8 +150,8 @@
                 self.flows.clear()
                 self._running.clear()
                 followed += self.requests.restart(now, effect.incarnation)
-        if self._believed is not self.membership.believed:
-            self._believed = self.membership.believed
+        if self._believed is not self.membership.effective_roster:
+            self._believed = self.membership.effective_roster
             self.flows.roster(now, self._believed)
         if self._known is not self.membership.roster:
             self._known = self.membership.roster
@@ -215,7 +215,9 @@
         sender, message = event
         if isinstance(message, Heartbeat):
             self.placement.heartbeat(now, sender, message)
-            return self._follow(now, self.membership.hear(now, sender, message))
+            return self._follow(
+                now, self.membership.note_heartbeat(now, sender, message)
+            )
         flows = self.flows.peer(now, sender, message)
         return [*flows, *self.requests.handle(now, event)]
 
--- a/packages/zinniahook-core/src/zinniahook_core/arbiters.py
+++ b/packages/zinniahook-core/src/zinniahook_core/arbiters.py
@@ -21,14 +21,16 @@
     granted,
     refused,
 )
-from .views import View
+from .views import MembershipView
 
 __all__ = ["Arbiter", "tell"]
 
 TWO_LOSSES = 2
 
 
-def tell(now: float, view: View, ask: ClaimAsk, record: Record) -> ClaimAnswer:
+def tell(
+    now: float, view: MembershipView, ask: ClaimAsk, record: Record
+) -> ClaimAnswer:
     """Return what a record says to an asker who isn't its runner."""
     state = record.state
     if state is ClaimState.GRANTED:
@@ -58,7 +60,7 @@
 
     Parameters
     ----------
-    view : View
+    view : MembershipView
         The members as this agent sees them.
     records : Records
         What this agent remembers.
@@ -70,7 +72,7 @@
 
     def __init__(
         self,
-        view: View,
+        view: MembershipView,
         records: Records,
         effects: list[AgentEffect],
         next_number: Callable[[], int],
@@ -127,7 +129,7 @@
         (str, ClaimAnswer) or None
             The asker and what it is told, once that is known.
         """
-        lookup = self._lookups.take(sender, answer)
+        lookup = self._lookups.add_answer(sender, answer)
         return self._conclude(now, lookup) if lookup else None
 
     def tick(self, now: float) -> list[tuple[str, ClaimAnswer]]:
@@ -177,7 +179,7 @@
         checked = record is not None and record.ran
         if checked and record.checked == self._view.revision:
             return False
-        return self._view.fresh(now, key)
+        return self._view.may_have_moved(now, key)
 
     def _conclude(self, now: float, lookup: Lookup) -> tuple[str, ClaimAnswer]:
         ask = lookup.ask
--- a/packages/zinniahook-core/src/zinniahook_core/claims.py
+++ b/packages/zinniahook-core/src/zinniahook_core/claims.py
@@ -14,9 +14,8 @@
 
 from .arbiters import Arbiter, tell
 from .codes import Code
-from .custody import Custody
 from .effects import AgentEffect, SendPeer
-from .lookups import REPEAT_AFTER
+from .lookups import REPEAT_AFTER_SECONDS
 from .messages import (
     ClaimAnswer,
     ClaimAsk,
@@ -27,7 +26,8 @@
 )
 from .models import Roster
 from .records import Record, Records, granted, refused
-from .views import View
+from .replication import Replication
+from .views import MembershipView
 
 __all__ = ["Claims", "Settled"]
 
@@ -98,16 +98,16 @@
         self._asks_by_request: dict[int, Ask] = {}
         self._asks_by_number: dict[int, Ask] = {}
         self._confirmed = False
-        self.view = View(name)
+        self.view = MembershipView(name)
         self.records = Records()
         parts = (self.view, self.records, self._effects, self._next_number)
         self._arbiter = Arbiter(*parts)
-        self._custody = Custody(*parts)
+        self._replication = Replication(*parts)
 
     @property
     def handed_over(self) -> bool:
         """Whether, after ``leave``, others hold all that is held here."""
-        return self._custody.leaving and self._custody.handed_over
+        return self._replication.leaving and self._replication.handed_over
 
     def take(self) -> tuple[list[AgentEffect], list[Settled]]:
         """Return the effects and settled asks since the last call."""
@@ -161,11 +161,11 @@
 
     def finished(self, now: float, key: bytes, answer: bytes) -> None:
         """Keep the answer of what ran here and tell the other holders."""
-        self._custody.finished(now, key, answer)
+        self._replication.finished(now, key, answer)
 
     def failed(self, now: float, key: bytes) -> None:
         """Note that nobody can tell what became of what ran here."""
-        self._custody.failed(now, key)
+        self._replication.failed(now, key)
 
     def unstarted(self, now: float, key: bytes) -> None:
         """Note that the target never saw what was granted to this agent."""
@@ -179,8 +179,8 @@
         To be called again once the roster shows that this agent leaves: until
         then it may still have granted claims as their owner.
         """
-        self._custody.leaving = True
-        self._custody.hand_over()
+        self._replication.leaving = True
+        self._replication.start_transfer()
 
     def confirm(self, now: float, incarnation: int) -> None:
         """Take part: the roster holds this very process under ``incarnation``.
@@ -192,9 +192,9 @@
         if self._confirmed:
             return
         self._confirmed = True
-        self._custody.remembers = self._custody.remembers or incarnation
+        self._replication.remembers = self._replication.remembers or incarnation
         self.view.incarnation = incarnation
-        self._custody.hand_over()
+        self._replication.start_transfer()
         for ask in list(self._asks_by_request.values()):
             self._ask_anew(now, ask)
 
@@ -219,7 +219,7 @@
         if not self.view.learn(now, roster):
             return
         self._arbiter.reset()
-        self._custody.hand_over()
+        self._replication.start_transfer()
         for ask in list(self._asks_by_request.values()):
             self._ask_anew(now, ask)
 
@@ -237,14 +237,14 @@
                 self._settled.append(
                     Settled(ask.request, ClaimState.UNKNOWN, "", code=Code.UNKNOWN)
                 )
-            elif now - ask.sent_at >= REPEAT_AFTER:
+            elif now - ask.sent_at >= REPEAT_AFTER_SECONDS:
                 self._repeat(now, ask)
         self.records.expire(now)
         if not self._confirmed:
             return
         for asker, told in self._arbiter.tick(now):
             self._reply(now, asker, told)
-        self._custody.tick(now)
+        self._replication.tick(now)
 
     # As asker and runner
 
@@ -428,13 +428,13 @@
 
     @_receives(ClaimFinished)
     def _told_finished(self, now: float, sender: str, message: ClaimFinished) -> None:
-        self._custody.told_finished(now, sender, message)
+        self._replication.learn_finished(now, sender, message)
 
     @_receives(ClaimRecords)
     def _told_records(self, now: float, sender: str, message: ClaimRecords) -> None:
         if message.acknowledge:
-            self._custody.told_records(now, sender, message)
-        elif not self._custody.acknowledged(now, sender, message.number):
+            self._replication.learn_records(now, sender, message)
+        elif not self._replication.acknowledged(now, sender, message.number):
             self._acknowledged(now, sender, message.number)
 
     def _acknowledged(self, now: float, sender: str, number: int) -> None:
--- a/packages/zinniahook-core/src/zinniahook_core/flows.py
+++ b/packages/zinniahook-core/src/zinniahook_core/flows.py
@@ -10,7 +10,6 @@
 
 from collections.abc import Callable
 
-from .asks import Asks, Held, StandIns
 from .codes import Code
 from .effects import (
     AcceptFlow,
@@ -30,18 +29,19 @@
 from .owners import OwnedFlows
 from .placement import Placement
 from .pointers import Pointer, Pointers, confirmation
+from .queries import OwnerQueries, OwnerQuery, ProvisionalFlows
 from .routing import flow_key
 
 __all__ = ["Flows"]
 
 HOP_LIMIT = 4
 FLOWS_LIMIT = 16384
-IDLE = 120.0
-HANDSHAKE_TIME = 10.0
-HANDED_TIME = 3.0
-REDIRECT_TIME = 2.0
-YOUNG = 15.0
-ASK_WIDTH = 8
+IDLE_SECONDS = 120.0
+HANDSHAKE_SECONDS = 10.0
+HANDED_OVER_SECONDS = 3.0
+REDIRECT_SECONDS = 2.0
+YOUNG_FLOW_SECONDS = 15.0
+QUERY_WIDTH = 8
 EXPIRED_PER_TICK = 1000
 
 Effects = list[AgentEffect]
@@ -68,7 +68,7 @@
         self.leaving = False
         self._placement = placement
         self._load = load
-        self._idle = IDLE
+        self._idle = IDLE_SECONDS
         self._incarnation = 0
         self._service: Service | None = None
         self._roster: Roster | None = None
@@ -77,8 +77,8 @@
         self._pointers = Pointers()
         self._handshakes = Pointers()
         self._redirects = Pointers()
-        self._asks = Asks()
-        self._stand_ins = StandIns()
+        self._queries = OwnerQueries()
+        self._provisional = ProvisionalFlows()
 
     @property
     def count(self) -> int:
@@ -86,7 +86,7 @@
         return len(self._owned) + len(self._accepted)
 
     @property
-    def takes_new(self) -> bool:
+    def accepts_new(self) -> bool:
         """Whether this agent may open flows."""
         return self.homes.is_ready and not self.leaving
 
@@ -110,8 +110,8 @@
         if own is not None:
             self._incarnation = own.incarnation
         self.homes.update(now, roster, self._service)
-        for held in self._asks:
-            held.restart(now, self.homes.others(held.flow, ASK_WIDTH))
+        for query in self._queries:
+            query.restart(now, self.homes.others(query.flow, QUERY_WIDTH))
 
     def leave(self) -> None:
         """Open no flows from now on; those that are owned go on."""
@@ -124,8 +124,8 @@
         self._pointers.clear()
         self._handshakes.clear()
         self._redirects.clear()
-        self._asks.clear()
-        self._stand_ins.clear()
+        self._queries.clear()
+        self._provisional.clear()
         self.leaving = False
 
     def opening(self, now: float, event: FlowOpening) -> Effects:
@@ -138,7 +138,7 @@
             return [HandOver(flow, known.owner)]
         peer = self._choose(now)
         if peer is not None:
-            self._handshakes.put(flow, self._pointer_to(now, peer, HANDSHAKE_TIME))
+            self._handshakes.put(flow, self._pointer_to(now, peer, HANDSHAKE_SECONDS))
             self._placement.handed(now, peer, slots=0, flows=1)
             return [HandOver(flow, peer), Count("flows.handed")]
         refusal = self._refusal()
@@ -152,11 +152,11 @@
             owned.seen = now
             return [Deliver(flow, event.caller, event.entry, event.payload)]
         if event.handed_by:
-            return self._take(now, flow, event)
+            return self._accept_handed(now, flow, event)
         pointer = self._pointers.get(flow)
         if pointer is not None and self._is_valid(now, pointer):
             return self._forward(now, flow, [event], pointer)
-        if flow in self._asks:
+        if flow in self._queries:
             return self._hold(flow, event)
         redirect = self._redirects.get(flow)
         if redirect is not None and self._is_valid(now, redirect):
@@ -164,9 +164,9 @@
         # A home that has just got the flow from another agent asks first:
         # the packet may belong to an established flow of the former home.
         homes = self.homes
-        if homes.is_home(flow) and not homes.was_elsewhere(now, flow):
+        if homes.is_home(flow) and not homes.had_other_home(now, flow):
             return self._open(now, flow, [event])
-        return self._ask(now, flow, event)
+        return self._query_owner(now, flow, event)
 
     def answered(self, now: float, flow: bytes) -> None:
         """Note that the target sent to the caller: the flow is not idle."""
@@ -195,10 +195,10 @@
         effects: Effects = []
         # Before its first roster an agent can't know whom to ask, and entries
         # may know of it already; what they send waits.
-        for held in self._asks.overdue(now) if self.homes.is_known else []:
+        for query in self._queries.overdue(now) if self.homes.is_known else []:
             effects.append(Count("flows.ask_timeout"))
-            effects += self._decide(now, held)
-        effects += self._asks.repeats(now)
+            effects += self._conclude_query(now, query)
+        effects += self._queries.repeats(now)
         effects += self._ask_homes(now)
         effects += [EndFlow(flow) for flow in self._owned.sweep(now, self._idle)]
         effects += self._owned.messages(now, self._incarnation)
@@ -210,7 +210,7 @@
     # Opening
 
     def _choose(self, now: float) -> str | None:
-        forced = not self.takes_new or self.count >= FLOWS_LIMIT
+        forced = not self.accepts_new or self.count >= FLOWS_LIMIT
         peer = self._placement.choose_for_flow(now, self._load(now), forced)
         # A peer that the roster here doesn't know can't be sent to.
         known = peer is not None and self.homes.incarnation(peer) is not None
@@ -227,29 +227,29 @@
     def _open(self, now: float, flow: bytes, packets: list[FlowDatagram]) -> Effects:
         peer = self._choose(now)
         if peer is not None:
-            return self._hand(now, flow, packets, peer)
+            return self._hand_over(now, flow, packets, peer)
         refusal = self._refusal()
         if refusal is not None:
             return [Drop(refusal) for _ in packets]
         return self._accept(now, flow, packets)
 
-    def _hand(
+    def _hand_over(
         self, now: float, flow: bytes, packets: list[FlowDatagram], peer: str
     ) -> Effects:
         pointer = self._pointer_to(now, peer, self._idle)
-        pointer = pointer._replace(handed_until=now + HANDED_TIME)
+        pointer = pointer._replace(handed_until=now + HANDED_OVER_SECONDS)
         self._pointers.put(flow, pointer)
         self._placement.handed(now, peer, slots=0, flows=1)
         forwards = self._forward(now, flow, packets, pointer)
         return [Count("flows.handed"), *forwards]
 
-    def _take(self, now: float, flow: bytes, event: FlowDatagram) -> Effects:
-        packets = [event, *self._asks.release(flow)]
+    def _accept_handed(self, now: float, flow: bytes, event: FlowDatagram) -> Effects:
+        packets = [event, *self._queries.release(flow)]
         if self.leaving and event.hops < HOP_LIMIT:
             # The peer handed it over before it knew that this agent leaves.
             peer = self._choose(now)
             if peer is not None:
-                return self._hand(now, flow, packets, peer)
+                return self._hand_over(now, flow, packets, peer)
         return self._accept(now, flow, packets, event.handed_by)
 
     def _accept(
@@ -320,11 +320,13 @@
         owned = self._owned.get(flow)
         if owned is None:
             self._pointers.put(flow, pointer)
-            return self._forward(now, flow, self._asks.release(flow), pointer)
+            return self._forward(now, flow, self._queries.release(flow), pointer)
         # Two agents opened one flow, since asks got lost or an agent was
         # silent for a while. The older one has the caller's history.
         home = self.homes.home(flow)
-        if now - owned.opened < YOUNG or (home and home.name == pointer.owner):
+        if now - owned.opened < YOUNG_FLOW_SECONDS or (
+            home and home.name == pointer.owner
+        ):
             return self._yield(flow, pointer)
         if home and home.name == self.name:
             claim = FlowPointers(self.name, self._incarnation, (flow,))
@@ -338,18 +340,18 @@
 
     # Asking
 
-    def _ask(self, now: float, flow: bytes, event: FlowDatagram) -> Effects:
-        asked = self.homes.others(flow, ASK_WIDTH)
-        held = self._asks.start(now, flow, asked)
-        if held is None:
+    def _query_owner(self, now: float, flow: bytes, event: FlowDatagram) -> Effects:
+        asked = self.homes.others(flow, QUERY_WIDTH)
+        query = self._queries.start(now, flow, asked)
+        if query is None:
             return [Drop(Code.FLOW_LIMIT)]
         effects = self._hold(flow, event)
         if not asked and self.homes.is_known:
-            return effects + self._decide(now, held)
-        return [*effects, *held.messages(), Count("flows.asked")]
+            return effects + self._conclude_query(now, query)
+        return [*effects, *query.messages(), Count("flows.asked")]
 
     def _hold(self, flow: bytes, event: FlowDatagram) -> Effects:
-        return [] if self._asks.hold(flow, event) else [Drop(Code.FLOW_LIMIT)]
+        return [] if self._queries.hold(flow, event) else [Drop(Code.FLOW_LIMIT)]
 
     def _answer(self, sender: str, ask: FlowAsk) -> Effects:
         flow = ask.flow
@@ -359,7 +361,7 @@
         elif pointer := self._pointers.get(flow):
             if self.homes.is_live(pointer.owner, pointer.incarnation):
                 owner = pointer.owner
-        elif flow in self._asks and self.homes.is_home(flow):
+        elif flow in self._queries and self.homes.is_home(flow):
             # Not decided yet; "none" could make the sender open it as well.
             return []
         return [SendPeer(sender, FlowAnswer(ask.number, flow, owner))]
@@ -369,64 +371,66 @@
         if not flow:
             self._owned.confirmed(sender, answer)
             return []
-        held = self._asks.match(flow, answer.number)
-        if held is None:
-            return self._settle_stand_in(now, sender, answer)
+        query = self._queries.match(flow, answer.number)
+        if query is None:
+            return self._settle_provisional(now, sender, answer)
         if answer.owner == self.name:
-            return self._accept(now, flow, self._asks.release(flow), sender)
+            return self._accept(now, flow, self._queries.release(flow), sender)
         if self.homes.incarnation(answer.owner) is not None:
             pointer = self._pointer_to(now, answer.owner, self._idle)
             self._pointers.put(flow, pointer)
-            return self._forward(now, flow, self._asks.release(flow), pointer)
-        held.denied.add(sender)
-        return self._decide(now, held) if self._is_settled(held) else []
+            return self._forward(now, flow, self._queries.release(flow), pointer)
+        query.denied.add(sender)
+        return self._conclude_query(now, query) if self._is_settled(query) else []
 
-    def _is_settled(self, held: Held) -> bool:
-        home = self.homes.home(held.flow)
-        if home is not None and home.name in held.denied:
+    def _is_settled(self, query: OwnerQuery) -> bool:
+        home = self.homes.home(query.flow)
+        if home is not None and home.name in query.denied:
             return True
-        return held.denied.issuperset(held.asked)
+        return query.denied.issuperset(query.asked)
 
-    def _decide(self, now: float, held: Held) -> Effects:
+    def _conclude_query(self, now: float, query: OwnerQuery) -> Effects:
         """Nobody named an owner: open the flow here, or leave it to its home."""
-        flow = held.flow
-        packets = self._asks.release(flow)
+        flow = query.flow
+        packets = self._queries.release(flow)
         home = self.homes.home(flow)
         if home is None or home.name == self.name:
             return self._open(now, flow, packets)
-        if home.name in held.denied:
+        if home.name in query.denied:
             # Kept apart from the pointers: it doesn't say who owns the flow.
-            redirect = self._pointer_to(now, home.name, REDIRECT_TIME)
+            redirect = self._pointer_to(now, home.name, REDIRECT_SECONDS)
             self._redirects.put(flow, redirect)
             return self._forward(now, flow, packets, redirect)
         # The home is silent, and placement may not know yet that it is dead.
         if self._refusal() is not None:
             return self._open(now, flow, packets)
         # Its home isn't told but asked: it may own the flow for long already.
-        self._stand_ins.add(flow, held.number)
+        self._provisional.add(flow, query.number)
         return self._accept(now, flow, packets, handed_by=home.name)
 
     def _ask_homes(self, now: float) -> Effects:
         effects: Effects = []
-        for flow, number in self._stand_ins.due(now):
+        for flow, number in self._provisional.due(now):
             home = self.homes.home(flow)
             if flow not in self._owned or home is None or home.name == self.name:
-                self._stand_ins.drop(flow)
+                self._provisional.drop(flow)
                 continue
             effects.append(SendPeer(home.name, FlowAsk(number, flow)))
         return effects
 
-    def _settle_stand_in(self, now: float, sender: str, answer: FlowAnswer) -> Effects:
+    def _settle_provisional(
+        self, now: float, sender: str, answer: FlowAnswer
+    ) -> Effects:
         """Take the word of a home that was silent when its flow was opened here."""
         flow = answer.flow
         home = self.homes.home(flow)
-        known = self._stand_ins.number(flow) == answer.number
+        known = self._provisional.number(flow) == answer.number
         if not known or home is None or home.name != sender:
             return []
-        self._stand_ins.drop(flow)
+        self._provisional.drop(flow)
         if flow not in self._owned or answer.owner == self.name:
             return []
         if self.homes.incarnation(answer.owner) is None:
-            self._owned.tell(flow)
+            self._owned.notify_home(flow)
             return []
         return self._yield(flow, self._pointer_to(now, answer.owner, self._idle))
--- a/packages/zinniahook-core/src/zinniahook_core/homes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/homes.py
@@ -14,7 +14,7 @@
 
 __all__ = ["Home", "Homes"]
 
-OVERLAP = 30.0
+OVERLAP_SECONDS = 30.0
 
 
 class Home(NamedTuple):
@@ -24,7 +24,7 @@
     incarnation: int
 
 
-class Former(NamedTuple):
+class FormerCandidates(NamedTuple):
     """The ready agents of a roster that was replaced at ``until``."""
 
     until: float
@@ -46,7 +46,7 @@
         self.ready: tuple[str, ...] = ()
         self._roster: Roster | None = None
         self._members_by_name: dict[str, Member] = {}
-        self._formers: list[Former] = []
+        self._former_candidates: list[FormerCandidates] = []
 
     @property
     def is_known(self) -> bool:
@@ -72,10 +72,14 @@
             # Without a history, an agent that has just started can't know
             # that it was not the home before; it must ask.
             others = tuple(name for name in ready if name != self.name)
-            self._formers.append(Former(now, others))
+            self._former_candidates.append(FormerCandidates(now, others))
         elif set(ready) != set(self.ready):
-            self._formers.append(Former(now, self.ready))
-        self._formers = [item for item in self._formers if now - item.until < OVERLAP]
+            self._former_candidates.append(FormerCandidates(now, self.ready))
+        self._former_candidates = [
+            item
+            for item in self._former_candidates
+            if now - item.until < OVERLAP_SECONDS
+        ]
         self._roster = roster
         self._members_by_name = {member.name: member for member in live}
         self.ready = ready
@@ -92,7 +96,7 @@
         """Tell whether this agent is the home of ``flow``."""
         return bool(self.ready) and rendezvous.best(flow, self.ready) == self.name
 
-    def was_elsewhere(self, now: float, flow: bytes) -> bool:
+    def had_other_home(self, now: float, flow: bytes) -> bool:
         """Tell whether another agent was the home within the overlap window.
 
         Rosters reach agents and entries at different times; the window is
@@ -100,8 +104,8 @@
         """
         return any(
             former.ready and rendezvous.best(flow, former.ready) != self.name
-            for former in self._formers
-            if now - former.until < OVERLAP
+            for former in self._former_candidates
+            if now - former.until < OVERLAP_SECONDS
         )
 
     def others(self, flow: bytes, width: int) -> tuple[str, ...]:
--- a/packages/zinniahook-core/src/zinniahook_core/lookups.py
+++ b/packages/zinniahook-core/src/zinniahook_core/lookups.py
@@ -13,16 +13,16 @@
 
 from .messages import ClaimAnswer, ClaimAsk, ClaimIntent, ClaimState
 
-__all__ = ["Finding", "Lookup", "Lookups", "REPEAT_AFTER"]
+__all__ = ["Finding", "Lookup", "Lookups", "REPEAT_AFTER_SECONDS"]
 
-REPEAT_AFTER = 0.2
-PATIENCE = 0.5
+REPEAT_AFTER_SECONDS = 0.2
+LOOKUP_TIMEOUT_SECONDS = 0.5
 """How long a member may be silent before it counts as lost, in seconds."""
 
-SILENT_PATIENCE = 0.1
+SILENT_TIMEOUT_SECONDS = 0.1
 """The same for one that has let a lookup time out and said nothing since."""
 
-LOOKUP_LIFETIME = 5.0
+LOOKUP_LIFETIME_SECONDS = 5.0
 LOOKUPS_LIMIT = 1024
 
 
@@ -75,7 +75,7 @@
             return min(sure)
         return max([own, *(answer.losses + silent for answer in answers)])
 
-    def take(self, sender: str, answer: ClaimAnswer) -> None:
+    def add_answer(self, sender: str, answer: ClaimAnswer) -> None:
         """Note one member's answer."""
         if sender in self.waiting:
             self.waiting.discard(sender)
@@ -135,13 +135,13 @@
         self._by_key[lookup.ask.key] = lookup
         return True
 
-    def take(self, sender: str, answer: ClaimAnswer) -> Lookup | None:
+    def add_answer(self, sender: str, answer: ClaimAnswer) -> Lookup | None:
         """Note an answer; return the lookup that it completes."""
         self._silent.discard(sender)
         lookup = self._by_key.get(answer.key)
         if lookup is None or lookup.number != answer.number:
             return None
-        lookup.take(sender, answer)
+        lookup.add_answer(sender, answer)
         if not lookup.complete:
             return None
         return self._by_key.pop(answer.key)
@@ -169,16 +169,20 @@
         half a second more for every request of the service.
         """
         for lookup in self._by_key.values():
-            if now - lookup.begun_at >= PATIENCE:
+            if now - lookup.begun_at >= LOOKUP_TIMEOUT_SECONDS:
                 self._silent |= lookup.waiting
         return [
             lookup
             for lookup in self._by_key.values()
-            if now - lookup.begun_at >= self._patience(lookup)
+            if now - lookup.begun_at >= self._timeout(lookup)
         ]
 
-    def _patience(self, lookup: Lookup) -> float:
-        return SILENT_PATIENCE if lookup.waiting <= self._silent else PATIENCE
+    def _timeout(self, lookup: Lookup) -> float:
+        return (
+            SILENT_TIMEOUT_SECONDS
+            if lookup.waiting <= self._silent
+            else LOOKUP_TIMEOUT_SECONDS
+        )
 
     def end(self, lookup: Lookup) -> None:
         """Forget a lookup that needs no more answers."""
@@ -187,12 +191,12 @@
     def due(self, now: float) -> list[Lookup]:
         """Return the lookups to be repeated; overdue ones are dropped."""
         for key, lookup in list(self._by_key.items()):
-            if now - lookup.begun_at > LOOKUP_LIFETIME:
+            if now - lookup.begun_at > LOOKUP_LIFETIME_SECONDS:
                 del self._by_key[key]
         due = [
             lookup
             for lookup in self._by_key.values()
-            if now - lookup.sent_at >= REPEAT_AFTER
+            if now - lookup.sent_at >= REPEAT_AFTER_SECONDS
         ]
         for lookup in due:
             lookup.sent_at = now
--- a/packages/zinniahook-core/src/zinniahook_core/membership.py
+++ b/packages/zinniahook-core/src/zinniahook_core/membership.py
@@ -15,24 +15,24 @@
 from .codes import Code
 from .effects import AgentEffect, Count, Drained, Log, ReadRoster, Restart, SendPeer
 from .events import RosterWritten, TargetReported
-from .heartbeats import HEARTBEAT_INTERVAL, HeartbeatSchedule
-from .liveness import MARK_DOWN_AFTER, Liveness
+from .heartbeats import HEARTBEAT_INTERVAL_SECONDS, HeartbeatSchedule
+from .liveness import MARK_DOWN_AFTER_SECONDS, Liveness
 from .messages import Heartbeat
 from .models import AgentState, Load, Member, Roster
-from .rosters import BACKOFF_LONGEST, RosterWriter, Settlement
+from .rosters import MAX_BACKOFF_SECONDS, RosterWriter, Settlement
 
-__all__ = ["FENCE_AFTER", "Membership"]
+__all__ = ["FENCE_AFTER_SECONDS", "Membership"]
 
-FENCE_AFTER = 3.0
-"""A pause this long fences. It is shorter than ``MARK_DOWN_AFTER``, so that
+FENCE_AFTER_SECONDS = 3.0
+"""A pause this long fences. It is shorter than ``MARK_DOWN_AFTER_SECONDS``, so that
 no peer has acted on the absence before the agent itself knows of it."""
-assert FENCE_AFTER < MARK_DOWN_AFTER
+assert FENCE_AFTER_SECONDS < MARK_DOWN_AFTER_SECONDS
 
-TARGET_GRACE = 10.0
-LINGER = 3.0
-REMOVAL_GRACE = 1.0
-READ_INTERVAL = 5.0
-DOWN_RETENTION = 300.0
+TARGET_GRACE_SECONDS = 10.0
+MINIMUM_LEAVE_SECONDS = 3.0
+REMOVAL_GRACE_SECONDS = 1.0
+READ_INTERVAL_SECONDS = 5.0
+DOWN_RETENTION_SECONDS = 300.0
 MEMBERS_LIMIT = 256
 
 
@@ -62,18 +62,18 @@
         self.identity = identity._replace(state=AgentState.STARTING)
         self.roster = Roster(service, 0, {})
         self.generation = 0
-        self.believed = self.roster
+        self.effective_roster = self.roster
         self.drained = False
-        self._presumed: frozenset[str] = frozenset()
+        self._presumed_down: frozenset[str] = frozenset()
         self._rng = rng
         self._load = load
         self._liveness = Liveness(identity.name)
         self._writer = RosterWriter(identity.name, rng)
-        self._last_seen: float | None = None
-        self._started: float | None = None
+        self._last_event_at: float | None = None
+        self._started_at: float | None = None
         self._confirmed = False
         self._was_confirmed = False
-        self._highest = 0
+        self._highest_incarnation = 0
         self._roster_full = False
         self._read_at = 0.0
         self._heartbeats = HeartbeatSchedule(rng)
@@ -120,7 +120,7 @@
         """Return the peers heard lately, in any state, and this agent."""
         return self._liveness.live(now) | {self.identity.name}
 
-    def taking(self, now: float) -> set[str]:
+    def accepting_members(self, now: float) -> set[str]:
         """Return the members that may be given new work."""
         live = self._liveness.live(now)
         names = {
@@ -144,19 +144,19 @@
         """Return each peer's last own count and its age in seconds."""
         return self._liveness.loads(now)
 
-    def wake(self, now: float) -> list[AgentEffect]:
+    def detect_pause(self, now: float) -> list[AgentEffect]:
         """Fence this agent if it was paused; call before every event.
 
         What goes wrong: a paused process wakes and acts on an authority
         that peers have taken over meanwhile. It shows as a gap between two
         events, for ticks come ten times a second.
         """
-        gap = 0.0 if self._last_seen is None else now - self._last_seen
-        self._last_seen = now
-        if gap > HEARTBEAT_INTERVAL:
+        gap = 0.0 if self._last_event_at is None else now - self._last_event_at
+        self._last_event_at = now
+        if gap > HEARTBEAT_INTERVAL_SECONDS:
             # What peers sent meanwhile still waits in the socket.
-            self._liveness.forgive(now)
-        if gap <= FENCE_AFTER or self.drained:
+            self._liveness.restart_timers(now)
+        if gap <= FENCE_AFTER_SECONDS or self.drained:
             return []
         return self._restart(now, "paused", self.incarnation + 1)
 
@@ -167,26 +167,28 @@
         """
         if self.drained:
             return []
-        if self._started is None:
-            self._started = now
-        effects = self._beat(now)
+        if self._started_at is None:
+            self._started_at = now
+        effects = self._send_heartbeats(now)
         if self._writer.expire(now, self.incarnation):
-            effects += self._read_lost()
+            effects += self._read_after_lost_answer()
         if self.isolated(now):
             # Whoever is marked down gets no more heartbeats.
-            effects += self._read_stale(now)
+            effects += self._read_if_due(now)
         effects += self._leave(now, busy)
-        self._believe(now)
+        self._update_effective_roster(now)
         return effects + self._reconcile(now)
 
-    def hear(self, now: float, sender: str, heartbeat: Heartbeat) -> list[AgentEffect]:
+    def note_heartbeat(
+        self, now: float, sender: str, heartbeat: Heartbeat
+    ) -> list[AgentEffect]:
         """Take a peer's heartbeat."""
-        self._liveness.hear(now, sender, heartbeat)
+        self._liveness.note_heartbeat(now, sender, heartbeat)
         stored = self.roster.by_name.get(sender)
         unknown = stored is None or stored.incarnation < heartbeat.incarnation
         if unknown or heartbeat.revision > self.roster.revision:
             # The push of a newer roster got lost on its way here.
-            return self._read_stale(now)
+            return self._read_if_due(now)
         return []
 
     def learn(self, now: float, roster: Roster) -> list[AgentEffect]:
@@ -203,7 +205,7 @@
             now, event, self.incarnation, self.roster.revision
         )
         if settlement is Settlement.LOST:
-            return self._read_lost()
+            return self._read_after_lost_answer()
         if settlement is Settlement.DOWN:
             return [Count("membership.store_down")]
         effects: list[AgentEffect] = []
@@ -224,20 +226,20 @@
         self._leave_since = now
         self._leave_deadline = deadline
         self.identity = self.identity._replace(state=AgentState.LEAVING)
-        self._heartbeats.hurry(now)
+        self._heartbeats.expedite(now)
         log = self._log("agent-leaving", ("seconds", seconds))
-        return [log, *self._beat(now), *self._reconcile(now)]
+        return [log, *self._send_heartbeats(now), *self._reconcile(now)]
 
     def target_reported(self, now: float, event: TargetReported) -> list[AgentEffect]:
         """Take the target's own report as evidence of readiness.
 
         A target that says it is healthy is ready at once. One whose port
         accepts connections while its health endpoint fails or denies is
-        ready after ``TARGET_GRACE`` seconds: the endpoint may be the liar.
+        ready after ``TARGET_GRACE_SECONDS`` seconds: the endpoint may be the liar.
         """
-        if self.state is not AgentState.STARTING or self._started is None:
+        if self.state is not AgentState.STARTING or self._started_at is None:
             return []
-        waited = now - self._started >= TARGET_GRACE
+        waited = now - self._started_at >= TARGET_GRACE_SECONDS
         if not event.healthy and not (event.accepts and waited):
             return []
         self.identity = self.identity._replace(state=AgentState.READY)
@@ -248,7 +250,7 @@
         self._confirmed = False
         self._heartbeats.restart()
         self._writer.abandon(now)
-        self._liveness.forgive(now)
+        self._liveness.restart_timers(now)
         return [
             Restart(incarnation),
             Count("membership.restarts"),
@@ -259,38 +261,38 @@
         former = self.roster
         self.roster = roster
         self._liveness.learn(now, roster)
-        self._presumed = frozenset()
-        self.believed = roster
-        return [*_marks(former, roster), *self._check_own(now)]
+        self._presumed_down = frozenset()
+        self.effective_roster = roster
+        return [*_log_new_marks(former, roster), *self._check_own(now)]
 
-    def _believe(self, now: float) -> None:
-        """Keep ``believed``: the roster without those presumed dead.
+    def _update_effective_roster(self, now: float) -> None:
+        """Keep ``effective_roster``: the roster without those presumed dead.
 
         What goes wrong: an agent dies while the store is down, nobody can
         mark it, and packets of plain UDP flows are forwarded to it until the
         store is back. Claims must not move without a mark; flows may.
         """
-        presumed = self._liveness.presumed(now, self.roster)
-        if presumed == self._presumed:
+        presumed = self._liveness.presumed_down(now, self.roster)
+        if presumed == self._presumed_down:
             return
-        self._presumed = presumed
+        self._presumed_down = presumed
         by_name = dict(self.roster.by_name)
         for name in presumed:
             by_name[name] = by_name[name]._replace(state=AgentState.DOWN)
-        self.believed = self.roster._replace(by_name=by_name)
+        self.effective_roster = self.roster._replace(by_name=by_name)
 
     def _check_own(self, now: float) -> list[AgentEffect]:
         stored = self.roster.by_name.get(self.identity.name)
-        if stored is None and self._highest > self.incarnation:
-            self._advance(self._highest)
+        if stored is None and self._highest_incarnation > self.incarnation:
+            self._advance_incarnation(self._highest_incarnation)
         if stored is None or stored.incarnation < self.incarnation:
             return []
-        self._highest = stored.incarnation
+        self._highest_incarnation = stored.incarnation
         if self._is_foreign(stored):
-            return self._step_aside(now, stored)
+            return self._resolve_name_conflict(now, stored)
         if stored.state is AgentState.DOWN:
             # Peers took over its work; only a new incarnation may go on.
-            self._liveness.marked()
+            self._liveness.note_own_mark()
             return self._restart(now, "marked down", self.incarnation + 1)
         if self._confirmed:
             return []
@@ -304,17 +306,17 @@
         written = self._writer.may_have_written(self.incarnation)
         return not self._confirmed and not written
 
-    def _step_aside(self, now: float, stored: Member) -> list[AgentEffect]:
+    def _resolve_name_conflict(self, now: float, stored: Member) -> list[AgentEffect]:
         # Of two lives with one name the later wins for good. If both took
         # the name back in turn, each would cut the other's flows for ever.
         if self._was_confirmed and stored.state is not AgentState.DOWN:
             if not self._confirmed:
                 return []
             return self._restart(now, "name taken over", self.incarnation)
-        self._advance(stored.incarnation)
+        self._advance_incarnation(stored.incarnation)
         return []
 
-    def _advance(self, past: int) -> None:
+    def _advance_incarnation(self, past: int) -> None:
         self.identity = self.identity._replace(incarnation=past + 1)
 
     def _reconcile(self, now: float) -> list[AgentEffect]:
@@ -323,10 +325,10 @@
         members, marks = self._plan(now)
         if members == self.roster.by_name:
             return []
-        for name in self._liveness.expired(now, list(members), DOWN_RETENTION):
+        for name in self._liveness.expired(now, list(members), DOWN_RETENTION_SECONDS):
             del members[name]
-        if not _bounded(members):
-            return self._refuse(now)
+        if not _drop_marked_members(members):
+            return self._report_full_roster(now)
         self._roster_full = False
         roster = self.roster._replace(by_name=members)
         write = self._writer.write(now, self.incarnation, roster)
@@ -343,13 +345,13 @@
                 del members[name]
         if self.fenced or self._departing:
             return members, 0
-        overdue = self._liveness.overdue(now, self.roster)
+        overdue = self._liveness.members_to_mark(now, self.roster)
         for peer in overdue:
             members[peer.name] = peer._replace(state=AgentState.DOWN)
         return members, len(overdue)
 
-    def _refuse(self, now: float) -> list[AgentEffect]:
-        self._writer.delay(now, BACKOFF_LONGEST)
+    def _report_full_roster(self, now: float) -> list[AgentEffect]:
+        self._writer.delay(now, MAX_BACKOFF_SECONDS)
         if self._roster_full:
             return []
         self._roster_full = True
@@ -360,7 +362,7 @@
             return []
         late = now >= self._leave_deadline
         # Stale entries still send openings here; stay to hand them over.
-        idle = not busy and now - self._leave_since >= LINGER
+        idle = not busy and now - self._leave_since >= MINIMUM_LEAVE_SECONDS
         self._departing = self._departing or idle or late
         if not self._departing:
             return []
@@ -369,13 +371,14 @@
         overtime = now - self._leave_deadline
         # With the store down the entry stays; peers mark it down later.
         if not removed and (
-            overtime < 0 or (overtime < REMOVAL_GRACE and not self._writer.ailing)
+            overtime < 0
+            or (overtime < REMOVAL_GRACE_SECONDS and not self._writer.store_failing)
         ):
             return []
         self.drained = True
         return [self._log("agent-drained"), Drained(AgentState.LEAVING)]
 
-    def _beat(self, now: float) -> list[AgentEffect]:
+    def _send_heartbeats(self, now: float) -> list[AgentEffect]:
         sequence = self._heartbeats.due(now, len(self.peers))
         if sequence is None:
             return []
@@ -389,15 +392,15 @@
         )
         return [SendPeer(peer, heartbeat) for peer in self.peers]
 
-    def _read_lost(self) -> list[AgentEffect]:
+    def _read_after_lost_answer(self) -> list[AgentEffect]:
         # Reading tells whether it was written. If reading fails as well, the
         # compare of the next write does.
         return [Count("membership.answers_lost"), ReadRoster(self.roster.service)]
 
-    def _read_stale(self, now: float) -> list[AgentEffect]:
+    def _read_if_due(self, now: float) -> list[AgentEffect]:
         if now < self._read_at:
             return []
-        self._read_at = now + READ_INTERVAL * (1.0 + self._rng.random())
+        self._read_at = now + READ_INTERVAL_SECONDS * (1.0 + self._rng.random())
         return [Count("membership.roster_stale"), ReadRoster(self.roster.service)]
 
     def _log(self, event: str, *fields: tuple[str, str | int | float]) -> Log:
@@ -405,7 +408,7 @@
         return Log(event, own + fields)
 
 
-def _marks(former: Roster, roster: Roster) -> list[Log]:
+def _log_new_marks(former: Roster, roster: Roster) -> list[Log]:
     """Return a line for each member that was newly marked down."""
     return [
         Log("agent-down", (("agent", name), ("incarnation", member.incarnation)))
@@ -416,7 +419,7 @@
     ]
 
 
-def _bounded(members: dict[str, Member]) -> bool:
+def _drop_marked_members(members: dict[str, Member]) -> bool:
     """Remove marked members while there are too many; tell if it was enough."""
     down = [m.name for m in members.values() if m.state is AgentState.DOWN]
     while len(members) > MEMBERS_LIMIT and down:
--- a/packages/zinniahook-core/src/zinniahook_core/opens.py
+++ b/packages/zinniahook-core/src/zinniahook_core/openrequests.py
@@ -11,7 +11,7 @@
 from .events import RequestArrived
 from .models import Load
 
-__all__ = ["Open", "OpenRequests", "RequestPlacement", "Stage"]
+__all__ = ["OpenRequest", "OpenRequests", "RequestPlacement", "Stage"]
 
 
 class Stage(enum.Enum):
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Open:
+class OpenRequest:
     """A request that has no final answer yet."""
 
     event: RequestArrived
@@ -49,7 +49,7 @@
         return self.event.request
 
     @property
-    def claimed(self) -> bool:
+    def needs_claim(self) -> bool:
         """Whether it may run only under a claim."""
         return bool(self.event.key) and not self.event.idempotent
 
@@ -62,41 +62,41 @@
     """
 
     def __init__(self) -> None:
-        self._by_number: dict[int, Open] = {}
+        self._by_number: dict[int, OpenRequest] = {}
         self._leader_by_key: dict[bytes, int] = {}
 
     def __len__(self) -> int:
         return len(self._by_number)
 
-    def __iter__(self) -> Iterator[Open]:
+    def __iter__(self) -> Iterator[OpenRequest]:
         return iter(list(self._by_number.values()))
 
     def __contains__(self, number: int) -> bool:
         return number in self._by_number
 
-    def get(self, number: int) -> Open | None:
+    def get(self, number: int) -> OpenRequest | None:
         """Return an open request, None if it is closed."""
         return self._by_number.get(number)
 
-    def add(self, item: Open) -> None:
+    def add(self, item: OpenRequest) -> None:
         """Open a request."""
         self._by_number[item.number] = item
 
-    def leader(self, key: bytes) -> Open | None:
+    def leader(self, key: bytes) -> OpenRequest | None:
         """Return the request that leads the copies of ``key``."""
         return self._by_number.get(self._leader_by_key.get(key, -1))
 
-    def lead(self, item: Open) -> None:
+    def set_leader(self, item: OpenRequest) -> None:
         """Let a request lead the copies of its key."""
         self._leader_by_key[item.event.key] = item.number
 
-    def follow(self, item: Open, leader: Open) -> None:
+    def follow(self, item: OpenRequest, leader: OpenRequest) -> None:
         """Let a copy wait for what its leader gets."""
         leader.followers.append(item.number)
         item.leader = leader.number
         item.stage = Stage.JOINED
 
-    def detach(self, item: Open) -> None:
+    def detach(self, item: OpenRequest) -> None:
         """Close a copy without its leader."""
         self.close(item)
         # Not the leader of its key: another copy may lead by now.
@@ -104,13 +104,13 @@
         if leader is not None and item.number in leader.followers:
             leader.followers.remove(item.number)
 
-    def close(self, item: Open) -> None:
+    def close(self, item: OpenRequest) -> None:
         """Close a request, its followers aside."""
         self._by_number.pop(item.number, None)
         if self._leader_by_key.get(item.event.key) == item.number:
             del self._leader_by_key[item.event.key]
 
-    def close_all(self, item: Open) -> None:
+    def close_all(self, item: OpenRequest) -> None:
         """Close a request and its followers."""
         for number in item.followers:
             self._by_number.pop(number, None)
--- a/packages/zinniahook-core/src/zinniahook_core/outcomes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/outcomes.py
@@ -4,7 +4,7 @@
 
 from .codes import Code, Outcome, OutcomeKind
 from .events import RequestFinished
-from .opens import Open, Stage
+from .openrequests import OpenRequest, Stage
 
 __all__ = ["CANCEL_WAIT", "may_join", "may_try_again", "outcome_of", "overtime"]
 
@@ -18,7 +18,7 @@
 RETRIES_LIMIT = 1
 
 
-def outcome_of(item: Open, event: RequestFinished) -> Outcome:
+def outcome_of(item: OpenRequest, event: RequestFinished) -> Outcome:
     """Return what the caller may be told of a request that failed."""
     outcome = event.outcome
     if item.cancelled_at is not None:
@@ -29,7 +29,7 @@
     return outcome
 
 
-def may_try_again(now: float, item: Open, event: RequestFinished) -> bool:
+def may_try_again(now: float, item: OpenRequest, event: RequestFinished) -> bool:
     """Tell whether a request that failed may be run once more."""
     if event.outcome.kind not in (OutcomeKind.NOT_RUN, OutcomeKind.UNKNOWN):
         return False
@@ -38,7 +38,7 @@
     return item.retries < RETRIES_LIMIT and now < item.deadline
 
 
-def may_join(item: Open, leader: Open) -> bool:
+def may_join(item: OpenRequest, leader: OpenRequest) -> bool:
     """Tell whether a copy may wait for the answer of ``leader``.
 
     What goes wrong: two agents each relay their copy of one request to the
@@ -49,9 +49,9 @@
     return not (item.event.relayed_by and leader.stage is Stage.RELAYED)
 
 
-def overtime(item: Open) -> float:
+def overtime(item: OpenRequest) -> float:
     """Return how long a request may run past its deadline, in seconds."""
-    if not item.claimed:
+    if not item.needs_claim:
         return 0.0
     # A peer to which the request was relayed gives up first.
     return OVERTIME + (2 * CANCEL_WAIT if item.stage is Stage.RELAYED else 0.0)
--- a/packages/zinniahook-core/src/zinniahook_core/owners.py
+++ b/packages/zinniahook-core/src/zinniahook_core/owners.py
@@ -11,19 +11,19 @@
 
 __all__ = ["OwnedFlow", "OwnedFlows"]
 
-REFRESHES_PER_IDLE = 3
-SWEEP = 1000
+RENEWALS_PER_IDLE_TIME = 3
+FLOWS_PER_SWEEP = 1000
 
 
 @dataclass(slots=True)
 class OwnedFlow:
-    """One flow; ``home`` is whom it was last told to, as of ``epoch``."""
+    """One flow; ``home`` is whom it was last notified_at to, as of ``epoch``."""
 
     opened: float
     seen: float
     epoch: int = -1
     home: Home | None = None
-    told: float = 0.0
+    notified_at: float = 0.0
 
 
 class OwnedFlows:
@@ -52,16 +52,16 @@
         return self._by_flow.get(flow)
 
     def add(self, now: float, flow: bytes, known_by: str = "") -> None:
-        """Own ``flow``; its home is told, unless it is ``known_by``."""
+        """Own ``flow``; its home is notified_at, unless it is ``known_by``."""
         owned = OwnedFlow(opened=now, seen=now)
         self._by_flow[flow] = owned
-        self._follow_home(now, flow, owned, known_by)
+        self._update_home(now, flow, owned, known_by)
 
-    def tell(self, flow: bytes) -> None:
+    def notify_home(self, flow: bytes) -> None:
         """Tell the present home of an owned flow."""
         owned = self._by_flow.get(flow)
         if owned is not None and owned.home is not None:
-            self._sender.tell(owned.home, flow)
+            self._sender.enqueue(owned.home, flow)
 
     def forget(self, flow: bytes) -> None:
         """Own ``flow`` no longer."""
@@ -82,7 +82,7 @@
         if not self._to_sweep:
             self._to_sweep = list(self._by_flow)
         ended = []
-        for flow in self._to_sweep[-SWEEP:]:
+        for flow in self._to_sweep[-FLOWS_PER_SWEEP:]:
             owned = self._by_flow.get(flow)
             if owned is None:
                 continue
@@ -90,8 +90,8 @@
                 self.forget(flow)
                 ended.append(flow)
                 continue
-            self._keep_told(now, flow, owned, idle)
-        del self._to_sweep[-SWEEP:]
+            self._renew_pointer(now, flow, owned, idle)
+        del self._to_sweep[-FLOWS_PER_SWEEP:]
         return ended
 
     def messages(self, now: float, incarnation: int) -> list[SendPeer]:
@@ -103,7 +103,7 @@
         self._by_flow.clear()
         self._sender.clear()
 
-    def _follow_home(
+    def _update_home(
         self, now: float, flow: bytes, owned: OwnedFlow, known_by: str = ""
     ) -> None:
         home = self._homes.home(flow)
@@ -113,20 +113,20 @@
         if owned.home is not None:
             self._sender.forget(owned.home, flow)
         owned.home = home
-        owned.told = now
+        owned.notified_at = now
         if home is not None and home.name not in (self._homes.name, known_by):
-            self._sender.tell(home, flow)
+            self._sender.enqueue(home, flow)
 
-    def _keep_told(
+    def _renew_pointer(
         self, now: float, flow: bytes, owned: OwnedFlow, idle: float
     ) -> None:
         if owned.epoch != self._homes.epoch:
-            self._follow_home(now, flow, owned)
+            self._update_home(now, flow, owned)
         # Entries send straight to the owner while their hints last, so the
         # home sees no packet for hours; without a renewal its pointer would
         # run out, and the flow break when an entry is replaced.
         if owned.home is None or owned.home.name == self._homes.name:
             return
-        if now - owned.told >= idle / REFRESHES_PER_IDLE:
-            owned.told = now
-            self._sender.tell(owned.home, flow)
+        if now - owned.notified_at >= idle / RENEWALS_PER_IDLE_TIME:
+            owned.notified_at = now
+            self._sender.enqueue(owned.home, flow)
--- a/packages/zinniahook-core/src/zinniahook_core/paths.py
+++ b/packages/zinniahook-core/src/zinniahook_core/paths.py
@@ -17,8 +17,8 @@
 
 __all__ = ["Paths"]
 
-RECENT = 10.0
-GIVEN_UP_TIME = 30.0
+RECENT_SECONDS = 10.0
+GIVEN_UP_SECONDS = 30.0
 GIVEN_UP_LIMIT = 8
 ENTRIES_LIMIT = 1024
 FLOWS_LIMIT = 16384
@@ -82,7 +82,7 @@
             return path.entry
         return next(reversed(self._heard_by_entry), None)
 
-    def unanswered(self, now: float, flow: bytes) -> Address | None:
+    def switch_entry(self, now: float, flow: bytes) -> Address | None:
         """Switch a flow whose answers get no acknowledgement.
 
         Returns
@@ -95,7 +95,7 @@
         if current is None:
             return None
         path = self._paths_by_flow.get(flow) or Path(current)
-        path.given_up_until[current] = now + GIVEN_UP_TIME
+        path.given_up_until[current] = now + GIVEN_UP_SECONDS
         while len(path.given_up_until) > GIVEN_UP_LIMIT:
             del path.given_up_until[next(iter(path.given_up_until))]
         path.entry = self._other(now, path)
@@ -110,7 +110,7 @@
         recent = [
             entry
             for entry, at in self._heard_by_entry.items()
-            if now - at <= RECENT and entry != path.entry
+            if now - at <= RECENT_SECONDS and entry != path.entry
         ]
         if not recent:
             return path.entry
--- a/packages/zinniahook-core/src/zinniahook_core/placement.py
+++ b/packages/zinniahook-core/src/zinniahook_core/placement.py
@@ -20,35 +20,35 @@
 
 __all__ = ["Health", "Placement", "coldness"]
 
-REPORT_AGE = 3.0
-IN_FLIGHT = 0.02
-BUCKET = 0.01
+REPORT_MAX_AGE_SECONDS = 3.0
+IN_FLIGHT_SECONDS = 0.02
+BUCKET_SECONDS = 0.01
 CHOICES = 2
-MOST_COMPARED = 16
+MAX_COMPARED = 16
 """How many peers a choice looks at, however many there are."""
 FLOW_MARGIN = 0.05
 """How much a peer must be better, in parts of the mean."""
-FILLED_WEIGHT = 0.2
-LOCAL_SHARE = 0.5
+UTILIZATION_WEIGHT = 0.2
+LOCAL_UTILIZATION_LIMIT = 0.5
 """Up to this share of its slots an agent runs what it gets."""
-TRUST_TIME = 1.0
-WARM_UP = 10.0
-COLD_SHARE = 0.2
-HEALTH_HALF_LIFE = 15.0
+TRUST_SECONDS = 1.0
+WARM_UP_SECONDS = 10.0
+COLD_CAPACITY_SHARE = 0.2
+HEALTH_HALF_LIFE_SECONDS = 15.0
 HEALTH_PRIOR = 2.0
-HEALTH_FLOOR = 0.05
-CLAIM_AGE = 3.0
-CLAIMED_PRIOR = 0.5
+MIN_HEALTH = 0.05
+UNHEALTHY_REPORT_SECONDS = 3.0
+UNHEALTHY_PRIOR = 0.5
 """Stands for HEALTH_PRIOR while the target says that it is unhealthy."""
 FAILURE_WEIGHT = 4.0
 """A target that fails all counts as filled this many times more."""
-LEAST_SLOTS = 0.1
+MIN_SLOTS = 0.1
 NO_LOAD = Load(1, 0, 0, 0, 0)
 
 
 def coldness(now: float, started: float) -> float:
     """Return ``Load.cold`` for a target that started at ``started``."""
-    return min(1.0, max(0.0, 1.0 - (now - started) / WARM_UP))
+    return min(1.0, max(0.0, 1.0 - (now - started) / WARM_UP_SECONDS))
 
 
 class Health:
@@ -84,20 +84,20 @@
     def share(self, now: float) -> float:
         """Return the usable part of the slots, from HEALTH_FLOOR to 1."""
         self._decay(now)
-        claimed = now - self._unhealthy_at < CLAIM_AGE
-        prior = CLAIMED_PRIOR if claimed else HEALTH_PRIOR
+        reported_unhealthy = now - self._unhealthy_at < UNHEALTHY_REPORT_SECONDS
+        prior = UNHEALTHY_PRIOR if reported_unhealthy else HEALTH_PRIOR
         seen = self._failures + self._successes + prior
-        return max(HEALTH_FLOOR, 1.0 - self._failures / seen)
+        return max(MIN_HEALTH, 1.0 - self._failures / seen)
 
     def _decay(self, now: float) -> None:
-        factor = 0.5 ** (max(0.0, now - self._updated) / HEALTH_HALF_LIFE)
+        factor = 0.5 ** (max(0.0, now - self._updated) / HEALTH_HALF_LIFE_SECONDS)
         self._failures *= factor
         self._successes *= factor
         self._updated = now
 
 
 @dataclass(slots=True)
-class Handed:
+class HandedWork:
     """Work handed to a peer within one BUCKET of time."""
 
     at: float
@@ -116,7 +116,7 @@
     age: float
 
     @property
-    def filled(self) -> float:
+    def utilization(self) -> float:
         """Requests running and queued per slot, more if the target fails."""
         return self.busy / self.slots + FAILURE_WEIGHT * (1.0 - self.share)
 
@@ -132,10 +132,10 @@
     sequence: int = -1
     reported_at: float = -math.inf
     load: Load = NO_LOAD
-    handed: list[Handed] = field(default_factory=list)
+    handed: list[HandedWork] = field(default_factory=list)
 
     @property
-    def takes_new(self) -> bool:
+    def accepts_new(self) -> bool:
         """Whether it may be given new work."""
         return self.ready and not self.leaving
 
@@ -148,7 +148,7 @@
             load.flows + flows,
             load.streams + flows,
             load.busy + load.queued + slots,
-            _warm(self.slots, load.cold),
+            _usable_slots(self.slots, load.cold),
             min(1.0, load.slots / max(1, self.slots)),
             now - self.reported_at,
         )
@@ -210,19 +210,23 @@
         peer.leaving = heartbeat.leaving
         peer.load = heartbeat.load
         peer.reported_at = now
-        peer.handed = [item for item in peer.handed if now - item.at < IN_FLIGHT]
+        peer.handed = [
+            item for item in peer.handed if now - item.at < IN_FLIGHT_SECONDS
+        ]
 
     def handed(self, now: float, peer: str, slots: int = 1, flows: int = 0) -> None:
         """Note that work was handed to ``peer`` and is in no report yet."""
         known = self._peers_by_name.get(peer)
         if known is None:
             return
-        if known.handed and now - known.handed[-1].at < BUCKET:
+        if known.handed and now - known.handed[-1].at < BUCKET_SECONDS:
             known.handed[-1].slots += slots
             known.handed[-1].flows += flows
             return
-        known.handed = [item for item in known.handed if now - item.at < REPORT_AGE]
-        known.handed.append(Handed(now, slots, flows))
+        known.handed = [
+            item for item in known.handed if now - item.at < REPORT_MAX_AGE_SECONDS
+        ]
+        known.handed.append(HandedWork(now, slots, flows))
 
     def reported(self, now: float, load: Load) -> Load:
         """Return ``load`` for a heartbeat, with the slots that are usable.
@@ -259,23 +263,23 @@
         if slots_needed == 0:
             return self._choose_by(now, local, forced, lambda work: work.streams)
         own = self._own_work(now, local)
-        filled = own.filled + slots_needed / own.slots
-        if filled <= LOCAL_SHARE and not forced:
+        utilization = own.utilization + slots_needed / own.slots
+        if utilization <= LOCAL_UTILIZATION_LIMIT and not forced:
             return None
         works = self._peers_work(now)
         if not works:
             return self._any_ready() if forced else None
-        mean = sum(work.filled for work in works.values()) / len(works)
+        mean = sum(work.utilization for work in works.values()) / len(works)
         scored = []
-        for name in self._pair(works):
+        for name in self._sample_peers(works):
             work = works[name]
             # The older a report of short requests, the less it says; it is
             # pulled to the mean, or the last to report idle draws a herd.
-            trust = math.exp(-work.age / TRUST_TIME)
-            expected = mean + (work.filled - mean) * trust
+            trust = math.exp(-work.age / TRUST_SECONDS)
+            expected = mean + (work.utilization - mean) * trust
             scored.append((expected + slots_needed / work.slots, name))
         score, name = min(scored)
-        return name if forced or score < filled else None
+        return name if forced or score < utilization else None
 
     def _choose_by(
         self,
@@ -294,14 +298,14 @@
         mean = max(total, 1.0) / sum(work.slots for work in everyone)
 
         def score(work: Work) -> float:
-            usable = max(LEAST_SLOTS, work.slots * work.share)
-            return count(work) / usable / mean + FILLED_WEIGHT * work.filled
+            usable = max(MIN_SLOTS, work.slots * work.share)
+            return count(work) / usable / mean + UTILIZATION_WEIGHT * work.utilization
 
-        best = min(self._pair(works), key=lambda name: score(works[name]))
+        best = min(self._sample_peers(works), key=lambda name: score(works[name]))
         gains = score(works[best]) + FLOW_MARGIN < score(own)
         return best if forced or gains else None
 
-    def _pair(self, works: Mapping[str, Work]) -> list[str]:
+    def _sample_peers(self, works: Mapping[str, Work]) -> list[str]:
         return self._rng.sample(list(works), min(CHOICES, len(works)))
 
     def _own_work(self, now: float, local: Load) -> Work:
@@ -309,7 +313,7 @@
             local.flows,
             local.streams,
             local.busy + local.queued,
-            _warm(local.slots, local.cold),
+            _usable_slots(local.slots, local.cold),
             self.health.share(now),
             age=0.0,
         )
@@ -319,17 +323,17 @@
         fresh = [
             (name, peer)
             for name, peer in self._peers_by_name.items()
-            if peer.takes_new and now - peer.reported_at <= REPORT_AGE
+            if peer.accepts_new and now - peer.reported_at <= REPORT_MAX_AGE_SECONDS
         ]
-        if len(fresh) > MOST_COMPARED:
-            fresh = self._rng.sample(fresh, MOST_COMPARED)
+        if len(fresh) > MAX_COMPARED:
+            fresh = self._rng.sample(fresh, MAX_COMPARED)
         return {name: peer.work(now) for name, peer in fresh}
 
     def _any_ready(self) -> str | None:
-        ready = [name for name, peer in self._peers_by_name.items() if peer.takes_new]
+        ready = [name for name, peer in self._peers_by_name.items() if peer.accepts_new]
         return self._rng.choice(ready) if ready else None
 
 
-def _warm(slots: int, cold: float) -> float:
+def _usable_slots(slots: int, cold: float) -> float:
     """Return the slots that a target can fill, fewer while it is cold."""
-    return max(LEAST_SLOTS, slots * (1.0 - cold * (1.0 - COLD_SHARE)))
+    return max(MIN_SLOTS, slots * (1.0 - cold * (1.0 - COLD_CAPACITY_SHARE)))
--- a/packages/zinniahook-core/src/zinniahook_core/pointers.py
+++ b/packages/zinniahook-core/src/zinniahook_core/pointers.py
@@ -22,9 +22,9 @@
 
 POINTERS_LIMIT = 65536
 BATCH_BYTES = 1000
-FLOW_OVERHEAD = 2
+FLOW_OVERHEAD_BYTES = 2
 BATCHES_PER_ROUND = 4
-ROUND = 0.5
+ROUND_SECONDS = 0.5
 
 
 class Pointer(NamedTuple):
@@ -90,7 +90,7 @@
 
 
 @dataclass(slots=True)
-class Untold:
+class UnconfirmedFlows:
     """The flows that one home has not confirmed yet."""
 
     flows: dict[bytes, None] = field(default_factory=dict)
@@ -108,59 +108,61 @@
 
     def __init__(self, owner: str) -> None:
         self._owner = owner
-        self._untold_by_home: dict[Home, Untold] = {}
+        self._unconfirmed_by_home: dict[Home, UnconfirmedFlows] = {}
         self._next_round = 0.0
 
-    def tell(self, home: Home, flow: bytes) -> None:
+    def enqueue(self, home: Home, flow: bytes) -> None:
         """Queue ``flow`` for ``home``."""
-        self._untold_by_home.setdefault(home, Untold()).flows[flow] = None
+        self._unconfirmed_by_home.setdefault(home, UnconfirmedFlows()).flows[flow] = (
+            None
+        )
 
     def forget(self, home: Home, flow: bytes) -> None:
         """Take ``flow`` back: it ended, or its home has moved on."""
-        untold = self._untold_by_home.get(home)
-        if untold is None:
+        unconfirmed = self._unconfirmed_by_home.get(home)
+        if unconfirmed is None:
             return
-        untold.flows.pop(flow, None)
-        if not untold.flows:
-            del self._untold_by_home[home]
+        unconfirmed.flows.pop(flow, None)
+        if not unconfirmed.flows:
+            del self._unconfirmed_by_home[home]
 
     def confirmed(self, sender: str, message: FlowAnswer) -> None:
         """Take a home's confirmation."""
-        for home, untold in list(self._untold_by_home.items()):
+        for home, unconfirmed in list(self._unconfirmed_by_home.items()):
             if home.name != sender:
                 continue
-            for flow in untold.batches_by_digest.pop(message.number, ()):
-                untold.flows.pop(flow, None)
-            if not untold.flows:
-                del self._untold_by_home[home]
+            for flow in unconfirmed.batches_by_digest.pop(message.number, ()):
+                unconfirmed.flows.pop(flow, None)
+            if not unconfirmed.flows:
+                del self._unconfirmed_by_home[home]
 
     def send(self, now: float, incarnation: int) -> list[SendPeer]:
         """Return the batches that are due; call it on every tick."""
-        if now < self._next_round or not self._untold_by_home:
+        if now < self._next_round or not self._unconfirmed_by_home:
             return []
-        self._next_round = now + ROUND
+        self._next_round = now + ROUND_SECONDS
         effects: list[SendPeer] = []
-        for home, untold in self._untold_by_home.items():
-            untold.batches_by_digest = {}
-            for flows in _batches(untold.flows)[:BATCHES_PER_ROUND]:
-                untold.batches_by_digest[_digest(flows)] = flows
+        for home, unconfirmed in self._unconfirmed_by_home.items():
+            unconfirmed.batches_by_digest = {}
+            for flows in _batches(unconfirmed.flows)[:BATCHES_PER_ROUND]:
+                unconfirmed.batches_by_digest[_digest(flows)] = flows
                 message = FlowPointers(self._owner, incarnation, flows)
                 effects.append(SendPeer(home.name, message))
         return effects
 
     def clear(self) -> None:
         """Forget everything that is queued."""
-        self._untold_by_home.clear()
+        self._unconfirmed_by_home.clear()
 
 
 def _batches(flows: dict[bytes, None]) -> list[tuple[bytes, ...]]:
     batches: list[list[bytes]] = []
-    room = 0
+    free_bytes = 0
     for flow in flows:
-        size = len(flow) + FLOW_OVERHEAD
-        if size > room:
+        size = len(flow) + FLOW_OVERHEAD_BYTES
+        if size > free_bytes:
             batches.append([])
-            room = BATCH_BYTES
+            free_bytes = BATCH_BYTES
         batches[-1].append(flow)
-        room -= size
+        free_bytes -= size
     return [tuple(batch) for batch in batches]
--- a/packages/zinniahook-core/src/zinniahook_core/asks.py
+++ b/packages/zinniahook-core/src/zinniahook_core/queries.py
@@ -9,18 +9,18 @@
 from .events import FlowDatagram
 from .messages import FlowAsk
 
-__all__ = ["Asks", "Held", "StandIns"]
+__all__ = ["OwnerQueries", "OwnerQuery", "ProvisionalFlows"]
 
-ASK_TIMEOUT = 0.5
-ASK_REPEAT = 0.1
-STAND_IN_REPEAT = 0.5
-HELD_FLOWS = 1024
-HELD_PACKETS = 16
-HELD_BYTES = 4 * 1024 * 1024
+QUERY_TIMEOUT_SECONDS = 0.5
+QUERY_REPEAT_SECONDS = 0.1
+PROVISIONAL_REPEAT_SECONDS = 0.5
+MAX_HELD_FLOWS = 1024
+MAX_HELD_PACKETS = 16
+MAX_HELD_BYTES = 4 * 1024 * 1024
 
 
 @dataclass(slots=True)
-class Held:
+class OwnerQuery:
     """A flow whose owner is asked for, with its packets so far."""
 
     flow: bytes
@@ -43,7 +43,7 @@
         return [SendPeer(name, ask) for name in self.asked if name not in self.denied]
 
 
-class Asks:
+class OwnerQueries:
     """The held flows, bounded in flows, packets of one flow, and bytes.
 
     A caller gets no answer while its packets are held, so a flood of new
@@ -51,72 +51,77 @@
     """
 
     def __init__(self) -> None:
-        self._held_by_flow: dict[bytes, Held] = {}
+        self._queries_by_flow: dict[bytes, OwnerQuery] = {}
         self._bytes = 0
         self._number = 0
 
-    def __iter__(self) -> Iterator[Held]:
-        return iter(self._held_by_flow.values())
+    def __iter__(self) -> Iterator[OwnerQuery]:
+        return iter(self._queries_by_flow.values())
 
     def __contains__(self, flow: bytes) -> bool:
-        return flow in self._held_by_flow
+        return flow in self._queries_by_flow
 
-    def start(self, now: float, flow: bytes, asked: tuple[str, ...]) -> Held | None:
+    def start(
+        self, now: float, flow: bytes, asked: tuple[str, ...]
+    ) -> OwnerQuery | None:
         """Begin to ask for ``flow``; None if too many flows are held."""
-        if len(self._held_by_flow) >= HELD_FLOWS:
+        if len(self._queries_by_flow) >= MAX_HELD_FLOWS:
             return None
         self._number += 1
-        held = Held(flow, self._number, now, asked, now + ASK_REPEAT)
-        self._held_by_flow[flow] = held
-        return held
+        query = OwnerQuery(flow, self._number, now, asked, now + QUERY_REPEAT_SECONDS)
+        self._queries_by_flow[flow] = query
+        return query
 
     def hold(self, flow: bytes, packet: FlowDatagram) -> bool:
         """Keep a packet of a held flow; False if there is no room."""
-        held = self._held_by_flow[flow]
+        query = self._queries_by_flow[flow]
         size = len(packet.payload)
-        if len(held.packets) >= HELD_PACKETS or self._bytes + size > HELD_BYTES:
+        if (
+            len(query.packets) >= MAX_HELD_PACKETS
+            or self._bytes + size > MAX_HELD_BYTES
+        ):
             return False
-        held.packets.append(packet)
+        query.packets.append(packet)
         self._bytes += size
         return True
 
-    def match(self, flow: bytes, number: int) -> Held | None:
+    def match(self, flow: bytes, number: int) -> OwnerQuery | None:
         """Return the flow that an answer is for, unless the ask is over."""
-        held = self._held_by_flow.get(flow)
-        return held if held is not None and held.number == number else None
+        query = self._queries_by_flow.get(flow)
+        return query if query is not None and query.number == number else None
 
     def release(self, flow: bytes) -> list[FlowDatagram]:
         """Stop asking for ``flow`` and return its packets in order."""
-        held = self._held_by_flow.pop(flow, None)
-        if held is None:
+        query = self._queries_by_flow.pop(flow, None)
+        if query is None:
             return []
-        self._bytes -= sum(len(packet.payload) for packet in held.packets)
-        return held.packets
+        self._bytes -= sum(len(packet.payload) for packet in query.packets)
+        return query.packets
 
-    def overdue(self, now: float) -> list[Held]:
+    def overdue(self, now: float) -> list[OwnerQuery]:
         """Return the flows whose asks have timed out."""
         return [
-            held
-            for held in self._held_by_flow.values()
-            if now - held.since >= ASK_TIMEOUT
+            query
+            for query in self._queries_by_flow.values()
+            if now - query.since >= QUERY_TIMEOUT_SECONDS
         ]
 
     def repeats(self, now: float) -> list[SendPeer]:
         """Return the asks to send again; any message may get lost."""
         messages: list[SendPeer] = []
-        for held in self._held_by_flow.values():
-            if now >= held.repeat_at:
-                held.repeat_at = now + ASK_REPEAT
-                messages += held.messages()
+        for query in self._queries_by_flow.values():
+            if now >= query.repeat_at:
+                query.repeat_at = now + QUERY_REPEAT_SECONDS
+                messages += query.messages()
         return messages
 
     def clear(self) -> None:
         """Forget every held flow and packet."""
-        self._held_by_flow.clear()
+        self._queries_by_flow.clear()
         self._bytes = 0
 
 
-class StandIns:
+class ProvisionalFlows:
     """Flows opened elsewhere than at their home, since the home was silent.
 
     What goes wrong: a home that was paused, or whose answers got lost, owns
@@ -145,7 +150,7 @@
         """Return what is to be asked now, once a round."""
         if now < self._next_round:
             return []
-        self._next_round = now + STAND_IN_REPEAT
+        self._next_round = now + PROVISIONAL_REPEAT_SECONDS
         return list(self._number_by_flow.items())
 
     def clear(self) -> None:
--- a/packages/zinniahook-core/src/zinniahook_core/queues.py
+++ b/packages/zinniahook-core/src/zinniahook_core/queues.py
@@ -5,10 +5,10 @@
 import bisect
 from typing import NamedTuple
 
-__all__ = ["DeadlineQueue", "Waiting"]
+__all__ = ["DeadlineQueue", "QueuedRequest"]
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """One queued request; sorts by deadline, then by arrival."""
 
     deadline: float
@@ -24,7 +24,7 @@
     """
 
     def __init__(self) -> None:
-        self._waiting: list[Waiting] = []
+        self._waiting: list[QueuedRequest] = []
         self._arrivals = 0
 
     def __len__(self) -> int:
@@ -34,7 +34,7 @@
         return iter(tuple(self._waiting))
 
     @property
-    def last(self) -> Waiting:
+    def last(self) -> QueuedRequest:
         """The request with the latest deadline."""
         return self._waiting[-1]
 
@@ -45,9 +45,9 @@
     def push(self, deadline: float, request: int) -> None:
         """Add a request at its place."""
         self._arrivals += 1
-        bisect.insort(self._waiting, Waiting(deadline, self._arrivals, request))
+        bisect.insort(self._waiting, QueuedRequest(deadline, self._arrivals, request))
 
-    def pop(self) -> Waiting:
+    def pop(self) -> QueuedRequest:
         """Remove and return the request with the earliest deadline."""
         return self._waiting.pop(0)
 
--- a/packages/zinniahook-core/src/zinniahook_core/rendezvous.py
+++ b/packages/zinniahook-core/src/zinniahook_core/rendezvous.py
@@ -14,10 +14,10 @@
 
 __all__ = ["best", "fraction", "rank"]
 
-SEEDS_KEPT = 65536
+SEED_CACHE_SIZE = 65536
 
 
-@functools.lru_cache(maxsize=SEEDS_KEPT)
+@functools.lru_cache(maxsize=SEED_CACHE_SIZE)
 def _seed(name: str) -> int:
     """Hash a name once; per key only one more hash is needed."""
     return xxh3_64_intdigest(name.encode())
--- a/packages/zinniahook-core/src/zinniahook_core/custody.py
+++ b/packages/zinniahook-core/src/zinniahook_core/replication.py
@@ -12,15 +12,15 @@
 from dataclasses import dataclass, field
 
 from .effects import AgentEffect, Count, SendPeer
-from .handovers import Handover
 from .messages import ClaimFinished, ClaimRecords, ClaimState
 from .records import KEY_LIFETIME, SMALL_ANSWER, Record, Records
-from .views import View
+from .transfers import RecordTransfer
+from .views import MembershipView
 
-__all__ = ["Custody"]
+__all__ = ["Replication"]
 
-ANNOUNCE_AGAIN = 1.0
-DECLARE_INTERVAL = 1.0
+ANNOUNCE_REPEAT_SECONDS = 1.0
+DECLARE_INTERVAL_SECONDS = 1.0
 
 
 @dataclass(slots=True)
@@ -33,12 +33,12 @@
     acknowledged: set[str] = field(default_factory=set)
 
 
-class Custody:
+class Replication:
     """The records that this agent holds, and what it owes to other holders.
 
     Parameters
     ----------
-    view : View
+    view : MembershipView
         The members as this agent sees them.
     records : Records
         What this agent remembers.
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        view: View,
+        view: MembershipView,
         records: Records,
         effects: list[AgentEffect],
         next_number: Callable[[], int],
@@ -67,7 +67,7 @@
         self._effects = effects
         self._next_number = next_number
         self._announcements: deque[tuple[float, bytes]] = deque()
-        self._handover: Handover | None = None
+        self._transfer: RecordTransfer | None = None
         self._declared: Declaration | None = None
         self.leaving = False
         self.remembers = 0
@@ -75,13 +75,13 @@
     @property
     def handed_over(self) -> bool:
         """Whether others hold all that is held here."""
-        return self._handover is None or self._handover.done
+        return self._transfer is None or self._transfer.done
 
     def finished(self, now: float, key: bytes, answer: bytes) -> None:
         """Keep the answer of what ran here and tell the other holders."""
         self._end(now, key, ClaimState.FINISHED, answer)
         self._announce(now, key)
-        self._announcements.append((now + ANNOUNCE_AGAIN, key))
+        self._announcements.append((now + ANNOUNCE_REPEAT_SECONDS, key))
 
     def failed(self, now: float, key: bytes) -> None:
         """Note that nobody can tell what became of what ran here."""
@@ -92,15 +92,15 @@
         if self._declared is not None and number == self._declared.number:
             self._declared.acknowledged.add(sender)
             return True
-        handover = self._handover
-        return handover is not None and handover.acknowledged(now, sender, number)
+        transfer = self._transfer
+        return transfer is not None and transfer.acknowledged(now, sender, number)
 
     def tick(self, now: float) -> None:
         """Send what is due."""
         while self._announcements and self._announcements[0][0] <= now:
             self._announce(now, self._announcements.popleft()[1])
-        if self._handover is not None:
-            self._effects += self._handover.send(now)
+        if self._transfer is not None:
+            self._effects += self._transfer.send(now)
         self._declare(now)
 
     def _end(self, now: float, key: bytes, state: ClaimState, answer: bytes) -> None:
@@ -127,7 +127,7 @@
             holders = holders[:1]
         self._effects += [SendPeer(name, message) for name in holders]
 
-    def told_finished(self, now: float, sender: str, message: ClaimFinished) -> None:
+    def learn_finished(self, now: float, sender: str, message: ClaimFinished) -> None:
         """Learn that a peer has finished a request, and keep its answer."""
         if message.runner != sender or not message.started:
             return
@@ -140,10 +140,10 @@
             now + KEY_LIFETIME,
             message.answer,
         )
-        told = record.message(now, message.key)
-        self._records.absorb(now, told, sender, message.incarnation)
+        finished_record = record.message(now, message.key)
+        self._records.absorb(now, finished_record, sender, message.incarnation)
 
-    def told_records(self, now: float, sender: str, message: ClaimRecords) -> None:
+    def learn_records(self, now: float, sender: str, message: ClaimRecords) -> None:
         """Take a peer's records or its declaration, and acknowledge them."""
         if not self._view.valid(sender, message.incarnation):
             return
@@ -180,29 +180,31 @@
             return False
         return True
 
-    def hand_over(self) -> None:
+    def start_transfer(self) -> None:
         """Start to copy whatever has too few holders."""
         holders = 2 if self.leaving else 1
-        self._handover = Handover(self._view, self._records, self._next_number, holders)
+        self._transfer = RecordTransfer(
+            self._view, self._records, self._next_number, holders
+        )
 
     def _declare(self, now: float) -> None:
         """Tell the others once a handover is complete.
 
         They may then disregard the losses that it made good.
         """
-        handover = self._handover
-        if handover is not None and handover.done and handover.has_takers:
+        transfer = self._transfer
+        if transfer is not None and transfer.done and transfer.has_recipients:
             if self.remembers:
                 self._view.remember(self._view.name, self.remembers)
-            self._view.declare(self._view.name, handover.revision)
+            self._view.declare(self._view.name, transfer.revision)
             known = self._declared
-            if known is None or known.revision != handover.revision:
+            if known is None or known.revision != transfer.revision:
                 number = self._next_number()
-                self._declared = Declaration(number, handover.revision)
+                self._declared = Declaration(number, transfer.revision)
             if not self.leaving:
-                self._handover = None
+                self._transfer = None
         declared = self._declared
-        if declared is None or now - declared.sent_at < DECLARE_INTERVAL:
+        if declared is None or now - declared.sent_at < DECLARE_INTERVAL_SECONDS:
             return
         declared.sent_at = now
         message = ClaimRecords(
--- a/packages/zinniahook-core/src/zinniahook_core/requests.py
+++ b/packages/zinniahook-core/src/zinniahook_core/requests.py
@@ -38,7 +38,7 @@
 )
 from .messages import ClaimIntent
 from .models import AgentState, Load, Member, Service
-from .opens import Open, OpenRequests, RequestPlacement, Stage
+from .openrequests import OpenRequest, OpenRequests, RequestPlacement, Stage
 from .outcomes import CANCEL_WAIT, may_join, may_try_again, outcome_of, overtime
 from .placement import coldness
 from .records import LATENESS, UNNUMBERED_LIFETIME
@@ -150,7 +150,7 @@
 
         """
         for item in self._open:
-            if item.stage is Stage.RUNNING and item.claimed:
+            if item.stage is Stage.RUNNING and item.needs_claim:
                 self.claims.failed(now, item.event.key)
             elif item.stage in (Stage.RUNNING, Stage.RELAYED):
                 self.effects.append(CancelRequest(item.number))
@@ -223,9 +223,9 @@
             deadline = min(deadline, event.deadline)
         if event.key and not event.idempotent:
             deadline = min(deadline, now + CLAIM_PATIENCE)
-        item = Open(event, deadline, event.attempt, since=now)
+        item = OpenRequest(event, deadline, event.attempt, since=now)
         self._open.add(item)
-        if item.claimed and self._follow(now, item):
+        if item.needs_claim and self._follow(now, item):
             return
         self._place(now, item, rule.slots)
 
@@ -241,7 +241,7 @@
         done = event.outcome.kind is OutcomeKind.DONE
         was_relayed = item.stage is Stage.RELAYED
         self.admission.release(now, item.number, answered=done)
-        if item.claimed:
+        if item.needs_claim:
             settlements.finish(self, now, item, event, was_relayed)
             return
         if done:
@@ -256,7 +256,7 @@
         item = self._open.get(event.request)
         if item is None:
             return
-        if item.stage is Stage.RUNNING and item.claimed:
+        if item.stage is Stage.RUNNING and item.needs_claim:
             # The caller may only have lost its connection. It comes back with
             # the same key and then needs the answer of this very run.
             self.count("requests.orphaned")
@@ -272,7 +272,7 @@
         self._open.close(item)
         self._promote(now, followers)
 
-    def _place(self, now: float, item: Open, slots: int) -> None:
+    def _place(self, now: float, item: OpenRequest, slots: int) -> None:
         if self.leaving:
             peer = self._choose(now, item, slots, forced=True)
             if peer is None:
@@ -288,13 +288,13 @@
         self.relay(now, item, peer)
 
     def _choose(
-        self, now: float, item: Open, slots: int, forced: bool = False
+        self, now: float, item: OpenRequest, slots: int, forced: bool = False
     ) -> str | None:
         if self._placement is None or item.event.relayed_by or item.relays:
             return None
         return self._placement.choose_for_request(now, slots, self._load(), forced)
 
-    def relay(self, now: float, item: Open, peer: str) -> None:
+    def relay(self, now: float, item: OpenRequest, peer: str) -> None:
         """Hand a request to a peer."""
         item.stage = Stage.RELAYED
         item.since = now
@@ -304,7 +304,7 @@
         self.effects.append(Relay(item.number, peer))
         self.join_followers(item)
 
-    def _limit(self, now: float, item: Open) -> None:
+    def _limit(self, now: float, item: OpenRequest) -> None:
         """Cancel what runs past the deadline that its caller gave.
 
         What goes wrong otherwise: a target hangs, and its requests hold their
@@ -320,11 +320,11 @@
             lost = Outcome(OutcomeKind.UNKNOWN, Code.DEADLINE_EXPIRED)
             self._finish(now, RequestFinished(item.number, lost, started=True))
 
-    def join_followers(self, item: Open) -> None:
+    def join_followers(self, item: OpenRequest) -> None:
         """Let the followers of a request have its answer."""
         self.effects += [JoinRequest(number, item.number) for number in item.followers]
 
-    def _admit(self, now: float, item: Open) -> None:
+    def _admit(self, now: float, item: OpenRequest) -> None:
         event = item.event
         decision = self.admission.offer(
             now, event.request, event.kind, event.attempt, item.deadline
@@ -336,16 +336,16 @@
         else:
             self.refuse(now, item, decision)
 
-    def _begin(self, now: float, item: Open) -> None:
+    def _begin(self, now: float, item: OpenRequest) -> None:
         item.since = now
-        if not item.claimed:
+        if not item.needs_claim:
             item.stage = Stage.RUNNING
             self.effects.append(Run(item.number))
             return
         item.stage = Stage.CLAIMING
         self._claim(now, item, ClaimIntent.RUN, item.deadline)
 
-    def _park(self, now: float, item: Open) -> None:
+    def _park(self, now: float, item: OpenRequest) -> None:
         # What goes wrong: a claim owner has died, and until it is marked down
         # the requests that wait for it hold every slot. Without its slot such
         # a request waits on, and queues again once the claim is granted.
@@ -353,11 +353,11 @@
         item.stage = Stage.PARKED
         self.count("requests.parked")
 
-    def refuse(self, now: float, item: Open, refusal: Decision) -> None:
+    def refuse(self, now: float, item: OpenRequest, refusal: Decision) -> None:
         """End a request that certainly hasn't run."""
         self.count("requests.refused")
         item.refusal = refusal
-        if not item.claimed:
+        if not item.needs_claim:
             outcome = Outcome(OutcomeKind.NOT_RUN, refusal.code, refusal.retry_after)
             self.conclude(item, outcome)
             return
@@ -369,7 +369,7 @@
             item.refusal = replace(refusal, retry_after=retry_after)
         self._claim(now, item, ClaimIntent.REFUSE, now + REFUSE_WAIT)
 
-    def _follow(self, now: float, item: Open) -> bool:
+    def _follow(self, now: float, item: OpenRequest) -> bool:
         """Join the copy of this request that is open here already."""
         key = item.event.key
         leader = self._open.leader(key)
@@ -379,14 +379,14 @@
             if leader.stage in (Stage.RUNNING, Stage.RELAYED):
                 self.effects.append(JoinRequest(item.number, leader.number))
             return True
-        self._open.lead(item)
+        self._open.set_leader(item)
         known = self.claims.known(now, key)
         if known is None:
             return False
         self._settle(now, known._replace(request=item.number))
         return True
 
-    def _raise_attempt(self, now: float, leader: Open, attempt: int) -> None:
+    def _raise_attempt(self, now: float, leader: OpenRequest, attempt: int) -> None:
         """Let a leader stand for a later attempt of its request as well.
 
         What goes wrong otherwise: the tombstone names the leader's attempt, a
@@ -400,7 +400,9 @@
         elif leader.stage is Stage.REFUSING:
             self._claim(now, leader, ClaimIntent.REFUSE, now + REFUSE_WAIT)
 
-    def _claim(self, now: float, item: Open, intent: ClaimIntent, until: float) -> None:
+    def _claim(
+        self, now: float, item: OpenRequest, intent: ClaimIntent, until: float
+    ) -> None:
         key = item.event.key
         self.claims.begin(now, item.number, key, item.attempt, intent, until)
 
@@ -412,7 +414,7 @@
             self._arrive(now, item.event)
 
     def _try_again(
-        self, now: float, item: Open, event: RequestFinished, was_relayed: bool
+        self, now: float, item: OpenRequest, event: RequestFinished, was_relayed: bool
     ) -> bool:
         if not may_try_again(now, item, event):
             return False
@@ -456,7 +458,7 @@
             self._begin(now, self._open.get(number))
         return bool(effects or settled or given_up or started)
 
-    def conclude(self, item: Open, outcome: Outcome) -> None:
+    def conclude(self, item: OpenRequest, outcome: Outcome) -> None:
         """Give a request and its followers their final answer."""
         for number in (item.number, *item.followers):
             self.effects.append(FinishRequest(number, outcome))
@@ -465,7 +467,7 @@
     def _answer(self, request: int, kind: OutcomeKind, code: Code) -> None:
         self.effects.append(FinishRequest(request, Outcome(kind, code)))
 
-    def close_all(self, item: Open) -> None:
+    def close_all(self, item: OpenRequest) -> None:
         """Forget a request and its followers."""
         self._open.close_all(item)
 
--- a/packages/zinniahook-core/src/zinniahook_core/rosters.py
+++ b/packages/zinniahook-core/src/zinniahook_core/rosters.py
@@ -20,9 +20,9 @@
 
 __all__ = ["RosterWriter", "Settlement"]
 
-WRITE_TIMEOUT = 5.0
-BACKOFF_FIRST = 0.2
-BACKOFF_LONGEST = 5.0
+WRITE_TIMEOUT_SECONDS = 5.0
+INITIAL_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 5.0
 
 
 class Settlement(enum.Enum):
@@ -61,13 +61,13 @@
         self._pending: Pending | None = None
         self._operations = 0
         self._retry_at = 0.0
-        self._backoff = BACKOFF_FIRST
+        self._backoff = INITIAL_BACKOFF_SECONDS
         self._stored_incarnation: int | None = None
 
     @property
-    def ailing(self) -> bool:
+    def store_failing(self) -> bool:
         """Whether the last write got no proper answer from the store."""
-        return self._backoff > BACKOFF_FIRST
+        return self._backoff > INITIAL_BACKOFF_SECONDS
 
     def idle(self, now: float) -> bool:
         """Tell whether a write may be sent now."""
@@ -93,12 +93,12 @@
             return Settlement.FOREIGN
         self._pending = None
         if event.code is Code.OK:
-            self._backoff = BACKOFF_FIRST
+            self._backoff = INITIAL_BACKOFF_SECONDS
             self._stored_incarnation = incarnation
             return Settlement.WRITTEN
         if event.code is Code.CONFLICT:
-            self._backoff = BACKOFF_FIRST
-            self.delay(now, BACKOFF_FIRST * self._rng.random())
+            self._backoff = INITIAL_BACKOFF_SECONDS
+            self.delay(now, INITIAL_BACKOFF_SECONDS * self._rng.random())
             stored = event.roster.revision if event.roster else 0
             if pending.base == revision and stored < revision:
                 return Settlement.SET_BACK
@@ -111,7 +111,7 @@
 
     def expire(self, now: float, incarnation: int) -> bool:
         """Give up waiting for an answer; return whether one was overdue."""
-        if self._pending is None or now - self._pending.sent < WRITE_TIMEOUT:
+        if self._pending is None or now - self._pending.sent < WRITE_TIMEOUT_SECONDS:
             return False
         self._pending = None
         self._stored_incarnation = incarnation
@@ -130,4 +130,4 @@
 
     def _back_off(self, now: float) -> None:
         self.delay(now, self._backoff * (0.5 + self._rng.random()))
-        self._backoff = min(BACKOFF_LONGEST, 2 * self._backoff)
+        self._backoff = min(MAX_BACKOFF_SECONDS, 2 * self._backoff)
--- a/packages/zinniahook-core/src/zinniahook_core/routing.py
+++ b/packages/zinniahook-core/src/zinniahook_core/routing.py
@@ -33,19 +33,19 @@
 ]
 
 CONNECTION_ID_LENGTH = 17
-SHORT_HEADER = 1 + CONNECTION_ID_LENGTH
-MEMO_SIZE = 16384
+SHORT_HEADER_BYTES = 1 + CONNECTION_ID_LENGTH
+OWNER_CACHE_SIZE = 16384
 
-LONG_HEADER = 0x80
-LONG_HEADER_MINIMUM = 7
-LONGEST_CONNECTION_ID = 20
+LONG_HEADER_BIT = 0x80
+MIN_LONG_HEADER_BYTES = 7
+MAX_CONNECTION_ID_BYTES = 20
 INCARNATION_MASK = 0xFFFF
 RANDOM_BITS = 24
 
 BLOCK = struct.Struct("!H4sHH3s3s")
-OWNER_SIZE = 10
-CHECK = bytes(3)
-CHECK_AT = 13
+OWNER_BYTES = 10
+CHECK_BYTES = bytes(3)
+CHECK_OFFSET = 13
 
 
 class Owner(NamedTuple):
@@ -104,7 +104,7 @@
             owner.agent.port,
             owner.incarnation & INCARNATION_MASK,
             self._rng.getrandbits(RANDOM_BITS).to_bytes(3, "big"),
-            CHECK,
+            CHECK_BYTES,
         )
         return self._prefix + self._encrypt(block)
 
@@ -116,9 +116,9 @@
         if decrypt is None:
             return Code.CONNECTION_ID_UNKNOWN
         block = decrypt(connection_id[1:])
-        if block[CHECK_AT:] != CHECK:
+        if block[CHECK_OFFSET:] != CHECK_BYTES:
             return Code.CONNECTION_ID_UNKNOWN
-        owner = self._owners_by_block.get(block[:OWNER_SIZE])
+        owner = self._owners_by_block.get(block[:OWNER_BYTES])
         return owner or self._unpack(block)
 
     def _unpack(self, block: bytes) -> Owner:
@@ -126,9 +126,9 @@
         owner = Owner(service, Address(socket.inet_ntoa(host), port), incarnation)
         # Only ids under our key get here, so a flood of random ids fills
         # nothing, and there are as many owners as agents, not as flows.
-        if len(self._owners_by_block) >= MEMO_SIZE:
+        if len(self._owners_by_block) >= OWNER_CACHE_SIZE:
             self._owners_by_block.clear()
-        self._owners_by_block[block[:OWNER_SIZE]] = owner
+        self._owners_by_block[block[:OWNER_BYTES]] = owner
         return owner
 
 
@@ -144,14 +144,14 @@
         DATAGRAM_MALFORMED if it is too short for its own header.
     """
     length = len(datagram)
-    if length < LONG_HEADER_MINIMUM:
+    if length < MIN_LONG_HEADER_BYTES:
         return Code.DATAGRAM_MALFORMED
-    if datagram[0] < LONG_HEADER:
-        if length < SHORT_HEADER:
+    if datagram[0] < LONG_HEADER_BIT:
+        if length < SHORT_HEADER_BYTES:
             return Code.DATAGRAM_MALFORMED
-        return False, datagram[1:SHORT_HEADER]
+        return False, datagram[1:SHORT_HEADER_BYTES]
     size = datagram[5]
-    if size > LONGEST_CONNECTION_ID or length < LONG_HEADER_MINIMUM + size:
+    if size > MAX_CONNECTION_ID_BYTES or length < MIN_LONG_HEADER_BYTES + size:
         return Code.DATAGRAM_MALFORMED
     return True, datagram[6 : 6 + size]
 
--- a/packages/zinniahook-core/src/zinniahook_core/settlements.py
+++ b/packages/zinniahook-core/src/zinniahook_core/settlements.py
@@ -15,7 +15,7 @@
 from .effects import AgentEffect, Replay, Run
 from .events import RequestFinished
 from .messages import ClaimState
-from .opens import Open, Stage
+from .openrequests import OpenRequest, Stage
 from .outcomes import outcome_of
 
 __all__ = ["RequestAgent", "finish", "settle"]
@@ -36,26 +36,26 @@
     claims: Claims
     admission: Admission
 
-    def relay(self, now: float, item: Open, peer: str) -> None:
+    def relay(self, now: float, item: OpenRequest, peer: str) -> None:
         """Hand a request to a peer."""
 
-    def refuse(self, now: float, item: Open, refusal: Decision) -> None:
+    def refuse(self, now: float, item: OpenRequest, refusal: Decision) -> None:
         """End a request that certainly hasn't run."""
 
-    def conclude(self, item: Open, outcome: Outcome) -> None:
+    def conclude(self, item: OpenRequest, outcome: Outcome) -> None:
         """Give a request and its followers their final answer."""
 
-    def close_all(self, item: Open) -> None:
+    def close_all(self, item: OpenRequest) -> None:
         """Forget a request and its followers."""
 
-    def join_followers(self, item: Open) -> None:
+    def join_followers(self, item: OpenRequest) -> None:
         """Let the followers of a request have its answer."""
 
     def count(self, name: str, amount: int = 1) -> None:
         """Add to a counter."""
 
 
-Handler = Callable[[RequestAgent, float, Open, Settled], None]
+Handler = Callable[[RequestAgent, float, OpenRequest, Settled], None]
 
 _HANDLERS_BY_STATE: dict[ClaimState, Handler] = {}
 
@@ -68,7 +68,9 @@
     return register
 
 
-def settle(agent: RequestAgent, now: float, item: Open, settled: Settled) -> None:
+def settle(
+    agent: RequestAgent, now: float, item: OpenRequest, settled: Settled
+) -> None:
     """Go on with a request whose claim owner has answered."""
     handler = _HANDLERS_BY_STATE.get(settled.state)
     if handler is not None:
@@ -76,7 +78,9 @@
 
 
 @_settles(ClaimState.GRANTED)
-def _granted(agent: RequestAgent, now: float, item: Open, settled: Settled) -> None:
+def _granted(
+    agent: RequestAgent, now: float, item: OpenRequest, settled: Settled
+) -> None:
     if item.stage is Stage.PARKED:
         _unpark(agent, now, item)
         return
@@ -85,7 +89,7 @@
     agent.join_followers(item)
 
 
-def _unpark(agent: RequestAgent, now: float, item: Open) -> None:
+def _unpark(agent: RequestAgent, now: float, item: OpenRequest) -> None:
     kind = item.event.kind
     agent.claims.unstarted(now, item.event.key)
     if agent.leaving:
@@ -98,7 +102,9 @@
 
 
 @_settles(ClaimState.RUNNING, ClaimState.FINISHED)
-def _elsewhere(agent: RequestAgent, now: float, item: Open, settled: Settled) -> None:
+def _elsewhere(
+    agent: RequestAgent, now: float, item: OpenRequest, settled: Settled
+) -> None:
     agent.admission.release(now, item.number, answered=False)
     if settled.answer:
         agent.count("requests.replayed")
@@ -113,7 +119,9 @@
 
 
 @_settles(ClaimState.REFUSED)
-def _refused(agent: RequestAgent, now: float, item: Open, settled: Settled) -> None:
+def _refused(
+    agent: RequestAgent, now: float, item: OpenRequest, settled: Settled
+) -> None:
     agent.admission.release(now, item.number, answered=False)
     refusal = item.refusal
     code = refusal.code if refusal else Code.NOT_RUN
@@ -122,7 +130,9 @@
 
 
 @_settles(ClaimState.UNKNOWN)
-def _unknown(agent: RequestAgent, now: float, item: Open, settled: Settled) -> None:
+def _unknown(
+    agent: RequestAgent, now: float, item: OpenRequest, settled: Settled
+) -> None:
     agent.admission.release(now, item.number, answered=False)
     agent.count("requests.unknown")
     agent.conclude(item, Outcome(OutcomeKind.UNKNOWN, settled.code))
@@ -131,7 +141,7 @@
 def finish(
     agent: RequestAgent,
     now: float,
-    item: Open,
+    item: OpenRequest,
     event: RequestFinished,
     was_relayed: bool,
 ) -> None:
@@ -153,7 +163,7 @@
 
 
 def _finish_relayed(
-    agent: RequestAgent, now: float, item: Open, event: RequestFinished
+    agent: RequestAgent, now: float, item: OpenRequest, event: RequestFinished
 ) -> None:
     # A relay that broke says nothing of what the peer did. Only the
     # claim owner's tombstone makes "not run" certain.
--- a/packages/zinniahook-core/src/zinniahook_core/suspensions.py
+++ b/packages/zinniahook-core/src/zinniahook_core/suspensions.py
@@ -18,29 +18,29 @@
 
 __all__ = ["Suspensions"]
 
-ANSWER_TIMEOUT = 1.0
+ANSWER_TIMEOUT_SECONDS = 1.0
 CALLERS_TO_SUSPEND = 3
 FAILURES_TO_SUSPEND = 8
 """Of fewer callers: few may rank the agent first, and they would wait for
 ever for a third one."""
 
-SUSPENDED_SHARE = 0.5
-EVIDENCE_AGE = 10.0
-PROBE_FIRST = 1.0
-PROBE_LONGEST = 30.0
+MAX_SUSPENDED_SHARE = 0.5
+EVIDENCE_MAX_AGE_SECONDS = 10.0
+INITIAL_PROBE_SECONDS = 1.0
+MAX_PROBE_SECONDS = 30.0
 PROBE_JITTER = 0.2
 PENDING_LIMIT = 1024
 
 
 @dataclass(slots=True)
-class Standing:
+class AgentRecord:
     """What an entry has seen of one agent."""
 
     answered: float = float("-inf")
     failed_callers: set[Address] = field(default_factory=set)
     failures: int = 0
     suspended: bool = False
-    backoff: float = PROBE_FIRST
+    backoff: float = INITIAL_PROBE_SECONDS
     probe_at: float = 0.0
 
 
@@ -56,7 +56,7 @@
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._names: tuple[str, ...] = ()
-        self._standings_by_name: dict[str, Standing] = {}
+        self._records_by_name: dict[str, AgentRecord] = {}
         # A dict keeps insertion order, so the oldest opening stands first.
         self._pending_by_caller: dict[Address, tuple[str, float]] = {}
 
@@ -64,7 +64,7 @@
     def suspended(self) -> tuple[str, ...]:
         """The names that get no new flows now, in order of the roster."""
         return tuple(
-            name for name in self._names if self._standings_by_name[name].suspended
+            name for name in self._names if self._records_by_name[name].suspended
         )
 
     @property
@@ -79,28 +79,30 @@
         the former one says nothing of them.
         """
         fresh = set(restarted)
-        former = self._standings_by_name
+        former = self._records_by_name
         self._names = tuple(names)
-        self._standings_by_name = {
-            name: former[name] if name in former and name not in fresh else Standing()
+        self._records_by_name = {
+            name: former[name]
+            if name in former and name not in fresh
+            else AgentRecord()
             for name in names
         }
-        self._lift_over_cap()
+        self._enforce_cap()
 
     def choose(self, now: float, key: bytes) -> str | None:
         """Choose the agent for an opening, or None if there is none."""
         if not self._names:
             return None
         name = rendezvous.best(key, self._names)
-        standing = self._standings_by_name[name]
-        if not standing.suspended:
+        record = self._records_by_name[name]
+        if not record.suspended:
             return name
-        if now >= standing.probe_at:
-            self._plan_probe(now, standing)
+        if now >= record.probe_at:
+            self._schedule_probe(now, record)
             return name
-        standings = self._standings_by_name
+        records = self._records_by_name
         return rendezvous.best(
-            key, [other for other in self._names if not standings[other].suspended]
+            key, [other for other in self._names if not records[other].suspended]
         )
 
     def opened(self, now: float, name: str, caller: Address) -> None:
@@ -117,45 +119,45 @@
         agent that hands openings over is alive.
         """
         name, _ = self._pending_by_caller.pop(caller, (None, 0.0))
-        standing = self._standings_by_name.get(name) if name else None
-        if standing is None:
+        record = self._records_by_name.get(name) if name else None
+        if record is None:
             return None
-        reinstated = standing.suspended
-        standing.answered = now
-        standing.failed_callers.clear()
-        standing.failures = 0
-        standing.suspended = False
-        standing.backoff = PROBE_FIRST
+        reinstated = record.suspended
+        record.answered = now
+        record.failed_callers.clear()
+        record.failures = 0
+        record.suspended = False
+        record.backoff = INITIAL_PROBE_SECONDS
         return name if reinstated else None
 
     def expire(self, now: float) -> list[str]:
         """Judge overdue openings; return the agents newly suspended."""
         overdue = []
         for caller, (name, sent) in self._pending_by_caller.items():
-            if now - sent < ANSWER_TIMEOUT:
+            if now - sent < ANSWER_TIMEOUT_SECONDS:
                 break
             overdue.append((caller, name))
         for caller, name in overdue:
             del self._pending_by_caller[caller]
-            standing = self._standings_by_name.get(name)
-            if standing is None:
+            record = self._records_by_name.get(name)
+            if record is None:
                 continue
-            standing.failures += 1
-            if len(standing.failed_callers) < CALLERS_TO_SUSPEND:
-                standing.failed_callers.add(caller)
+            record.failures += 1
+            if len(record.failed_callers) < CALLERS_TO_SUSPEND:
+                record.failed_callers.add(caller)
         return [name for _, name in overdue if self._suspend(now, name)]
 
     def _suspend(self, now: float, name: str) -> bool:
-        standing = self._standings_by_name.get(name)
-        if standing is None or standing.suspended:
+        record = self._records_by_name.get(name)
+        if record is None or record.suspended:
             return False
-        few_callers = len(standing.failed_callers) < CALLERS_TO_SUSPEND
-        if few_callers and standing.failures < FAILURES_TO_SUSPEND:
+        few_callers = len(record.failed_callers) < CALLERS_TO_SUSPEND
+        if few_callers and record.failures < FAILURES_TO_SUSPEND:
             return False
         if not self._others_answer(now, name) or not self._below_cap():
             return False
-        standing.suspended = True
-        self._plan_probe(now, standing)
+        record.suspended = True
+        self._schedule_probe(now, record)
         return True
 
     def _others_answer(self, now: float, name: str) -> bool:
@@ -163,22 +165,22 @@
         # cut off, sees silence everywhere; suspending anyone then only
         # narrows the choice.
         return any(
-            now - standing.answered < EVIDENCE_AGE
-            for other, standing in self._standings_by_name.items()
+            now - record.answered < EVIDENCE_MAX_AGE_SECONDS
+            for other, record in self._records_by_name.items()
             if other != name
         )
 
     def _below_cap(self) -> bool:
         # Without a cap, one entry with a bad path of its own would send all
         # new flows to the last agent left and overload it.
-        return len(self.suspended) + 1 <= len(self._names) * SUSPENDED_SHARE
+        return len(self.suspended) + 1 <= len(self._names) * MAX_SUSPENDED_SHARE
 
-    def _lift_over_cap(self) -> None:
+    def _enforce_cap(self) -> None:
         suspended = list(self.suspended)
-        while len(suspended) > len(self._names) * SUSPENDED_SHARE:
-            self._standings_by_name[suspended.pop()].suspended = False
+        while len(suspended) > len(self._names) * MAX_SUSPENDED_SHARE:
+            self._records_by_name[suspended.pop()].suspended = False
 
-    def _plan_probe(self, now: float, standing: Standing) -> None:
+    def _schedule_probe(self, now: float, record: AgentRecord) -> None:
         jitter = 1.0 + PROBE_JITTER * self._rng.random()
-        standing.probe_at = now + standing.backoff * jitter
-        standing.backoff = min(PROBE_LONGEST, standing.backoff * 2)
+        record.probe_at = now + record.backoff * jitter
+        record.backoff = min(MAX_PROBE_SECONDS, record.backoff * 2)
--- a/packages/zinniahook-core/src/zinniahook_core/handovers.py
+++ b/packages/zinniahook-core/src/zinniahook_core/transfers.py
@@ -15,17 +15,17 @@
 from .effects import SendPeer
 from .messages import ClaimRecords, ClaimState
 from .records import Record, Records
-from .views import View
+from .views import MembershipView
 
-__all__ = ["Handover"]
+__all__ = ["RecordTransfer"]
 
 BATCH_RECORDS = 8
 BATCH_BYTES = 1000
 BATCHES_IN_FLIGHT = 4
 """Together with the tick, this bounds a handover to some 36 KB a second."""
 
-SORTED_PER_TICK = 1000
-REPEAT_AFTER = 0.3
+ASSIGNED_PER_TICK = 1000
+REPEAT_AFTER_SECONDS = 0.3
 
 
 @dataclass(slots=True)
@@ -37,12 +37,12 @@
     sent_at: float
 
 
-class Handover:
+class RecordTransfer:
     """One run through the records of an agent.
 
     Parameters
     ----------
-    view : View
+    view : MembershipView
         Tells who is ready to take records.
     records : Records
         What is handed over; a record that changes is sent as it is then.
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        view: View,
+        view: MembershipView,
         records: Records,
         next_number: Callable[[], int],
         holders: int = 1,
@@ -71,14 +71,14 @@
     @property
     def done(self) -> bool:
         """Whether every record has been acknowledged, or nobody can take one."""
-        if not self._takers():
+        if not self._recipients():
             return True
         return not (self._waiting or self._due_by_peer or self._batches_by_number)
 
     @property
-    def has_takers(self) -> bool:
+    def has_recipients(self) -> bool:
         """Whether there is a ready member besides this agent."""
-        return bool(self._takers())
+        return bool(self._recipients())
 
     def acknowledged(self, now: float, sender: str, number: int) -> bool:
         """Note an acknowledgement; False if it isn't of this handover."""
@@ -95,35 +95,35 @@
 
     def send(self, now: float) -> list[SendPeer]:
         """Return what is to be sent now."""
-        self._retarget()
+        self._reassign()
         effects = []
         for number, batch in list(self._batches_by_number.items()):
-            if now - batch.sent_at >= REPEAT_AFTER:
+            if now - batch.sent_at >= REPEAT_AFTER_SECONDS:
                 effects += self._message(now, number, batch)
-        self._sort_out(now)
+        self._assign(now)
         for peer in list(self._due_by_peer):
             effects += self._send_to(now, peer)
         return effects
 
-    def _takers(self) -> list[str]:
+    def _recipients(self) -> list[str]:
         return [name for name in self._view.ready if name != self._view.name]
 
-    def _retarget(self) -> None:
-        takers = self._takers()
+    def _reassign(self) -> None:
+        recipients = self._recipients()
         for number, batch in list(self._batches_by_number.items()):
-            if batch.peer not in takers:
+            if batch.peer not in recipients:
                 self._waiting.extend(batch.keys)
                 del self._batches_by_number[number]
-        for peer in [peer for peer in self._due_by_peer if peer not in takers]:
+        for peer in [peer for peer in self._due_by_peer if peer not in recipients]:
             self._waiting.extend(self._due_by_peer.pop(peer))
 
-    def _sort_out(self, now: float) -> None:
-        for _ in range(min(len(self._waiting), SORTED_PER_TICK)):
+    def _assign(self, now: float) -> None:
+        for _ in range(min(len(self._waiting), ASSIGNED_PER_TICK)):
             key = self._waiting.popleft()
             record = self._records.get(now, key)
             if record is None or self._is_unused(record):
                 continue
-            for peer in self._targets(key, record):
+            for peer in self._missing_holders(key, record):
                 self._due_by_peer.setdefault(peer, []).append(key)
 
     def _is_unused(self, record: Record) -> bool:
@@ -131,7 +131,7 @@
         own = record.runner == self._view.name
         return own and record.state is ClaimState.GRANTED
 
-    def _targets(self, key: bytes, record: Record) -> Iterable[str]:
+    def _missing_holders(self, key: bytes, record: Record) -> Iterable[str]:
         """Return who has to take a record, so that enough members hold it."""
         view = self._view
         places = (
--- a/packages/zinniahook-core/src/zinniahook_core/views.py
+++ b/packages/zinniahook-core/src/zinniahook_core/views.py
@@ -2,7 +2,7 @@
 
 The owner of a claim is the best ready member for its key. When ownership
 moves, the new owner has no records, so it has to know whether an older claim
-may exist (``fresh``) and how many members may have died with all records of
+may exist (``may_have_moved``) and how many members may have died with all records of
 one (``losses``).
 """
 
@@ -17,9 +17,9 @@
 from .records import KEY_LIFETIME
 from .rendezvous import best, rank
 
-__all__ = ["View"]
+__all__ = ["MembershipView"]
 
-STALENESS = 30.0
+MAX_STALENESS_SECONDS = 30.0
 """A member may decide by a roster that is older than this agent's by so much."""
 
 HOLDING_STATES = (AgentState.READY, AgentState.LEAVING)
@@ -51,14 +51,14 @@
         return not (self.repairing or self.gone or was_alone)
 
 
-class Alone(NamedTuple):
+class LastAlone(NamedTuple):
     """When and under which revision a member was last seen alone."""
 
     at: float
     revision: int
 
 
-class View:
+class MembershipView:
     """The members of a service as one agent has seen them lately.
 
     Parameters
@@ -74,11 +74,11 @@
         self.members_by_name: dict[str, Member] = {}
         self.ready: tuple[str, ...] = ()
         self.live: tuple[str, ...] = ()
-        self._since = math.inf
-        self._seen_since = math.inf
+        self._observing_since = math.inf
+        self._first_roster_at = math.inf
         self._seen_by_name: dict[str, float] = {}
         self._losses: list[Loss] = []
-        self._alone_by_name: dict[str, Alone] = {}
+        self._alone_by_name: dict[str, LastAlone] = {}
         self._declared_by_name: dict[str, int] = {}
         self._ready_since_by_name: dict[str, float] = {}
 
@@ -86,8 +86,8 @@
         """Take a roster; False if it isn't newer than the one held."""
         if roster.revision <= self.revision:
             return False
-        self._since = min(self._since, now)
-        self._seen_since = min(self._seen_since, now)
+        self._observing_since = min(self._observing_since, now)
+        self._first_roster_at = min(self._first_roster_at, now)
         self._note_alone(now)
         former, self.members_by_name = self.members_by_name, dict(roster.by_name)
         self.revision = roster.revision
@@ -106,7 +106,7 @@
 
     def restart(self, now: float) -> None:
         """Start again: others may have been owners during a pause."""
-        self._since = now
+        self._observing_since = now
 
     def owner(self, key: bytes) -> str | None:
         """Return the name of the claim owner of ``key``."""
@@ -140,13 +140,13 @@
             return False
         return member.incarnation <= incarnation
 
-    def fresh(self, now: float, key: bytes) -> bool:
+    def may_have_moved(self, now: float, key: bytes) -> bool:
         """Tell whether another member may have owned ``key`` lately.
 
         Every member seen within the lifetime of a key counts, in whatever
         state: one that was ready only between two rosters seen here counts.
         """
-        if now - self._since < KEY_LIFETIME:
+        if now - self._observing_since < KEY_LIFETIME:
             return True
         seen = [
             name
@@ -188,7 +188,7 @@
 
     def covers(self, now: float, window: float) -> bool:
         """Tell whether no loss within ``window`` can have gone unseen here."""
-        return now - self._seen_since >= window
+        return now - self._first_roster_at >= window
 
     def declare(self, name: str, revision: int) -> None:
         """Note that all that ``name`` holds had two holders at ``revision``.
@@ -234,7 +234,7 @@
     def _note_alone(self, now: float) -> None:
         alone = self.ready or self._names(*HOLDING_STATES)
         if len(alone) == 1 or not self.ready:
-            seen = Alone(now, self.revision)
+            seen = LastAlone(now, self.revision)
             self._alone_by_name.update(dict.fromkeys(alone, seen))
 
     def _note_losses(self, now: float, former: dict[str, Member]) -> None:
@@ -256,7 +256,7 @@
             loss.gone |= {entry for entry in ids if entry[0] in loss.repairing}
             loss.repairing -= lost
         for name, incarnation in ids:
-            alone = self._alone_by_name.get(name, Alone(-math.inf, 0))
+            alone = self._alone_by_name.get(name, LastAlone(-math.inf, 0))
             gone = (ids | cut_short) - {(name, incarnation)}
             repairing = {*self.live, self.name} - lost
             loss = Loss(
@@ -311,6 +311,6 @@
     steady = [
         other
         for other, since in lost[name].items()
-        if other not in lost and since <= start - STALENESS
+        if other not in lost and since <= start - MAX_STALENESS_SECONDS
     ]
     return best(key, [*steady, name]) == name
--- a/packages/zinniahook-core/tests/core_clusters.py
+++ b/packages/zinniahook-core/tests/core_clusters.py
@@ -1,6 +1,6 @@
 """Agents, entries and callers on one fake clock and a bad network.
 
-What the cluster saw is kept in lists; ``broken`` judges them by the promises
+What the cluster saw is kept in lists; ``violated_promises`` judges them by the promises
 of the product.
 """
 
@@ -31,7 +31,7 @@
         self.cut = set()
         self.store = Store()
         self.nodes, self.violations = {}, []
-        self.executions, self.told, self.connections = [], [], []
+        self.executions, self.reported, self.connections = [], [], []
         self.owner_by_flow = {}
         self.delivered_at = {}
         self.flows_expected = True
@@ -282,19 +282,21 @@
                     found = f"{request.key} {request.attempt} unanswered at {node.name}"
                     self.violations.append(found)
 
-    def broken(self):
+    def violated_promises(self):
         """Return every violated promise so far."""
         found = list(self.violations)
         attempts_by_key = {}
         for execution in self.executions:
             attempts_by_key.setdefault(execution.key, []).append(execution.attempt)
         found += [f"{key} ran twice" for key, ran in attempts_by_key.items() if ran[1:]]
-        for told in self.told:
-            ran = attempts_by_key.get(told.key, ())
+        for outcome in self.reported:
+            ran = attempts_by_key.get(outcome.key, ())
             # Without a count a retry can't be told from a late copy.
-            counted = told.kind is OutcomeKind.NOT_RUN and told.attempt > 0
-            if counted and any(attempt <= told.attempt for attempt in ran):
-                found.append(f"{told.key} ran, though told not")
-            if told.kind is OutcomeKind.DONE and told.answer != answer_of(told.key):
-                found.append(f"{told.key} got another answer")
+            counted = outcome.kind is OutcomeKind.NOT_RUN and outcome.attempt > 0
+            if counted and any(attempt <= outcome.attempt for attempt in ran):
+                found.append(f"{outcome.key} ran, though told not")
+            if outcome.kind is OutcomeKind.DONE and outcome.answer != answer_of(
+                outcome.key
+            ):
+                found.append(f"{outcome.key} got another answer")
         return found
--- a/packages/zinniahook-core/tests/core_fakes.py
+++ b/packages/zinniahook-core/tests/core_fakes.py
@@ -170,7 +170,7 @@
             return
         if request.origin is None:
             told = Told(request.key, request.attempt, kind, answer)
-            self.cluster.told.append(told)
+            self.cluster.reported.append(told)
             return
         origin, at_origin = request.origin
         self.cluster.later(origin.relay_ended, at_origin, kind, answer)
--- a/packages/zinniahook-core/tests/core_rules.py
+++ b/packages/zinniahook-core/tests/core_rules.py
@@ -24,7 +24,7 @@
 any_service = st.sampled_from(tuple(AGENTS))
 
 
-class World(RuleBasedStateMachine):
+class ClusterMachine(RuleBasedStateMachine):
     """A cluster whose promises are checked after every step."""
 
     planned_only = True
@@ -38,7 +38,7 @@
 
     @invariant()
     def promises_hold(self):
-        broken = self.cluster.broken()
+        broken = self.cluster.violated_promises()
         assert not broken, broken
         cut = self.planned_only and self.cluster.restarts
         assert not cut, "a planned change cut every connection of an agent"
--- a/packages/zinniahook-core/tests/flow_networks.py
+++ b/packages/zinniahook-core/tests/flow_networks.py
@@ -145,9 +145,9 @@
         for name, flows in self.flows_by_name.items():
             if name not in self.dead:
                 self.apply(name, None, flows.tick(self.now))
-                self.beat(name, flows)
+                self.send_heartbeats(name, flows)
 
-    def beat(self, name, flows):
+    def send_heartbeats(self, name, flows):
         load = Load(4, 0, 0, flows.count, 0)
         sequence = round(self.now / TICK)
         heartbeat = Heartbeat(1, sequence, 1, load, flows.leaving)
--- a/packages/zinniahook-core/tests/test_agents.py
+++ b/packages/zinniahook-core/tests/test_agents.py
@@ -8,7 +8,7 @@
 from zinniahook_core import AgentCore, effects, events
 from zinniahook_core.codes import Code, OutcomeKind
 from zinniahook_core.models import Address, AgentState, Member
-from zinniahook_core.paths import ENTRIES_LIMIT, FLOWS_LIMIT, GIVEN_UP_TIME, Paths
+from zinniahook_core.paths import ENTRIES_LIMIT, FLOWS_LIMIT, GIVEN_UP_SECONDS, Paths
 
 ADDRESS = Address("10.1.0.1", 7000)
 
@@ -114,7 +114,7 @@
             cluster.request(connection, b"ticket %d" % number, 1)
         cluster.run(6.0)
         assert len(cluster.connections) == 5
-        assert [told.kind for told in cluster.told] == [OutcomeKind.DONE] * 5
+        assert [told.kind for told in cluster.reported] == [OutcomeKind.DONE] * 5
 
     def test_flows_of_a_dead_agent_are_opened_elsewhere(self):
         """Symptom: a feed is silent for as long as the store is down.
@@ -143,7 +143,7 @@
                 cluster.send(number)
             cluster.run(1.0)
         assert len(cluster.owner_by_flow) == kept + len(lost)
-        assert cluster.broken() == []
+        assert cluster.violated_promises() == []
 
 
 class TestLastAgent:
@@ -175,9 +175,9 @@
         for key in ran:
             cluster.request(at_staying[0], key, 2)
         cluster.run(10.0)
-        again = {told.kind for told in cluster.told if told.attempt == 2}
+        again = {told.kind for told in cluster.reported if told.attempt == 2}
         assert again == {OutcomeKind.UNKNOWN}
-        assert cluster.broken() == []
+        assert cluster.violated_promises() == []
 
 
 class TestLeaving:
@@ -198,11 +198,11 @@
         cluster.run(4.0)
         for connection in cluster.connections:
             if connection[1] == leaving.name:
-                name = b"%d" % len(cluster.told) + KEYLESS
+                name = b"%d" % len(cluster.reported) + KEYLESS
                 cluster.request(connection, name, 1)
                 cluster.run(2.0)
-        assert cluster.broken() == []
-        assert {told.kind for told in cluster.told} == {OutcomeKind.NOT_RUN}
+        assert cluster.violated_promises() == []
+        assert {told.kind for told in cluster.reported} == {OutcomeKind.NOT_RUN}
 
 
 class TestTombstones:
@@ -221,14 +221,14 @@
         for number in range(60):
             cluster.request(connection, b"ticket %d" % number, 2)
         cluster.run(0.5)
-        refused = [t.key for t in cluster.told if t.kind is OutcomeKind.NOT_RUN]
+        refused = [t.key for t in cluster.reported if t.kind is OutcomeKind.NOT_RUN]
         assert len(refused) > 10
         cluster.run(10.0)
         cluster.join("ledger")
         for number, key in enumerate(refused):
             cluster.request(connection, key, 1, delay=0.05 * number)
         cluster.run(15.0)
-        assert cluster.broken() == []
+        assert cluster.violated_promises() == []
 
 
 class TestCopies:
@@ -250,7 +250,7 @@
             mine = next(c for c in cluster.connections if c[1] == node.name)
             cluster.request(mine, b"ticket", number + 1)
         cluster.run(10.0)
-        assert [told.kind for told in cluster.told] == [OutcomeKind.DONE] * 2
+        assert [told.kind for told in cluster.reported] == [OutcomeKind.DONE] * 2
         assert len(cluster.executions) == 1
 
 
@@ -273,7 +273,7 @@
     def test_unknown_flow_uses_any_entry_heard(self):
         assert self.paths().for_flow(0.1, b"new") == self.ENTRIES[3]
         assert Paths(random.Random(1)).for_flow(0.1, b"new") is None
-        assert Paths(random.Random(1)).unanswered(0.1, b"new") is None
+        assert Paths(random.Random(1)).switch_entry(0.1, b"new") is None
 
     def test_entry_that_swallows_answers_is_left(self):
         """Symptom: a caller's feed falls silent while its packets arrive.
@@ -285,24 +285,24 @@
         paths = self.paths()
         bad = self.ENTRIES[0]
         paths.heard(0.1, bad, b"flow")
-        chosen = paths.unanswered(0.5, b"flow")
+        chosen = paths.switch_entry(0.5, b"flow")
         assert chosen != bad
         paths.heard(0.6, bad, b"flow")
         assert paths.for_flow(0.7, b"flow") == chosen
-        later = 0.6 + GIVEN_UP_TIME
+        later = 0.6 + GIVEN_UP_SECONDS
         paths.heard(later, bad, b"flow")
         assert paths.for_flow(later, b"flow") == bad
 
     def test_every_entry_is_tried_in_turn(self):
         paths = self.paths()
-        tried = [paths.unanswered(0.1 * turn, b"flow") for turn in range(3)]
+        tried = [paths.switch_entry(0.1 * turn, b"flow") for turn in range(3)]
         assert set(tried) == set(self.ENTRIES[:3])
-        assert paths.unanswered(0.5, b"flow") == self.ENTRIES[3]
+        assert paths.switch_entry(0.5, b"flow") == self.ENTRIES[3]
 
     def test_entry_not_heard_lately_is_no_choice(self):
         paths = self.paths(now=0.0)
         paths.heard(60.0, self.ENTRIES[0], b"flow")
-        assert paths.unanswered(60.1, b"flow") == self.ENTRIES[0]
+        assert paths.switch_entry(60.1, b"flow") == self.ENTRIES[0]
 
     def test_memory_is_bounded(self):
         paths = Paths(random.Random(1))
--- a/packages/zinniahook-core/tests/test_claims.py
+++ b/packages/zinniahook-core/tests/test_claims.py
@@ -443,7 +443,7 @@
         super().__init__(*arguments)
         self.claims.view.owner = lambda key: self.claims._name
         self.claims.view.partners = lambda key: []
-        self.claims.view.fresh = lambda now, key: False
+        self.claims.view.may_have_moved = lambda now, key: False
 
 
 class WithoutLookups(Requests):
@@ -451,7 +451,7 @@
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
-        self.claims.view.fresh = lambda now, key: False
+        self.claims.view.may_have_moved = lambda now, key: False
 
 
 class TestUnderFaults:
--- a/packages/zinniahook-core/tests/test_flow_changes.py
+++ b/packages/zinniahook-core/tests/test_flow_changes.py
@@ -81,7 +81,7 @@
     def test_without_overlap_windows_the_check_fails(self, monkeypatch):
         """The check above can fail: here a new home never asks."""
         monkeypatch.setattr(
-            "zinniahook_core.homes.Homes.was_elsewhere", lambda *arguments: False
+            "zinniahook_core.homes.Homes.had_other_home", lambda *arguments: False
         )
         network = Network(1, 4)
         owners = network.open(COUNT)
--- a/packages/zinniahook-core/tests/test_flows.py
+++ b/packages/zinniahook-core/tests/test_flows.py
@@ -1,7 +1,6 @@
 """One agent's flows: datagrams, openings and pointers."""
 
 from flow_networks import ENTRY, Fixture, caller, member
-from zinniahook_core.asks import HELD_FLOWS, HELD_PACKETS
 from zinniahook_core.codes import Code
 from zinniahook_core.effects import (
     AcceptFlow,
@@ -17,44 +16,45 @@
 from zinniahook_core.messages import FlowAnswer, FlowAsk, FlowPointers, Heartbeat
 from zinniahook_core.models import Load
 from zinniahook_core.pointers import Pointer, Pointers
+from zinniahook_core.queries import MAX_HELD_FLOWS, MAX_HELD_PACKETS
 from zinniahook_core.routing import flow_key
 
 
 class TestDatagrams:
     def test_a_home_of_long_standing_opens_at_once(self):
-        one = Fixture()
-        number = one.number_at("a-0")
-        effects = one.datagram(100.0, number)
+        agent = Fixture()
+        number = agent.number_at("a-0")
+        effects = agent.datagram(100.0, number)
         assert AcceptFlow(flow_key(caller(number))) in effects
         assert any(isinstance(effect, Deliver) for effect in effects)
 
     def test_a_home_that_has_just_started_asks_first(self):
-        one = Fixture()
-        number = one.number_at("a-0")
-        asks = [e for e in one.datagram(1.0, number) if isinstance(e, SendPeer)]
+        agent = Fixture()
+        number = agent.number_at("a-0")
+        asks = [e for e in agent.datagram(1.0, number) if isinstance(e, SendPeer)]
         assert {ask.peer for ask in asks} == {"a-1", "a-2"}
         flow = flow_key(caller(number))
         ask = asks[0].message
-        assert one.flows.peer(1.0, "a-1", FlowAnswer(ask.number, flow, "")) == []
-        effects = one.flows.peer(1.0, "a-2", FlowAnswer(ask.number, flow, "a-2"))
+        assert agent.flows.peer(1.0, "a-1", FlowAnswer(ask.number, flow, "")) == []
+        effects = agent.flows.peer(1.0, "a-2", FlowAnswer(ask.number, flow, "a-2"))
         forward = ForwardDatagram("a-2", caller(number), ENTRY, b"x", 1)
         assert effects == [forward]
 
     def test_asks_are_repeated_and_time_out(self):
-        one = Fixture()
-        number = one.number_at("a-0")
-        one.datagram(1.0, number)
-        again = [e for e in one.flows.tick(1.15) if isinstance(e, SendPeer)]
+        agent = Fixture()
+        number = agent.number_at("a-0")
+        agent.datagram(1.0, number)
+        again = [e for e in agent.flows.tick(1.15) if isinstance(e, SendPeer)]
         assert len(again) == 2
-        effects = one.flows.tick(1.6)
+        effects = agent.flows.tick(1.6)
         assert Deliver(flow_key(caller(number)), caller(number), ENTRY, b"x") in effects
 
     def test_a_late_answer_to_an_older_ask_is_ignored(self):
-        one = Fixture()
-        number = one.number_at("a-0")
-        one.datagram(1.0, number)
+        agent = Fixture()
+        number = agent.number_at("a-0")
+        agent.datagram(1.0, number)
         flow = flow_key(caller(number))
-        assert one.flows.peer(1.0, "a-1", FlowAnswer(99, flow, "a-1")) == []
+        assert agent.flows.peer(1.0, "a-1", FlowAnswer(99, flow, "a-1")) == []
 
     def test_hops_are_bounded(self):
         """Two agents passed one packet to and fro for ever.
@@ -62,90 +62,92 @@
         Symptom: the traffic between two agents grows without any caller.
         Cause: each holds a pointer to the other.
         """
-        one = Fixture()
-        number = one.number_at("a-1")
+        agent = Fixture()
+        number = agent.number_at("a-1")
         flow = flow_key(caller(number))
-        one.flows.peer(0.0, "a-1", FlowPointers("a-1", 1, (flow,)))
-        assert len(one.datagram(0.0, number, hops=HOP_LIMIT - 1)) == 1
-        assert one.datagram(0.0, number, hops=HOP_LIMIT) == [Drop(Code.HOP_LIMIT)]
+        agent.flows.peer(0.0, "a-1", FlowPointers("a-1", 1, (flow,)))
+        assert len(agent.datagram(0.0, number, hops=HOP_LIMIT - 1)) == 1
+        assert agent.datagram(0.0, number, hops=HOP_LIMIT) == [Drop(Code.HOP_LIMIT)]
 
     def test_held_packets_are_bounded(self):
-        one = Fixture()
-        number = one.number_at("a-0")
-        for _ in range(HELD_PACKETS):
-            assert Drop(Code.FLOW_LIMIT) not in one.datagram(1.0, number)
-        assert one.datagram(1.0, number) == [Drop(Code.FLOW_LIMIT)]
+        agent = Fixture()
+        number = agent.number_at("a-0")
+        for _ in range(MAX_HELD_PACKETS):
+            assert Drop(Code.FLOW_LIMIT) not in agent.datagram(1.0, number)
+        assert agent.datagram(1.0, number) == [Drop(Code.FLOW_LIMIT)]
         dropped = sum(
-            Drop(Code.FLOW_LIMIT) in one.datagram(1.0, 1000 + n)
-            for n in range(HELD_FLOWS * 2)
+            Drop(Code.FLOW_LIMIT) in agent.datagram(1.0, 1000 + n)
+            for n in range(MAX_HELD_FLOWS * 2)
         )
-        assert dropped >= HELD_FLOWS
+        assert dropped >= MAX_HELD_FLOWS
 
     def test_an_idle_flow_ends_and_an_answered_one_does_not(self):
-        one = Fixture()
+        agent = Fixture()
         first, second = 1, 2
-        one.datagram(0.0, first, handed_by="a-1")
-        one.datagram(0.0, second, handed_by="a-1")
-        one.flows.answered(20.0, flow_key(caller(second)))
-        ended = [e for e in one.flows.tick(31.0) if isinstance(e, EndFlow)]
+        agent.datagram(0.0, first, handed_by="a-1")
+        agent.datagram(0.0, second, handed_by="a-1")
+        agent.flows.answered(20.0, flow_key(caller(second)))
+        ended = [e for e in agent.flows.tick(31.0) if isinstance(e, EndFlow)]
         assert ended == [EndFlow(flow_key(caller(first)))]
-        assert one.flows.count == 1
+        assert agent.flows.count == 1
 
     def test_a_leaving_home_refuses_when_nobody_is_ready(self):
-        one = Fixture(names=("a-0",))
-        one.flows.leave()
-        assert one.datagram(100.0, 1) == [Drop(Code.LEAVING)]
+        agent = Fixture(names=("a-0",))
+        agent.flows.leave()
+        assert agent.datagram(100.0, 1) == [Drop(Code.LEAVING)]
 
     def test_answers_name_the_owner(self):
-        one = Fixture()
-        one.datagram(0.0, 1, handed_by="a-1")
+        agent = Fixture()
+        agent.datagram(0.0, 1, handed_by="a-1")
         flow = flow_key(caller(1))
-        answer = one.flows.peer(0.0, "a-2", FlowAsk(5, flow))
+        answer = agent.flows.peer(0.0, "a-2", FlowAsk(5, flow))
         assert answer == [SendPeer("a-2", FlowAnswer(5, flow, "a-0"))]
 
     def test_pointers_of_a_former_incarnation_are_void(self):
-        one = Fixture()
+        agent = Fixture()
         flow = flow_key(caller(1))
-        one.members[1] = member("a-1", incarnation=3)
-        one.learn(0.0, 2)
-        assert one.flows.peer(0.0, "a-1", FlowPointers("a-1", 2, (flow,))) == []
+        agent.members[1] = member("a-1", incarnation=3)
+        agent.learn(0.0, 2)
+        assert agent.flows.peer(0.0, "a-1", FlowPointers("a-1", 2, (flow,))) == []
 
 
 class TestOpenings:
     def busy(self):
-        one = Fixture(load=Load(4, 4, 3, 900, 0))
+        agent = Fixture(load=Load(4, 4, 3, 900, 0))
         for sequence in range(2):
             for name in ("a-1", "a-2"):
                 beat = Heartbeat(1, sequence, 1, Load(4, 0, 0, 100, 0))
-                one.placement.heartbeat(50.0, name, beat)
-        return one
+                agent.placement.heartbeat(50.0, name, beat)
+        return agent
 
     def test_a_loaded_agent_hands_over_and_sticks_to_its_choice(self):
-        one = self.busy()
-        first = one.flows.opening(50.0, FlowOpening("feed", b"12345678", caller(1)))
+        agent = self.busy()
+        first = agent.flows.opening(50.0, FlowOpening("feed", b"12345678", caller(1)))
         assert isinstance(first[0], HandOver)
         for _ in range(20):
-            again = one.flows.opening(50.1, FlowOpening("feed", b"12345678", caller(1)))
+            again = agent.flows.opening(
+                50.1, FlowOpening("feed", b"12345678", caller(1))
+            )
             assert again == [first[0]]
 
     def test_what_was_handed_over_is_taken(self):
-        one = self.busy()
+        agent = self.busy()
         event = FlowOpening("feed", b"12345678", caller(1), handed_by="a-1")
-        assert one.flows.opening(50.0, event)[0] == AcceptFlow(b"12345678")
+        assert agent.flows.opening(50.0, event)[0] == AcceptFlow(b"12345678")
 
     def test_a_leaving_agent_takes_no_opening(self):
-        one = Fixture(names=("a-0",))
-        one.flows.leave()
+        agent = Fixture(names=("a-0",))
+        agent.flows.leave()
         event = FlowOpening("feed", b"12345678", caller(1))
-        assert one.flows.opening(0.0, event) == [Drop(Code.LEAVING)]
+        assert agent.flows.opening(0.0, event) == [Drop(Code.LEAVING)]
 
     def test_a_closed_flow_is_no_longer_counted(self):
-        one = Fixture()
+        agent = Fixture()
         event = FlowOpening("feed", b"12345678", caller(1), handed_by="a-1")
-        one.flows.opening(0.0, event)
-        assert one.flows.count == 1
-        assert one.flows.closed(b"12345678") == []
-        assert one.flows.count == 0
+        agent.flows.opening(0.0, event)
+        assert agent.flows.count == 1
+        assert agent.flows.closed(b"12345678") == []
+        assert agent.flows.count == 0
 
 
 class TestPointers:
--- a/packages/zinniahook-core/tests/test_lookups.py
+++ b/packages/zinniahook-core/tests/test_lookups.py
@@ -3,7 +3,12 @@
 import itertools
 
 from zinniahook_core.claims import Claims
-from zinniahook_core.lookups import PATIENCE, SILENT_PATIENCE, Lookup, Lookups
+from zinniahook_core.lookups import (
+    LOOKUP_TIMEOUT_SECONDS,
+    SILENT_TIMEOUT_SECONDS,
+    Lookup,
+    Lookups,
+)
 from zinniahook_core.messages import ClaimAnswer, ClaimAsk, ClaimIntent, ClaimState
 from zinniahook_core.models import Address, AgentState, Member, Roster
 from zinniahook_core.records import refused
@@ -32,37 +37,37 @@
         key = b"key-%d" % number
         item = lookup(number, key, at)
         assert lookups.begin(item)
-        assert lookups.take("live", none(number, key)) is None
+        assert lookups.add_answer("live", none(number, key)) is None
         return item
 
     def test_only_the_first_lookup_waits_long(self):
         lookups = Lookups()
         first = self.look(lookups, 1, 0.0)
-        assert lookups.overdue(SILENT_PATIENCE) == []
-        assert lookups.overdue(PATIENCE) == [first]
+        assert lookups.overdue(SILENT_TIMEOUT_SECONDS) == []
+        assert lookups.overdue(LOOKUP_TIMEOUT_SECONDS) == [first]
         lookups.end(first)
         second = self.look(lookups, 2, 1.0)
-        assert lookups.overdue(1.0 + SILENT_PATIENCE / 2) == []
-        assert lookups.overdue(1.0 + SILENT_PATIENCE) == [second]
+        assert lookups.overdue(1.0 + SILENT_TIMEOUT_SECONDS / 2) == []
+        assert lookups.overdue(1.0 + SILENT_TIMEOUT_SECONDS) == [second]
 
     def test_a_member_that_speaks_again_is_waited_for(self):
         lookups = Lookups()
         first = self.look(lookups, 1, 0.0)
-        assert lookups.overdue(PATIENCE) == [first]
+        assert lookups.overdue(LOOKUP_TIMEOUT_SECONDS) == [first]
         lookups.end(first)
-        lookups.take("dead", none(1, b"key-1"))
+        lookups.add_answer("dead", none(1, b"key-1"))
         second = self.look(lookups, 2, 1.0)
-        assert lookups.overdue(1.0 + SILENT_PATIENCE) == []
-        assert lookups.overdue(1.0 + PATIENCE) == [second]
+        assert lookups.overdue(1.0 + SILENT_TIMEOUT_SECONDS) == []
+        assert lookups.overdue(1.0 + LOOKUP_TIMEOUT_SECONDS) == [second]
 
     def test_another_member_is_still_waited_for(self):
         lookups = Lookups()
         first = self.look(lookups, 1, 0.0)
-        assert lookups.overdue(PATIENCE) == [first]
+        assert lookups.overdue(LOOKUP_TIMEOUT_SECONDS) == [first]
         lookups.end(first)
         second = lookup(2, b"key-2", 1.0)
         lookups.begin(second)
-        assert lookups.overdue(1.0 + SILENT_PATIENCE) == []
+        assert lookups.overdue(1.0 + SILENT_TIMEOUT_SECONDS) == []
 
 
 class TestOwnDecision:
--- a/packages/zinniahook-core/tests/test_machine.py
+++ b/packages/zinniahook-core/tests/test_machine.py
@@ -5,7 +5,7 @@
 """
 
 import pytest
-from core_rules import Callers, Flows, Planned, Unplanned, World
+from core_rules import Callers, ClusterMachine, Flows, Planned, Unplanned
 from hypothesis import HealthCheck, Phase, Verbosity, settings
 from hypothesis.stateful import run_state_machine_as_test
 from zinniahook_core import (
@@ -30,32 +30,32 @@
 )
 
 
-class Faults(Callers, Flows, Planned, Unplanned, World):
+class Faults(Callers, Flows, Planned, Unplanned, ClusterMachine):
     """Everything at once."""
 
     planned_only = False
 
 
-class Requests(Callers, Planned, World):
+class Requests(Callers, Planned, ClusterMachine):
     """Requests under planned changes."""
 
 
-class Overload(Callers, World):
+class Overload(Callers, ClusterMachine):
     """More requests than the targets take."""
 
 
-class Copies(World):
+class Copies(ClusterMachine):
     """A few requests, each in several copies."""
 
     file_request = Callers.file_request
     retry = Callers.retry
 
 
-class FlowsUnderChange(Flows, Planned, World):
+class FlowsUnderChange(Flows, Planned, ClusterMachine):
     """Established flows under planned changes."""
 
 
-class FlowsUnderDrain(World):
+class FlowsUnderDrain(ClusterMachine):
     """Established flows while agents leave and entries are replaced."""
 
     send_on_flows = Flows.send_on_flows
@@ -129,7 +129,7 @@
     return False
 
 
-def tell_nobody(self, now, incarnation):
+def send_no_pointers(self, now, incarnation):
     """Leave the new home of a flow without a pointer to its owner."""
     return []
 
@@ -177,8 +177,8 @@
         self.catches("generation went down")
 
     def test_flow_lost_to_a_planned_change(self, monkeypatch):
-        monkeypatch.setattr(homes.Homes, "was_elsewhere", never)
-        monkeypatch.setattr(owners.OwnedFlows, "messages", tell_nobody)
+        monkeypatch.setattr(homes.Homes, "had_other_home", never)
+        monkeypatch.setattr(owners.OwnedFlows, "messages", send_no_pointers)
         self.catches("flow moved", FlowsUnderChange)
 
     def test_flow_dropped_by_a_leaving_agent(self, monkeypatch):
--- a/packages/zinniahook-core/tests/test_membership.py
+++ b/packages/zinniahook-core/tests/test_membership.py
@@ -8,7 +8,7 @@
 from core_fakes import Store
 from zinniahook_core import effects, events
 from zinniahook_core.codes import Code
-from zinniahook_core.membership import DOWN_RETENTION, MEMBERS_LIMIT, Membership
+from zinniahook_core.membership import DOWN_RETENTION_SECONDS, MEMBERS_LIMIT, Membership
 from zinniahook_core.messages import Heartbeat
 from zinniahook_core.models import Address, AgentState, Load, Member, Roster
 
@@ -197,7 +197,7 @@
         now = tick / 10
         mark = only(found, effects.WriteRoster)
         assert mark.roster.by_name["b"].state is AgentState.DOWN
-        core.hear(now, "b", Heartbeat(1, 1, 1, Load(4, 0, 0, 0, 0)))
+        core.note_heartbeat(now, "b", Heartbeat(1, 1, 1, Load(4, 0, 0, 0, 0)))
         newer = core.roster._replace(revision=9)
         conflict = events.RosterWritten(mark.operation, Code.CONFLICT, newer)
         core.written(now + 0.1, conflict)
@@ -259,7 +259,7 @@
         cluster = Cluster(7, {"tally": 3})
         dead = cluster.live("tally")[0]
         dead.stop()
-        cluster.run(10.0 + DOWN_RETENTION)
+        cluster.run(10.0 + DOWN_RETENTION_SECONDS)
         assert dead.name in states(cluster)
         cluster.drain(cluster.live("tally")[0])
         cluster.run(2.0)
@@ -386,7 +386,7 @@
         assert not node.core.membership.accepting
         cluster.run(0.5)
         for other in others:
-            assert node.name not in other.core.membership.taking(cluster.now)
+            assert node.name not in other.core.membership.accepting_members(cluster.now)
         cluster.run(5.0)
         assert not node.alive
         assert node.name not in states(cluster)
@@ -403,7 +403,7 @@
         cluster.drain(node, seconds=10.0)
         cluster.run(1.0)
         for other in others:
-            assert node.name not in other.core.membership.taking(cluster.now)
+            assert node.name not in other.core.membership.accepting_members(cluster.now)
         cluster.run(10.0)
         assert not node.alive
         cluster.set_store(down=False)
--- a/packages/zinniahook-core/tests/test_placement.py
+++ b/packages/zinniahook-core/tests/test_placement.py
@@ -14,7 +14,12 @@
     Roster,
     Service,
 )
-from zinniahook_core.placement import REPORT_AGE, Health, Placement, coldness
+from zinniahook_core.placement import (
+    REPORT_MAX_AGE_SECONDS,
+    Health,
+    Placement,
+    coldness,
+)
 
 NOWHERE = Address("127.0.0.1", 1)
 IDLE = Load(4, 0, 0, 0, 0)
@@ -26,33 +31,33 @@
 
 
 def placement(*peers):
-    one = Placement("own", random.Random(1))
+    chooser = Placement("own", random.Random(1))
     members = [member("own"), *peers]
-    one.roster(0.0, Roster("tally", 1, {item.name: item for item in members}))
-    return one
+    chooser.roster(0.0, Roster("tally", 1, {item.name: item for item in members}))
+    return chooser
 
 
-def beat(one, now, name, load, sequence=1, incarnation=1, leaving=False):
+def report(chooser, now, name, load, sequence=1, incarnation=1, leaving=False):
     heartbeat = Heartbeat(incarnation, sequence, 1, load, leaving)
-    one.heartbeat(now, name, heartbeat)
+    chooser.heartbeat(now, name, heartbeat)
 
 
-def chosen(one, now, local, times=200, slots=1):
-    return Counter(one.choose_for_request(now, slots, local) for _ in range(times))
+def chosen(chooser, now, local, times=200, slots=1):
+    return Counter(chooser.choose_for_request(now, slots, local) for _ in range(times))
 
 
 class TestRequests:
     def test_a_full_agent_uses_an_idle_peer_and_an_idle_one_itself(self):
-        one = placement(member("a"), member("b"))
-        beat(one, 0.0, "a", IDLE)
-        beat(one, 0.0, "b", FULL)
-        assert one.choose_for_request(0.1, 1, FULL) == "a"
-        assert one.choose_for_request(0.1, 1, IDLE) is None
+        chooser = placement(member("a"), member("b"))
+        report(chooser, 0.0, "a", IDLE)
+        report(chooser, 0.0, "b", FULL)
+        assert chooser.choose_for_request(0.1, 1, FULL) == "a"
+        assert chooser.choose_for_request(0.1, 1, IDLE) is None
 
     def test_no_gain_no_handing_over(self):
-        one = placement(member("a"))
-        beat(one, 0.0, "a", Load(4, 3, 0, 0, 0))
-        assert one.choose_for_request(0.0, 1, Load(4, 3, 0, 0, 0)) is None
+        chooser = placement(member("a"))
+        report(chooser, 0.0, "a", Load(4, 3, 0, 0, 0))
+        assert chooser.choose_for_request(0.0, 1, Load(4, 3, 0, 0, 0)) is None
 
     def test_old_reports_are_not_used(self):
         """A full agent handed work to a peer that had died.
@@ -61,17 +66,17 @@
         Sequence: the peer reports that it is idle, and dies.
         Cause: the last report, however old, was taken for the present.
         """
-        one = placement(member("a"))
-        beat(one, 0.0, "a", IDLE)
-        assert one.choose_for_request(REPORT_AGE, 1, FULL) == "a"
-        assert one.choose_for_request(REPORT_AGE + 0.1, 1, FULL) is None
+        chooser = placement(member("a"))
+        report(chooser, 0.0, "a", IDLE)
+        assert chooser.choose_for_request(REPORT_MAX_AGE_SECONDS, 1, FULL) == "a"
+        assert chooser.choose_for_request(REPORT_MAX_AGE_SECONDS + 0.1, 1, FULL) is None
 
     def test_a_doubled_or_late_report_is_not_fresh(self):
-        one = placement(member("a"))
-        beat(one, 0.0, "a", IDLE, sequence=5)
-        beat(one, 4.0, "a", IDLE, sequence=5)
-        beat(one, 4.0, "a", IDLE, sequence=4)
-        assert one.choose_for_request(4.0, 1, FULL) is None
+        chooser = placement(member("a"))
+        report(chooser, 0.0, "a", IDLE, sequence=5)
+        report(chooser, 4.0, "a", IDLE, sequence=5)
+        report(chooser, 4.0, "a", IDLE, sequence=4)
+        assert chooser.choose_for_request(4.0, 1, FULL) is None
 
     def test_what_was_handed_since_the_report_counts(self):
         """A whole burst went to the one peer that had reported to be idle.
@@ -80,35 +85,35 @@
         Sequence: a burst arrives between two heartbeats.
         Cause: choosing by the report alone until the next one.
         """
-        one = placement(member("a"), member("b"))
-        beat(one, 0.0, "a", IDLE)
-        beat(one, 0.0, "b", Load(4, 1, 0, 0, 0))
+        chooser = placement(member("a"), member("b"))
+        report(chooser, 0.0, "a", IDLE)
+        report(chooser, 0.0, "b", Load(4, 1, 0, 0, 0))
         taken = Counter()
         for _ in range(8):
-            peer = one.choose_for_request(0.1, 1, FULL)
-            one.handed(0.1, peer)
+            peer = chooser.choose_for_request(0.1, 1, FULL)
+            chooser.handed(0.1, peer)
             taken[peer] += 1
         assert abs(taken["a"] - taken["b"]) <= 2
 
     def test_a_new_report_replaces_what_was_handed_but_not_what_is_in_flight(self):
-        one = placement(member("a"))
-        beat(one, 0.0, "a", IDLE)
+        chooser = placement(member("a"))
+        report(chooser, 0.0, "a", IDLE)
         for _ in range(20):
-            one.handed(0.5, "a")
-        assert one.choose_for_request(0.5, 1, FULL) is None
-        beat(one, 0.505, "a", IDLE, sequence=2)
-        assert one.choose_for_request(0.51, 1, FULL) is None
-        beat(one, 1.5, "a", IDLE, sequence=3)
-        assert one.choose_for_request(1.5, 1, FULL) == "a"
+            chooser.handed(0.5, "a")
+        assert chooser.choose_for_request(0.5, 1, FULL) is None
+        report(chooser, 0.505, "a", IDLE, sequence=2)
+        assert chooser.choose_for_request(0.51, 1, FULL) is None
+        report(chooser, 1.5, "a", IDLE, sequence=3)
+        assert chooser.choose_for_request(1.5, 1, FULL) == "a"
 
     def test_work_is_weighed_by_slots(self):
-        one = placement(member("big", slots=16), member("small", slots=2))
-        beat(one, 0.0, "big", Load(16, 8, 0, 0, 0))
-        beat(one, 0.0, "small", Load(2, 2, 0, 0, 0))
-        assert chosen(one, 0.0, FULL) == {"big": 200}
+        chooser = placement(member("big", slots=16), member("small", slots=2))
+        report(chooser, 0.0, "big", Load(16, 8, 0, 0, 0))
+        report(chooser, 0.0, "small", Load(2, 2, 0, 0, 0))
+        assert chosen(chooser, 0.0, FULL) == {"big": 200}
 
     def test_only_ready_peers_that_are_not_leaving(self):
-        one = placement(
+        chooser = placement(
             member("starting", state=AgentState.STARTING),
             member("leaving", state=AgentState.LEAVING),
             member("down", state=AgentState.DOWN),
@@ -116,21 +121,21 @@
             member("ready"),
         )
         for name in ("starting", "leaving", "down", "ready"):
-            beat(one, 0.0, name, IDLE)
-        beat(one, 0.0, "parting", IDLE, leaving=True)
-        assert chosen(one, 0.0, FULL) == {"ready": 200}
+            report(chooser, 0.0, name, IDLE)
+        report(chooser, 0.0, "parting", IDLE, leaving=True)
+        assert chosen(chooser, 0.0, FULL) == {"ready": 200}
 
     def test_forced_takes_any_ready_peer(self):
-        one = placement(member("a"))
-        assert one.choose_for_request(0.0, 1, IDLE, forced=True) == "a"
+        chooser = placement(member("a"))
+        assert chooser.choose_for_request(0.0, 1, IDLE, forced=True) == "a"
         assert placement().choose_for_request(0.0, 1, IDLE, forced=True) is None
 
     def test_streams_are_weighed_by_streams(self):
-        one = placement(member("a"), member("b"))
-        beat(one, 0.0, "a", Load(4, 4, 0, 0, 10))
-        beat(one, 0.0, "b", Load(4, 0, 0, 0, 300))
+        chooser = placement(member("a"), member("b"))
+        report(chooser, 0.0, "a", Load(4, 4, 0, 0, 10))
+        report(chooser, 0.0, "b", Load(4, 0, 0, 0, 300))
         local = Load(4, 0, 0, 0, 300)
-        assert chosen(one, 0.0, local, slots=0) == {"a": 200}
+        assert chosen(chooser, 0.0, local, slots=0) == {"a": 200}
 
 
 class TestFlows:
@@ -142,15 +147,15 @@
         Cause: neither a margin nor a count of what was handed since.
         """
         flows = {"own": 400, "a": 100}
-        one = placement(member("a"))
+        chooser = placement(member("a"))
         for second in range(20):
-            beat(one, second, "a", Load(4, 0, 0, flows["a"], 0), sequence=second)
+            report(chooser, second, "a", Load(4, 0, 0, flows["a"], 0), sequence=second)
             for step in range(100):
                 local = Load(4, 0, 0, flows["own"], 0)
                 now = second + step / 100
-                peer = one.choose_for_flow(now, local)
+                peer = chooser.choose_for_flow(now, local)
                 if peer:
-                    one.handed(now, peer, slots=0, flows=1)
+                    chooser.handed(now, peer, slots=0, flows=1)
                 flows[peer or "own"] += 1
         assert abs(flows["own"] - flows["a"]) < 0.1 * flows["own"]
 
@@ -161,33 +166,33 @@
         Sequence: it joins with no flows, so every peer's openings go to it.
         Cause: its slots counted in full while its caches were empty.
         """
-        one = placement(member("a"))
+        chooser = placement(member("a"))
         local = Load(4, 2, 0, 100, 0)
-        beat(one, 0.0, "a", Load(4, 0, 0, 30, 0, cold=1.0))
-        assert one.choose_for_flow(0.0, local) is None
-        beat(one, 1.0, "a", Load(4, 0, 0, 30, 0), sequence=2)
-        assert one.choose_for_flow(1.0, local) == "a"
+        report(chooser, 0.0, "a", Load(4, 0, 0, 30, 0, cold=1.0))
+        assert chooser.choose_for_flow(0.0, local) is None
+        report(chooser, 1.0, "a", Load(4, 0, 0, 30, 0), sequence=2)
+        assert chooser.choose_for_flow(1.0, local) == "a"
         assert coldness(0.0, 0.0) == 1.0
         assert coldness(1000.0, 0.0) == 0.0
 
     def test_a_member_that_the_configuration_excludes_is_not_chosen(self):
-        one = placement(member("a"), member("b"))
+        chooser = placement(member("a"), member("b"))
         service = Service("tally", 1, NOWHERE, Protocol.QUIC, targets=("own", "b"))
-        one.configure(service)
+        chooser.configure(service)
         for name in ("a", "b"):
-            beat(one, 0.0, name, IDLE)
-        assert chosen(one, 0.0, FULL) == {"b": 200}
+            report(chooser, 0.0, name, IDLE)
+        assert chosen(chooser, 0.0, FULL) == {"b": 200}
 
     def test_a_new_incarnation_starts_without_a_report(self):
-        one = placement(member("a"))
-        beat(one, 0.0, "a", IDLE, sequence=9)
+        chooser = placement(member("a"))
+        report(chooser, 0.0, "a", IDLE, sequence=9)
         again = Roster("tally", 2, {"a": member("a", incarnation=2)})
-        one.roster(0.5, again)
-        assert one.choose_for_request(0.5, 1, FULL) is None
-        beat(one, 0.6, "a", IDLE, sequence=10, incarnation=1)
-        assert one.choose_for_request(0.6, 1, FULL) is None
-        beat(one, 0.7, "a", IDLE, sequence=1, incarnation=2)
-        assert one.choose_for_request(0.7, 1, FULL) == "a"
+        chooser.roster(0.5, again)
+        assert chooser.choose_for_request(0.5, 1, FULL) is None
+        report(chooser, 0.6, "a", IDLE, sequence=10, incarnation=1)
+        assert chooser.choose_for_request(0.6, 1, FULL) is None
+        report(chooser, 0.7, "a", IDLE, sequence=1, incarnation=2)
+        assert chooser.choose_for_request(0.7, 1, FULL) == "a"
 
 
 class TestHealth:
@@ -205,18 +210,18 @@
             failing.health.reported(number / 10, TargetReported(True, IDLE))
         load = failing.reported(3.0, IDLE)
         assert load.slots == 0
-        one = placement(member("a"), member("b"))
-        beat(one, 3.0, "a", load)
-        beat(one, 3.0, "b", Load(4, 3, 0, 0, 0))
-        assert chosen(one, 3.0, FULL) == {"b": 200}
+        chooser = placement(member("a"), member("b"))
+        report(chooser, 3.0, "a", load)
+        report(chooser, 3.0, "b", Load(4, 3, 0, 0, 0))
+        assert chosen(chooser, 3.0, FULL) == {"b": 200}
 
     def test_its_own_agent_passes_work_on(self):
-        one = placement(member("a"))
-        beat(one, 3.0, "a", Load(4, 2, 0, 0, 0))
-        assert one.choose_for_request(3.0, 1, IDLE) is None
+        chooser = placement(member("a"))
+        report(chooser, 3.0, "a", Load(4, 2, 0, 0, 0))
+        assert chooser.choose_for_request(3.0, 1, IDLE) is None
         for _ in range(20):
-            one.health.finished(3.0, True)
-        assert one.choose_for_request(3.0, 1, IDLE) == "a"
+            chooser.health.finished(3.0, True)
+        assert chooser.choose_for_request(3.0, 1, IDLE) == "a"
 
     def test_a_false_alarm_changes_nothing(self):
         """A target that cried wolf never got work again.
--- a/packages/zinniahook-core/tests/test_routing.py
+++ b/packages/zinniahook-core/tests/test_routing.py
@@ -129,7 +129,7 @@
             ids.encode(Owner(7, Address("::1", 7000), 1))
 
     def test_memo_is_bounded(self, monkeypatch):
-        monkeypatch.setattr("zinniahook_core.routing.MEMO_SIZE", 64)
+        monkeypatch.setattr("zinniahook_core.routing.OWNER_CACHE_SIZE", 64)
         ids = ConnectionIds(KEYS, 1, random.Random(1))
         for port in range(1000):
             owner = Owner(7, Address("10.1.7.1", port), 1)
--- a/packages/zinniahook-core/tests/test_shedding.py
+++ b/packages/zinniahook-core/tests/test_shedding.py
@@ -38,7 +38,9 @@
             cluster.run(0.5)
         # A run takes up to 2.5 s here, and the last one may be of that kind.
         cluster.run(5.0)
-        refused = [told for told in cluster.told if told.kind is OutcomeKind.NOT_RUN]
+        refused = [
+            told for told in cluster.reported if told.kind is OutcomeKind.NOT_RUN
+        ]
         assert len(refused) < 8
-        assert len(cluster.told) == 40
-        assert cluster.broken() == []
+        assert len(cluster.reported) == 40
+        assert cluster.violated_promises() == []
--- a/packages/zinniahook-core/tests/test_suspensions.py
+++ b/packages/zinniahook-core/tests/test_suspensions.py
@@ -3,7 +3,11 @@
 import random
 
 from zinniahook_core.models import Address
-from zinniahook_core.suspensions import ANSWER_TIMEOUT, PENDING_LIMIT, Suspensions
+from zinniahook_core.suspensions import (
+    ANSWER_TIMEOUT_SECONDS,
+    PENDING_LIMIT,
+    Suspensions,
+)
 
 NAMES = tuple(f"a-{number}" for number in range(6))
 
@@ -61,12 +65,12 @@
         suspensions.replace(NAMES)
         suspended = []
         for second in range(10):
-            now = float(second) * (ANSWER_TIMEOUT + 0.1)
+            now = float(second) * (ANSWER_TIMEOUT_SECONDS + 0.1)
             suspensions.opened(now, "a-1", caller(1))
             suspensions.answered(now, caller(1))
             for number in (2, 3):
                 suspensions.opened(now, "a-2", caller(number))
-            suspended += suspensions.expire(now + ANSWER_TIMEOUT)
+            suspended += suspensions.expire(now + ANSWER_TIMEOUT_SECONDS)
         assert suspended == ["a-2"]
 
     def test_an_agent_that_answers_again_is_reinstated(self):
@@ -107,7 +111,7 @@
         entry.open(50)
         for _ in range(20):
             entry.suspensions.opened(entry.now, "a-1", caller(9999))
-            entry.now += 2 * ANSWER_TIMEOUT
+            entry.now += 2 * ANSWER_TIMEOUT_SECONDS
             assert entry.suspensions.expire(entry.now) == []
 
     def test_the_only_agent_is_never_suspended(self):
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/entries.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/entries.py
@@ -20,7 +20,7 @@
 from zinniahook_core.entries import EntryCore
 from zinniahook_core.events import ConfigurationChanged, RosterChanged, Tick
 from zinniahook_core.models import Address, Configuration, Protocol, Roster, Service
-from zinniahook_core.routing import LONG_HEADER, SHORT_HEADER
+from zinniahook_core.routing import LONG_HEADER_BIT, SHORT_HEADER_BYTES
 from zinniahook_wire.tunnels import (
     NO_ADDRESS,
     OVERHEAD,
@@ -93,7 +93,11 @@
         with contextlib.suppress(OSError):
             for _ in range(BATCH):
                 size, source = receive_into(room)
-                if shortcut and size >= SHORT_HEADER and room[0] < LONG_HEADER:
+                if (
+                    shortcut
+                    and size >= SHORT_HEADER_BYTES
+                    and room[0] < LONG_HEADER_BIT
+                ):
                     entry.forward_established(self, size, source)
                 else:
                     entry.forward(self, bytes(room[:size]), source)
@@ -160,7 +164,7 @@
         if size > LONGEST_PAYLOAD:
             self._drop(Code.DATAGRAM_TOO_LONG)
             return
-        connection_id = self.payload_room[1:SHORT_HEADER].tobytes()
+        connection_id = self.payload_room[1:SHORT_HEADER_BYTES].tobytes()
         agent = self._core.route_established(socket.service, connection_id)
         if isinstance(agent, Code):
             self._drop(agent)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/traffic.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/traffic.py
@@ -176,7 +176,7 @@
         if not connection.is_switched:
             connection.is_switched = True
             self._paths.heard(now, connection.entry, connection.flow)
-        entry = self._paths.unanswered(now, connection.flow)
+        entry = self._paths.switch_entry(now, connection.flow)
         if entry is not None and entry != connection.entry:
             connection.other_entry = connection.entry
             connection.entry = entry
