--- a/packages/zinniahook-core/src/zinniahook_core/liveness.py
+++ b/packages/zinniahook-core/src/zinniahook_core/liveness.py
@@ -45,7 +45,7 @@
     """The last that was heard of one incarnation of a peer."""
 
     incarnation: int
-    at: float
+    heard_at: float
     sequence: int = -1
     load: Load | None = None
     leaving: bool = False
@@ -56,7 +56,7 @@
         lost = heartbeat.sequence - self.sequence - 1 if self.sequence >= 0 else 0
         self.loss = 1.0 - (1.0 - self.loss) * (1.0 - LOSS_WEIGHT) ** lost
         self.loss *= 1.0 - LOSS_WEIGHT
-        self.at = now
+        self.heard_at = now
         self.sequence = heartbeat.sequence
         self.load = heartbeat.load
         self.leaving = self.leaving or heartbeat.leaving
@@ -132,7 +132,7 @@
     def restart_timers(self, now: float) -> None:
         """Start every silence afresh, after a pause of this agent's own."""
         for status in self._status_by_name.values():
-            status.at = max(status.at, now)
+            status.heard_at = max(status.heard_at, now)
 
     def note_own_mark(self) -> None:
         """Note that peers marked this agent down: judge them more slowly."""
@@ -142,7 +142,7 @@
         """Tell whether nothing came from a peer for a short while."""
         status = self._status_by_name.get(name)
         limit = max(MIN_SILENCE_SECONDS, SILENT_INTERVALS * self._interval)
-        return status is None or now - status.at > limit
+        return status is None or now - status.heard_at > limit
 
     def leaving(self, name: str) -> bool:
         """Tell whether a peer's own heartbeats said that it leaves."""
@@ -156,7 +156,7 @@
     def loads(self, now: float) -> dict[str, tuple[Load, float]]:
         """Return the last load of each peer with its age in seconds."""
         return {
-            name: (status.load, now - status.at)
+            name: (status.load, now - status.heard_at)
             for name, status in self._status_by_name.items()
             if status.load is not None
         }
@@ -180,7 +180,7 @@
         silent = [
             name
             for name, status in self._status_by_name.items()
-            if now - status.at > PRESUMED_DOWN_SECONDS
+            if now - status.heard_at > PRESUMED_DOWN_SECONDS
         ]
         most = max(1, int(len(roster.by_name) * MAX_MARKED_SHARE))
         return frozenset(silent[:most])
@@ -202,7 +202,7 @@
         # Fenced by the incarnation: what was silent may have come back.
         if status is None or status.incarnation != member.incarnation:
             return False
-        silence = now - status.at
+        silence = now - status.heard_at
         timeout = status.timeout(self._interval)
         if silence <= timeout:
             return False
--- a/packages/zinniahook-core/src/zinniahook_core/paths.py
+++ b/packages/zinniahook-core/src/zinniahook_core/paths.py
@@ -98,7 +98,7 @@
         path.given_up_until[current] = now + GIVEN_UP_SECONDS
         while len(path.given_up_until) > GIVEN_UP_LIMIT:
             del path.given_up_until[next(iter(path.given_up_until))]
-        path.entry = self._other(now, path)
+        path.entry = self._choose_other(now, path)
         _put(self._paths_by_flow, flow, path, FLOWS_LIMIT)
         return path.entry
 
@@ -106,7 +106,7 @@
         """Drop what is kept of a flow that ended."""
         self._paths_by_flow.pop(flow, None)
 
-    def _other(self, now: float, path: Path) -> Address:
+    def _choose_other(self, now: float, path: Path) -> Address:
         recent = [
             entry
             for entry, at in self._heard_by_entry.items()
--- a/packages/zinniahook-core/src/zinniahook_core/placement.py
+++ b/packages/zinniahook-core/src/zinniahook_core/placement.py
@@ -293,9 +293,9 @@
         if not works:
             return self._any_ready() if forced else None
         own = self._own_work(now, local)
-        everyone = [own, *works.values()]
-        total = sum(count(work) for work in everyone)
-        mean = max(total, 1.0) / sum(work.slots for work in everyone)
+        all_work = [own, *works.values()]
+        total = sum(count(work) for work in all_work)
+        mean = max(total, 1.0) / sum(work.slots for work in all_work)
 
         def score(work: Work) -> float:
             usable = max(MIN_SLOTS, work.slots * work.share)
--- a/packages/zinniahook-core/src/zinniahook_core/pointers.py
+++ b/packages/zinniahook-core/src/zinniahook_core/pointers.py
@@ -67,9 +67,9 @@
         """Forget the pointer of ``flow``, if there is one."""
         self._by_flow.pop(flow, None)
 
-    def expire(self, now: float, most: int) -> None:
-        """Drop up to ``most`` pointers that ran out, oldest first."""
-        for _ in range(min(most, len(self._by_flow))):
+    def expire(self, now: float, limit: int) -> None:
+        """Drop up to ``limit`` pointers that ran out, oldest first."""
+        for _ in range(min(limit, len(self._by_flow))):
             flow, pointer = next(iter(self._by_flow.items()))
             if pointer.until > now:
                 return
--- a/packages/zinniahook-core/tests/core_clusters.py
+++ b/packages/zinniahook-core/tests/core_clusters.py
@@ -16,7 +16,7 @@
 
 TICK = 0.1
 LATE_SHARE = 0.03
-LATEST = 2.0
+MAX_LATE_SECONDS = 2.0
 
 
 class Cluster:
@@ -86,8 +86,8 @@
         former = self.nodes.get(name)
         number = former.address.port if former else 7000 + len(self.nodes)
         name = name or f"{service}-{number}"
-        life = former.core.identity.incarnation + 100 if former else 1
-        node = Node(self, name, service, number, life)
+        incarnation = former.core.identity.incarnation + 100 if former else 1
+        node = Node(self, name, service, number, incarnation)
         self.nodes[name] = node
         node.feed(events.ConfigurationChanged(self.configurations[-1]))
         if service in self.store.by_service and not self.store.down:
@@ -171,7 +171,7 @@
             if self.rng.random() >= self.loss:
                 event = events.PeerDatagram(sender.name, effect.message)
                 late = self.rng.random() < LATE_SHARE
-                delay = self.rng.uniform(0.001, LATEST if late else 0.02)
+                delay = self.rng.uniform(0.001, MAX_LATE_SECONDS if late else 0.02)
                 self.at(delay, peer.feed, event)
 
     def route(self, service, caller, payload):
--- a/packages/zinniahook-core/tests/core_rules.py
+++ b/packages/zinniahook-core/tests/core_rules.py
@@ -12,7 +12,7 @@
 )
 
 AGENTS = {"tally": 3, "ledger": 1, "feed": 3}
-MOST_AGENTS = 6
+MAX_AGENTS = 6
 FLOWS = 6
 REQUEST_SERVICES = ("tally", "ledger")
 TARGETS = ("sound", "refuses", "fails")
@@ -158,7 +158,7 @@
 
     @rule(service=any_service)
     def join(self, service):
-        if len(self.cluster.live(service)) < MOST_AGENTS:
+        if len(self.cluster.live(service)) < MAX_AGENTS:
             self.cluster.join(service)
 
     @rule(which=index, service=any_service, seconds=st.sampled_from((4.0, 30.0)))
--- a/packages/zinniahook-core/tests/flow_networks.py
+++ b/packages/zinniahook-core/tests/flow_networks.py
@@ -182,11 +182,11 @@
             elif isinstance(effect, Deliver):
                 self.deliver(name, effect)
             elif isinstance(effect, ForwardDatagram):
-                self.pass_on(name, effect)
+                self.forward(name, effect)
             elif isinstance(effect, EndFlow):
                 self.flows_by_name[name].closed(effect.flow)
 
-    def pass_on(self, name, effect):
+    def forward(self, name, effect):
         number = self.number(effect.caller)
         handed_by = name if effect.handed else ""
         rest = (None, number, effect.payload, effect.hops, handed_by)
@@ -209,7 +209,7 @@
         assert all(len(self.delivered[number]) == 1 for number in range(count))
         return {number: self.delivered[number][0] for number in range(count)}
 
-    def talk(self, count, seconds=5.0, pause=0.5):
+    def send_repeatedly(self, count, seconds=5.0, pause=0.5):
         """Let every caller send now and then."""
         sent = 0
         while seconds > 0:
@@ -228,7 +228,7 @@
         ]
 
 
-class Fixture:
+class SingleAgent:
     """One agent on its own, with peers that are only names."""
 
     def __init__(self, names=("a-0", "a-1", "a-2"), load=None):
--- a/packages/zinniahook-core/tests/test_flow_changes.py
+++ b/packages/zinniahook-core/tests/test_flow_changes.py
@@ -21,7 +21,7 @@
         network = Network(seed, 5, loss=0.1, doubled=0.1)
         owners = network.open(COUNT)
         network.join("a-5")
-        sent = network.talk(COUNT)
+        sent = network.send_repeatedly(COUNT)
         assert network.moved(owners) == []
         assert all(len(network.delivered[number]) == sent + 1 for number in owners)
 
@@ -36,7 +36,7 @@
         owners = network.open(COUNT)
         network.join("a-4", "a-5")
         network.entries = [network.new_entry() for _ in range(2)]
-        network.talk(COUNT)
+        network.send_repeatedly(COUNT)
         assert network.moved(owners) == []
 
     @pytest.mark.parametrize("seed", range(3))
@@ -53,9 +53,9 @@
         for number in range(4):
             network.leave(f"a-{number}")
             network.join(f"a-{number + 4}")
-            network.talk(COUNT, seconds=2.0)
+            network.send_repeatedly(COUNT, seconds=2.0)
         network.entries = [network.new_entry() for _ in range(2)]
-        network.talk(COUNT, seconds=1.0)
+        network.send_repeatedly(COUNT, seconds=1.0)
         assert network.moved(owners) == []
 
     def test_handed_flows_stay_when_their_home_and_their_owner_s_peers_change(self):
@@ -75,7 +75,7 @@
         network.leave("a-1")
         network.join("a-4")
         network.entries = [network.new_entry() for _ in range(2)]
-        network.talk(COUNT)
+        network.send_repeatedly(COUNT)
         assert network.moved(owners) == []
 
     def test_without_overlap_windows_the_check_fails(self, monkeypatch):
@@ -87,7 +87,7 @@
         owners = network.open(COUNT)
         network.join("a-4", delay=0.0)
         network.entries = [network.new_entry() for _ in range(2)]
-        network.talk(COUNT, seconds=1.0, pause=0.05)
+        network.send_repeatedly(COUNT, seconds=1.0, pause=0.05)
         assert network.moved(owners) != []
 
     def test_a_leaving_agent_gets_no_new_flows(self):
@@ -118,7 +118,7 @@
         network.join("a-5")
         network.run(8.0)
         network.entries = [network.new_entry()]
-        network.talk(COUNT, seconds=1.0)
+        network.send_repeatedly(COUNT, seconds=1.0)
         assert network.moved(owners) == []
 
     def test_pointers_outlive_hours_of_direct_routing(self):
@@ -133,10 +133,10 @@
         owners = network.open(60)
         network.join("a-4")
         for _ in range(8):
-            network.talk(60, seconds=1.0, pause=1.0)
+            network.send_repeatedly(60, seconds=1.0, pause=1.0)
             network.run(10.0)
         network.entries = [network.new_entry()]
-        network.talk(60, seconds=1.0)
+        network.send_repeatedly(60, seconds=1.0)
         assert network.moved(owners) == []
 
 
@@ -175,7 +175,7 @@
         network.publish()
         network.run(6.0)
         network.entries = [network.new_entry()]
-        network.talk(COUNT, seconds=1.0)
+        network.send_repeatedly(COUNT, seconds=1.0)
         kept = {number: name for number, name in owners.items() if name != "a-0"}
         assert network.moved(kept) == []
         assert all(len(network.delivered[n]) > 1 for n in owners)
@@ -193,7 +193,7 @@
         network.publish()
         network.run(6.0)
         network.entries = [network.new_entry()]
-        network.talk(COUNT, seconds=1.0)
+        network.send_repeatedly(COUNT, seconds=1.0)
         kept = {number: name for number, name in owners.items() if name != "a-0"}
         assert network.moved(kept) == []
 
--- a/packages/zinniahook-core/tests/test_flows.py
+++ b/packages/zinniahook-core/tests/test_flows.py
@@ -1,6 +1,6 @@
 """One agent's flows: datagrams, openings and pointers."""
 
-from flow_networks import ENTRY, Fixture, caller, member
+from flow_networks import ENTRY, SingleAgent, caller, member
 from zinniahook_core.codes import Code
 from zinniahook_core.effects import (
     AcceptFlow,
@@ -22,14 +22,14 @@
 
 class TestDatagrams:
     def test_a_home_of_long_standing_opens_at_once(self):
-        agent = Fixture()
+        agent = SingleAgent()
         number = agent.number_at("a-0")
         effects = agent.datagram(100.0, number)
         assert AcceptFlow(flow_key(caller(number))) in effects
         assert any(isinstance(effect, Deliver) for effect in effects)
 
     def test_a_home_that_has_just_started_asks_first(self):
-        agent = Fixture()
+        agent = SingleAgent()
         number = agent.number_at("a-0")
         asks = [e for e in agent.datagram(1.0, number) if isinstance(e, SendPeer)]
         assert {ask.peer for ask in asks} == {"a-1", "a-2"}
@@ -41,7 +41,7 @@
         assert effects == [forward]
 
     def test_asks_are_repeated_and_time_out(self):
-        agent = Fixture()
+        agent = SingleAgent()
         number = agent.number_at("a-0")
         agent.datagram(1.0, number)
         again = [e for e in agent.flows.tick(1.15) if isinstance(e, SendPeer)]
@@ -50,7 +50,7 @@
         assert Deliver(flow_key(caller(number)), caller(number), ENTRY, b"x") in effects
 
     def test_a_late_answer_to_an_older_ask_is_ignored(self):
-        agent = Fixture()
+        agent = SingleAgent()
         number = agent.number_at("a-0")
         agent.datagram(1.0, number)
         flow = flow_key(caller(number))
@@ -62,7 +62,7 @@
         Symptom: the traffic between two agents grows without any caller.
         Cause: each holds a pointer to the other.
         """
-        agent = Fixture()
+        agent = SingleAgent()
         number = agent.number_at("a-1")
         flow = flow_key(caller(number))
         agent.flows.peer(0.0, "a-1", FlowPointers("a-1", 1, (flow,)))
@@ -70,7 +70,7 @@
         assert agent.datagram(0.0, number, hops=HOP_LIMIT) == [Drop(Code.HOP_LIMIT)]
 
     def test_held_packets_are_bounded(self):
-        agent = Fixture()
+        agent = SingleAgent()
         number = agent.number_at("a-0")
         for _ in range(MAX_HELD_PACKETS):
             assert Drop(Code.FLOW_LIMIT) not in agent.datagram(1.0, number)
@@ -82,7 +82,7 @@
         assert dropped >= MAX_HELD_FLOWS
 
     def test_an_idle_flow_ends_and_an_answered_one_does_not(self):
-        agent = Fixture()
+        agent = SingleAgent()
         first, second = 1, 2
         agent.datagram(0.0, first, handed_by="a-1")
         agent.datagram(0.0, second, handed_by="a-1")
@@ -91,20 +91,20 @@
         assert ended == [EndFlow(flow_key(caller(first)))]
         assert agent.flows.count == 1
 
-    def test_a_leaving_home_refuses_when_nobody_is_ready(self):
-        agent = Fixture(names=("a-0",))
+    def test_a_leaving_home_refuses_when_no_agent_is_ready(self):
+        agent = SingleAgent(names=("a-0",))
         agent.flows.leave()
         assert agent.datagram(100.0, 1) == [Drop(Code.LEAVING)]
 
     def test_answers_name_the_owner(self):
-        agent = Fixture()
+        agent = SingleAgent()
         agent.datagram(0.0, 1, handed_by="a-1")
         flow = flow_key(caller(1))
         answer = agent.flows.peer(0.0, "a-2", FlowAsk(5, flow))
         assert answer == [SendPeer("a-2", FlowAnswer(5, flow, "a-0"))]
 
     def test_pointers_of_a_former_incarnation_are_void(self):
-        agent = Fixture()
+        agent = SingleAgent()
         flow = flow_key(caller(1))
         agent.members[1] = member("a-1", incarnation=3)
         agent.learn(0.0, 2)
@@ -113,11 +113,11 @@
 
 class TestOpenings:
     def busy(self):
-        agent = Fixture(load=Load(4, 4, 3, 900, 0))
+        agent = SingleAgent(load=Load(4, 4, 3, 900, 0))
         for sequence in range(2):
             for name in ("a-1", "a-2"):
-                beat = Heartbeat(1, sequence, 1, Load(4, 0, 0, 100, 0))
-                agent.placement.heartbeat(50.0, name, beat)
+                heartbeat = Heartbeat(1, sequence, 1, Load(4, 0, 0, 100, 0))
+                agent.placement.heartbeat(50.0, name, heartbeat)
         return agent
 
     def test_a_loaded_agent_hands_over_and_sticks_to_its_choice(self):
@@ -136,13 +136,13 @@
         assert agent.flows.opening(50.0, event)[0] == AcceptFlow(b"12345678")
 
     def test_a_leaving_agent_takes_no_opening(self):
-        agent = Fixture(names=("a-0",))
+        agent = SingleAgent(names=("a-0",))
         agent.flows.leave()
         event = FlowOpening("feed", b"12345678", caller(1))
         assert agent.flows.opening(0.0, event) == [Drop(Code.LEAVING)]
 
     def test_a_closed_flow_is_no_longer_counted(self):
-        agent = Fixture()
+        agent = SingleAgent()
         event = FlowOpening("feed", b"12345678", caller(1), handed_by="a-1")
         agent.flows.opening(0.0, event)
         assert agent.flows.count == 1
--- a/packages/zinniahook-core/tests/test_lookups.py
+++ b/packages/zinniahook-core/tests/test_lookups.py
@@ -32,7 +32,7 @@
     Cause: each lookup waited for the dead one as patiently as the first.
     """
 
-    def look(self, lookups, number, at):
+    def begin_lookup(self, lookups, number, at):
         """Begin a lookup that only the live member answers."""
         key = b"key-%d" % number
         item = lookup(number, key, at)
@@ -42,27 +42,27 @@
 
     def test_only_the_first_lookup_waits_long(self):
         lookups = Lookups()
-        first = self.look(lookups, 1, 0.0)
+        first = self.begin_lookup(lookups, 1, 0.0)
         assert lookups.overdue(SILENT_TIMEOUT_SECONDS) == []
         assert lookups.overdue(LOOKUP_TIMEOUT_SECONDS) == [first]
         lookups.end(first)
-        second = self.look(lookups, 2, 1.0)
+        second = self.begin_lookup(lookups, 2, 1.0)
         assert lookups.overdue(1.0 + SILENT_TIMEOUT_SECONDS / 2) == []
         assert lookups.overdue(1.0 + SILENT_TIMEOUT_SECONDS) == [second]
 
-    def test_a_member_that_speaks_again_is_waited_for(self):
+    def test_a_member_that_answers_again_is_waited_for(self):
         lookups = Lookups()
-        first = self.look(lookups, 1, 0.0)
+        first = self.begin_lookup(lookups, 1, 0.0)
         assert lookups.overdue(LOOKUP_TIMEOUT_SECONDS) == [first]
         lookups.end(first)
         lookups.add_answer("dead", none(1, b"key-1"))
-        second = self.look(lookups, 2, 1.0)
+        second = self.begin_lookup(lookups, 2, 1.0)
         assert lookups.overdue(1.0 + SILENT_TIMEOUT_SECONDS) == []
         assert lookups.overdue(1.0 + LOOKUP_TIMEOUT_SECONDS) == [second]
 
     def test_another_member_is_still_waited_for(self):
         lookups = Lookups()
-        first = self.look(lookups, 1, 0.0)
+        first = self.begin_lookup(lookups, 1, 0.0)
         assert lookups.overdue(LOOKUP_TIMEOUT_SECONDS) == [first]
         lookups.end(first)
         second = lookup(2, b"key-2", 1.0)
@@ -71,7 +71,7 @@
 
 
 class TestOwnDecision:
-    def test_one_that_does_not_stand_is_asked_for_later(self, monkeypatch):
+    def test_a_decision_that_does_not_stand_is_asked_for_later(self, monkeypatch):
         """
         Symptom: RecursionError at the agent that owns a key. Sequence: it is
         about to refuse an attempt whose key it granted to a later one.
--- a/packages/zinniahook-core/tests/test_machine.py
+++ b/packages/zinniahook-core/tests/test_machine.py
@@ -104,7 +104,7 @@
         owner = self._connection_ids.decode(destination[1])
         if isinstance(owner, routing.Owner):
             return owner.agent
-    return sound_route(self, now, service, caller, payload)
+    return original_route(self, now, service, caller, payload)
 
 
 def take_any_generation(self, now, event):
@@ -120,11 +120,11 @@
 
 def lose_joins(self, now, event):
     """Forget to give a copy that joined another its answer."""
-    found = sound_handle(self, now, event)
+    found = original_handle(self, now, event)
     return [one for one in found if not isinstance(one, effects.JoinRequest)]
 
 
-def never(self, now, flow):
+def had_no_other_home(self, now, flow):
     """Take every flow of this home for a new one."""
     return False
 
@@ -137,12 +137,12 @@
 def stop_at_once(self, now, event):
     """Leave without letting flows finish."""
     self.flows.clear()
-    return sound_drain(self, now, event)
+    return original_drain(self, now, event)
 
 
-sound_drain = agents._HANDLERS_BY_EVENT[events.DrainRequested]
-sound_handle = agents.AgentCore.handle
-sound_route = entries.EntryCore.route
+original_drain = agents._HANDLERS_BY_EVENT[events.DrainRequested]
+original_handle = agents.AgentCore.handle
+original_route = entries.EntryCore.route
 
 
 class TestChecksCanFail:
@@ -177,7 +177,7 @@
         self.catches("generation went down")
 
     def test_flow_lost_to_a_planned_change(self, monkeypatch):
-        monkeypatch.setattr(homes.Homes, "had_other_home", never)
+        monkeypatch.setattr(homes.Homes, "had_other_home", had_no_other_home)
         monkeypatch.setattr(owners.OwnedFlows, "messages", send_no_pointers)
         self.catches("flow moved", FlowsUnderChange)
 
--- a/packages/zinniahook-core/tests/test_membership.py
+++ b/packages/zinniahook-core/tests/test_membership.py
@@ -139,7 +139,7 @@
         core.target_reported(11.1, denied)
         assert core.state is AgentState.READY
 
-    def test_next_life_gets_a_higher_incarnation(self):
+    def test_restart_gets_a_higher_incarnation(self):
         store, core = Store(), membership()
         store.by_service["tally"] = Roster("tally", 7, {"a": member("a", 41)})
         store.revision = 7
@@ -234,7 +234,7 @@
         down = [s for s in states(cluster).values() if s is AgentState.DOWN]
         assert len(down) == 4
 
-    def test_lossy_path_marks_nobody(self):
+    def test_lossy_path_marks_no_agent(self):
         """Symptom: agents that are alive lose their flows every few minutes.
 
         Sequence: a service is large, so heartbeats are a second apart; the
@@ -265,15 +265,15 @@
         cluster.run(2.0)
         assert dead.name not in states(cluster)
 
-    def test_full_roster_refuses_and_marks_make_room(self):
+    def test_full_roster_refuses_until_a_member_is_marked(self):
         core = membership()
         names = [f"n-{number}" for number in range(MEMBERS_LIMIT)]
         full = Roster("tally", 5, {name: member(name) for name in names})
         core.learn(0.0, full)
         assert not has(core.tick(0.1, False), effects.WriteRoster)
         down = member(names[0], state=AgentState.DOWN)
-        room = full._replace(revision=6, by_name={**full.by_name, names[0]: down})
-        found = only(core.learn(10.0, room), effects.WriteRoster)
+        with_mark = full._replace(revision=6, by_name={**full.by_name, names[0]: down})
+        found = only(core.learn(10.0, with_mark), effects.WriteRoster)
         assert len(found.roster.by_name) == MEMBERS_LIMIT
         assert names[0] not in found.roster.by_name
 
@@ -309,7 +309,7 @@
         assert cluster.store.writes == before
         assert not node.core.membership.fenced
 
-    def test_paused_agent_marks_nobody(self):
+    def test_paused_agent_marks_no_peer(self):
         """Symptom: after a pause an agent marks all its peers down.
 
         Sequence: paused for a minute; to it they were silent so long.
@@ -358,7 +358,7 @@
         assert core.isolated(6.0)
         assert has(found, effects.ReadRoster)
 
-    def test_of_two_lives_of_a_name_the_later_stays(self):
+    def test_of_two_processes_of_a_name_the_later_stays(self):
         """Symptom: two processes of one name cut each other's flows for ever.
 
         Sequence: an instance is replaced while the old one still runs.
--- a/packages/zinniahook-core/tests/test_placement.py
+++ b/packages/zinniahook-core/tests/test_placement.py
@@ -243,7 +243,7 @@
         alarmed.reported(0.0, TargetReported(False, None))
         assert alarmed.share(0.0) < silent.share(0.0) < 1.0
 
-    def test_a_mended_target_is_tried_again(self):
+    def test_a_repaired_target_is_tried_again(self):
         health = Health()
         for _ in range(50):
             health.finished(0.0, True)
--- a/packages/zinniahook-core/tests/test_routing.py
+++ b/packages/zinniahook-core/tests/test_routing.py
@@ -350,7 +350,7 @@
         assert core.route(12.9, FEED, CALLER, b"x") == other.tunnel
         assert core.route(13.1, FEED, CALLER, b"x") == home
 
-    def test_an_answer_of_a_stranger_is_no_hint(self):
+    def test_an_answer_of_an_unknown_agent_is_no_hint(self):
         core = entry(roster(FEED, 1, [member(FEED, 1)]))
         core.handle(0.0, AnswerSeen("feed", CALLER, Address("203.0.113.9", 1)))
         assert core.route(0.0, FEED, CALLER, b"x") == member(FEED, 1).tunnel
--- a/packages/zinniahook-core/tests/test_suspensions.py
+++ b/packages/zinniahook-core/tests/test_suspensions.py
@@ -101,7 +101,7 @@
             entry.open(100)
             assert len(entry.suspensions.suspended) <= 3
 
-    def test_a_service_that_never_answers_suspends_nobody(self):
+    def test_a_service_that_never_answers_suspends_no_agent(self):
         entry = Entry(dead=NAMES)
         entry.open(500)
         assert entry.suspensions.suspended == ()
@@ -133,7 +133,7 @@
         entry.suspensions.replace(NAMES, restarted=["a-2"])
         assert entry.suspensions.suspended == ()
 
-    def test_nobody_to_choose(self):
+    def test_no_agent_to_choose(self):
         suspensions = Suspensions(random.Random(1))
         assert suspensions.choose(0.0, b"key") is None
 
