--- a/packages/zinniahook-core/src/zinniahook_core/flows.py
+++ b/packages/zinniahook-core/src/zinniahook_core/flows.py
@@ -1,9 +1,9 @@
-"""Which agent owns a flow: openings, handing over, and changes of home.
+"""Ownership of flows: opening, handover and changes of the home.
 
-A QUIC flow is owned by the agent that its connection id names, so only its
-opening is decided here. A plain UDP flow has nothing but the caller's
-address: its home, the best ranked ready agent, opens it, and everyone else
-finds the owner by asking. docs/design/flows.md tells the ways weighed.
+A QUIC flow is owned by the agent that its connection id names, so only its opening
+is decided here. A plain UDP flow is identified only by the address of its caller.
+Its home, the highest ranked ready agent, opens it, and all other agents ask for the
+owner. See docs/design/flows.md for the alternatives.
 """
 
 from __future__ import annotations
@@ -38,10 +38,15 @@
 FLOWS_LIMIT = 16384
 IDLE_SECONDS = 120.0
 HANDSHAKE_SECONDS = 10.0
+"""How long packets of a QUIC handshake go to the peer chosen for it."""
 HANDED_OVER_SECONDS = 3.0
+"""How long forwarded datagrams are marked as a handover of the flow."""
 REDIRECT_SECONDS = 2.0
+"""How long packets go to the home of a flow that no agent owns."""
 YOUNG_FLOW_SECONDS = 15.0
+"""Age below which an agent yields a flow that another agent owns too."""
 QUERY_WIDTH = 8
+"""Number of agents that are asked for the owner of a flow."""
 EXPIRED_PER_TICK = 1000
 
 Effects = list[AgentEffect]
@@ -55,9 +60,9 @@
     name : str
         This agent's own name.
     placement : Placement
-        Decides who takes a new flow.
+        Chooses the agent for a new flow.
     load : callable
-        Returns this agent's own counts at a time.
+        Returns this agent's own load at a given time.
     """
 
     def __init__(
@@ -91,18 +96,18 @@
         return self.homes.is_ready and not self.leaving
 
     def owns(self, flow: bytes) -> bool:
-        """Tell whether ``flow`` is owned here."""
+        """Return whether this agent owns ``flow``."""
         return flow in self._owned or flow in self._accepted
 
     def configure(self, now: float, service: Service) -> None:
-        """Take the rules of the service in force."""
+        """Adopt the rules of the service."""
         self._service = service
         self._idle = service.idle
         if self._roster is not None:
             self.homes.update(now, self._roster, service)
 
     def roster(self, now: float, roster: Roster) -> None:
-        """Take a roster; one that is older than the last is ignored."""
+        """Adopt a roster unless it is older than the last one."""
         if self._roster is not None and roster.revision < self._roster.revision:
             return
         self._roster = roster
@@ -114,11 +119,11 @@
             query.restart(now, self.homes.others(query.flow, QUERY_WIDTH))
 
     def leave(self) -> None:
-        """Open no flows from now on; those that are owned go on."""
+        """Stop opening flows. Owned flows continue."""
         self.leaving = True
 
     def clear(self) -> None:
-        """Forget everything, after a fence: others may own the flows now."""
+        """Forget all flows after a fence, since other agents may own them now."""
         self._owned.clear()
         self._accepted.clear()
         self._pointers.clear()
@@ -129,7 +134,7 @@
         self.leaving = False
 
     def opening(self, now: float, event: FlowOpening) -> Effects:
-        """Decide on a QUIC opening: take it, or hand it to a peer."""
+        """Accept a QUIC opening or hand it over to a peer."""
         flow = event.flow
         if event.handed_by or flow in self._accepted:
             return self._accept_quic(flow)
@@ -145,7 +150,7 @@
         return [Drop(refusal)] if refusal else self._accept_quic(flow)
 
     def datagram(self, now: float, event: FlowDatagram) -> Effects:
-        """Decide on a datagram of a plain UDP flow."""
+        """Deliver, forward, hold or drop a datagram of a plain UDP flow."""
         flow = flow_key(event.caller)
         owned = self._owned.get(flow)
         if owned is not None:
@@ -161,15 +166,15 @@
         redirect = self._redirects.get(flow)
         if redirect is not None and self._is_valid(now, redirect):
             return self._forward(now, flow, [event], redirect)
-        # A home that has just got the flow from another agent asks first:
-        # the packet may belong to an established flow of the former home.
+        # A home that has just taken over from another agent asks first, as the
+        # packet may belong to a flow that was established at the former home.
         homes = self.homes
         if homes.is_home(flow) and not homes.had_other_home(now, flow):
             return self._open(now, flow, [event])
         return self._query_owner(now, flow, event)
 
     def answered(self, now: float, flow: bytes) -> None:
-        """Note that the target sent to the caller: the flow is not idle."""
+        """Record that the target sent to the caller, so the flow isn't idle."""
         owned = self._owned.get(flow)
         if owned is not None:
             owned.seen = now
@@ -181,7 +186,7 @@
         return []
 
     def peer(self, now: float, sender: str, message: PeerMessage) -> Effects:
-        """Handle a message about flows; others are ignored."""
+        """Handle a peer message about flows and ignore others."""
         if isinstance(message, FlowAsk):
             return self._answer(sender, message)
         if isinstance(message, FlowAnswer):
@@ -191,10 +196,10 @@
         return []
 
     def tick(self, now: float) -> Effects:
-        """Repeat, time out and age; call it at least ten times a second."""
+        """Repeat and expire what is due. Call this at least ten times a second."""
         effects: Effects = []
-        # Before its first roster an agent can't know whom to ask, and entries
-        # may know of it already; what they send waits.
+        # Before its first roster an agent doesn't know which agents to ask. Entries
+        # may already send to it, so their packets wait.
         for query in self._queries.overdue(now) if self.homes.is_known else []:
             effects.append(Count("flows.ask_timeout"))
             effects += self._conclude_query(now, query)
@@ -212,12 +217,12 @@
     def _choose(self, now: float) -> str | None:
         forced = not self.accepts_new or self.count >= FLOWS_LIMIT
         peer = self._placement.choose_for_flow(now, self._load(now), forced)
-        # A peer that the roster here doesn't know can't be sent to.
+        # A peer that isn't in this agent's roster has no known address.
         known = peer is not None and self.homes.incarnation(peer) is not None
         return peer if known else None
 
     def _refusal(self) -> Code | None:
-        """Return why a new flow can't be owned here, or None if it can."""
+        """Return why this agent can't own a new flow, or None if it can."""
         if self.leaving:
             return Code.LEAVING
         if not self.homes.is_ready:
@@ -246,7 +251,7 @@
     def _accept_handed(self, now: float, flow: bytes, event: FlowDatagram) -> Effects:
         packets = [event, *self._queries.release(flow)]
         if self.leaving and event.hops < HOP_LIMIT:
-            # The peer handed it over before it knew that this agent leaves.
+            # The peer handed the flow over before it knew that this agent leaves.
             peer = self._choose(now)
             if peer is not None:
                 return self._hand_over(now, flow, packets, peer)
@@ -286,8 +291,8 @@
         effects: Effects = []
         for packet in packets:
             if packet.hops >= HOP_LIMIT:
-                # Two agents that each take the other for the owner would pass
-                # the packet on for ever; the next packet asks afresh.
+                # Two agents that each consider the other the owner would forward
+                # the packet forever. The next packet starts a new query.
                 self._pointers.drop(flow)
                 self._redirects.drop(flow)
                 effects.append(Drop(Code.HOP_LIMIT))
@@ -321,8 +326,8 @@
         if owned is None:
             self._pointers.put(flow, pointer)
             return self._forward(now, flow, self._queries.release(flow), pointer)
-        # Two agents opened one flow, since asks got lost or an agent was
-        # silent for a while. The older one has the caller's history.
+        # Two agents opened the same flow because queries were lost or an agent was
+        # silent for a while. The older owner has the history of the caller.
         home = self.homes.home(flow)
         if now - owned.opened < YOUNG_FLOW_SECONDS or (
             home and home.name == pointer.owner
@@ -338,7 +343,7 @@
         self._pointers.put(flow, pointer)
         return [EndFlow(flow), Count("flows.yielded")]
 
-    # Asking
+    # Owner queries
 
     def _query_owner(self, now: float, flow: bytes, event: FlowDatagram) -> Effects:
         asked = self.homes.others(flow, QUERY_WIDTH)
@@ -362,7 +367,8 @@
             if self.homes.is_live(pointer.owner, pointer.incarnation):
                 owner = pointer.owner
         elif flow in self._queries and self.homes.is_home(flow):
-            # Not decided yet; "none" could make the sender open it as well.
+            # The owner isn't decided yet. An answer without an owner could make the
+            # sender open the flow as well.
             return []
         return [SendPeer(sender, FlowAnswer(ask.number, flow, owner))]
 
@@ -390,21 +396,26 @@
         return query.denied.issuperset(query.asked)
 
     def _conclude_query(self, now: float, query: OwnerQuery) -> Effects:
-        """Nobody named an owner: open the flow here, or leave it to its home."""
+        """Handle a flow for which no agent named an owner.
+
+        Open it here or forward it to its home.
+        """
         flow = query.flow
         packets = self._queries.release(flow)
         home = self.homes.home(flow)
         if home is None or home.name == self.name:
             return self._open(now, flow, packets)
         if home.name in query.denied:
-            # Kept apart from the pointers: it doesn't say who owns the flow.
+            # Redirects are kept apart from pointers because they don't name the
+            # owner of the flow.
             redirect = self._pointer_to(now, home.name, REDIRECT_SECONDS)
             self._redirects.put(flow, redirect)
             return self._forward(now, flow, packets, redirect)
-        # The home is silent, and placement may not know yet that it is dead.
+        # The home is silent, and placement may not know yet that it is down.
         if self._refusal() is not None:
             return self._open(now, flow, packets)
-        # Its home isn't told but asked: it may own the flow for long already.
+        # Ask the home instead of sending it a pointer, since it may already own the
+        # flow.
         self._provisional.add(flow, query.number)
         return self._accept(now, flow, packets, handed_by=home.name)
 
@@ -421,7 +432,10 @@
     def _settle_provisional(
         self, now: float, sender: str, answer: FlowAnswer
     ) -> Effects:
-        """Take the word of a home that was silent when its flow was opened here."""
+        """Handle the late answer of a home to a query for its flow.
+
+        The home was silent when this agent opened the flow.
+        """
         flow = answer.flow
         home = self.homes.home(flow)
         known = self._provisional.number(flow) == answer.number
--- a/packages/zinniahook-core/src/zinniahook_core/heartbeats.py
+++ b/packages/zinniahook-core/src/zinniahook_core/heartbeats.py
@@ -1,4 +1,4 @@
-"""When an agent's heartbeats are due, and how they are numbered."""
+"""Timing and numbering of an agent's heartbeats."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 __all__ = ["HEARTBEAT_INTERVAL_SECONDS", "HeartbeatSchedule", "interval_for"]
 
 HEARTBEAT_INTERVAL_SECONDS = 1.0
-"""Longest interval, in seconds; a service of many agents has this one."""
+"""Longest interval between heartbeats, used by large services."""
 
 MIN_INTERVAL_SECONDS = 0.25
 HEARTBEAT_BYTES = 126
-"""Bytes of one heartbeat on the wire, headers of IP and UDP included."""
+"""Size of a heartbeat on the wire, including IP and UDP headers."""
 
 HEARTBEAT_BYTES_PER_SECOND = 4000
-"""Bytes a second that heartbeats may take while that shortens the interval."""
+"""Bandwidth limit for heartbeats at intervals shorter than the longest."""
 
 JITTER = 0.2
 URGENT_HEARTBEATS = 5
@@ -22,22 +22,23 @@
 
 
 def interval_for(peers: int) -> float:
-    """Return the seconds between heartbeats to this many peers.
+    """Return the seconds between heartbeats for this many peers.
 
-    Placement is the better the fresher the peers' counts are, so a small
-    service, as nearly all are, spends on that what its bytes allow.
+    Placement is better when the load reports of peers are fresher. Small services,
+    which are the most common, therefore send as often as the bandwidth limit
+    allows.
     """
     wanted = peers * HEARTBEAT_BYTES / HEARTBEAT_BYTES_PER_SECOND
     return min(HEARTBEAT_INTERVAL_SECONDS, max(MIN_INTERVAL_SECONDS, wanted))
 
 
 class HeartbeatSchedule:
-    """Spaces the heartbeats of one incarnation.
+    """Schedules the heartbeats of one incarnation.
 
     Parameters
     ----------
     rng : random.Random
-        Jitter, so that agents that started together don't stay in step.
+        Adds jitter, so that agents that started together don't stay in step.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -47,7 +48,7 @@
         self._urgent_left = 0
 
     def due(self, now: float, peers: int) -> int | None:
-        """Return the number of the heartbeat that is due now, if one is."""
+        """Return the sequence number of the heartbeat due now, or None."""
         if now < self._due_at:
             return None
         self._urgent_left = max(0, self._urgent_left - 1)
@@ -57,10 +58,14 @@
         return self._sequence
 
     def expedite(self, now: float) -> None:
-        """Send several soon: the loss of one must not keep new work coming."""
+        """Send several heartbeats in quick succession.
+
+        If only one announced that the agent leaves, its loss would let new work
+        continue to arrive.
+        """
         self._urgent_left = URGENT_HEARTBEATS
         self._due_at = now
 
     def restart(self) -> None:
-        """Start numbering again, under a new incarnation."""
+        """Restart the numbering for a new incarnation."""
         self._sequence = 0
--- a/packages/zinniahook-core/src/zinniahook_core/homes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/homes.py
@@ -1,7 +1,7 @@
-"""Which agent is the home of a plain UDP flow, now and a moment ago.
+"""Current and recent homes of plain UDP flows.
 
-The home is the best rank among the ready agents. It serializes the opening of
-its flows, so that packets that arrive by two entries open a flow once.
+The home of a flow is the highest ranked ready agent. It serializes the opening of
+its flows, so a flow whose packets arrive through two entries is opened only once.
 """
 
 from __future__ import annotations
@@ -15,10 +15,11 @@
 __all__ = ["Home", "Homes"]
 
 OVERLAP_SECONDS = 30.0
+"""How long after a roster change the former home is still considered."""
 
 
 class Home(NamedTuple):
-    """An agent as a home; a new incarnation has forgotten its pointers."""
+    """An agent as a home. A new incarnation has lost its pointers."""
 
     name: str
     incarnation: int
@@ -32,7 +33,7 @@
 
 
 class Homes:
-    """Ranks the agents of one service as this agent's roster has them.
+    """Ranks the agents of one service by this agent's roster.
 
     Parameters
     ----------
@@ -50,16 +51,16 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether any roster was learned yet."""
+        """Whether a roster is known."""
         return self._roster is not None
 
     @property
     def is_ready(self) -> bool:
-        """Whether this agent may take new work by its roster."""
+        """Whether this agent may accept new work according to its roster."""
         return self.name in self.ready
 
     def update(self, now: float, roster: Roster, service: Service | None) -> None:
-        """Take a roster, or the same one under changed rules."""
+        """Adopt a roster, or the same roster under changed service rules."""
         members = roster.by_name.values()
         live = [member for member in members if member.state is not AgentState.DOWN]
         ready = tuple(
@@ -69,8 +70,8 @@
             and (service is None or may_serve(service, member))
         )
         if self._roster is None:
-            # Without a history, an agent that has just started can't know
-            # that it was not the home before; it must ask.
+            # An agent that has just started has no history and can't tell whether
+            # another agent was the home before. It must ask.
             others = tuple(name for name in ready if name != self.name)
             self._former_candidates.append(FormerCandidates(now, others))
         elif set(ready) != set(self.ready):
@@ -86,21 +87,21 @@
         self.epoch += 1
 
     def home(self, flow: bytes) -> Home | None:
-        """Return the home of ``flow``, or None if nobody is ready."""
+        """Return the home of ``flow``, or None if no agent is ready."""
         if not self.ready:
             return None
         name = rendezvous.best(flow, self.ready)
         return Home(name, self._members_by_name[name].incarnation)
 
     def is_home(self, flow: bytes) -> bool:
-        """Tell whether this agent is the home of ``flow``."""
+        """Return whether this agent is the home of ``flow``."""
         return bool(self.ready) and rendezvous.best(flow, self.ready) == self.name
 
     def had_other_home(self, now: float, flow: bytes) -> bool:
-        """Tell whether another agent was the home within the overlap window.
+        """Return whether another agent was the home within the overlap window.
 
-        Rosters reach agents and entries at different times; the window is
-        many times the few seconds that this takes.
+        Rosters reach agents and entries at different times, up to a few seconds
+        apart. The window is many times longer.
         """
         return any(
             former.ready and rendezvous.best(flow, former.ready) != self.name
@@ -109,16 +110,16 @@
         )
 
     def others(self, flow: bytes, width: int) -> tuple[str, ...]:
-        """Return the ``width`` best ranked others that are not down."""
+        """Return the ``width`` highest ranked other agents that aren't down."""
         names = [name for name in self._members_by_name if name != self.name]
         return tuple(rendezvous.rank(flow, names)[:width])
 
     def is_live(self, name: str, incarnation: int) -> bool:
-        """Tell whether this incarnation of ``name`` is known and not down."""
+        """Return whether this incarnation of ``name`` is known and not down."""
         member = self._members_by_name.get(name)
         return member is not None and member.incarnation <= incarnation
 
     def incarnation(self, name: str) -> int | None:
-        """Return the incarnation of an agent that is not down."""
+        """Return the incarnation of an agent, or None if it is unknown or down."""
         member = self._members_by_name.get(name)
         return None if member is None else member.incarnation
--- a/packages/zinniahook-core/src/zinniahook_core/liveness.py
+++ b/packages/zinniahook-core/src/zinniahook_core/liveness.py
@@ -1,11 +1,11 @@
-"""Which peers of a service are alive, by their heartbeats.
-
-What goes wrong: a peer dies, or the way to it is cut, and work keeps being
-handed to it. One notices it by its silence. Silence alone does not tell a
-dead peer from a cut path or from a pause of one's own, so two answers differ:
-``live`` reacts to a short silence and costs nothing if wrong, ``members_to_mark``
-waits longer, names one marker at a time and is capped, for a mark makes an
-agent that is in fact alive drop its flows.
+"""Failure detection for the peers of a service, from their heartbeats.
+
+Without this, work keeps going to a peer that is dead or unreachable. Silence alone
+doesn't distinguish a dead peer from a broken path or from a pause of this process,
+so there are two levels. ``live`` reacts to a short silence and costs nothing if
+wrong. ``members_to_mark`` waits longer, lets one marker act at a time and limits
+the number of marks, because a mark makes an agent that is still alive drop its
+flows.
 """
 
 from __future__ import annotations
@@ -22,27 +22,36 @@
 __all__ = ["MARK_DOWN_AFTER_SECONDS", "Liveness"]
 
 SILENT_INTERVALS = 2.5
+"""Heartbeat intervals without a heartbeat after which a peer is silent."""
 MIN_SILENCE_SECONDS = 1.5
+"""Shortest silence after which a peer is silent."""
 MARK_DOWN_AFTER_SECONDS = 5.0
+"""Shortest silence after which a peer may be marked down."""
 MAX_MARK_DOWN_SECONDS = 20.0
+"""Longest silence that heartbeat loss on the path is allowed to explain."""
 FALSE_MARK_PROBABILITY = 1e-9
-"""How likely a run of lost heartbeats may be before it counts as a death."""
+"""Probability below which a run of lost heartbeats is treated as a failure."""
 LOSS_WEIGHT = 0.02
+"""Weight of one heartbeat in the moving average of the loss."""
 INITIAL_LOSS = 0.05
-"""What is taken for the loss of a path before its heartbeats tell."""
+"""Assumed loss of a path before its heartbeats show the actual loss."""
 MARKER_STEP_SECONDS = 1.5
-"""How long each next marker in rank waits for the one before it."""
+"""How long each marker waits for the marker ranked before it."""
 ISOLATED_FACTOR = 3.0
+"""Factor on the timeout of an agent that hears no peer."""
 MAX_TIMEOUT_FACTOR = 64
+"""Limit of the factor that grows when marks prove wrong."""
 PRESUMED_DOWN_SECONDS = 15.0
-"""Silence after which a mark is missing because the store is down."""
+"""Silence after which a missing mark means that the store is down."""
 MARK_WINDOW_SECONDS = 30.0
+"""Window over which marks are counted against ``MAX_MARKED_SHARE``."""
 MAX_MARKED_SHARE = 0.5
+"""Largest share of the members that may be marked within the window."""
 
 
 @dataclass(slots=True)
 class PeerStatus:
-    """The last that was heard of one incarnation of a peer."""
+    """Heartbeat state of one incarnation of a peer."""
 
     incarnation: int
     heard_at: float
@@ -52,7 +61,7 @@
     loss: float = INITIAL_LOSS
 
     def update(self, now: float, heartbeat: Heartbeat) -> None:
-        """Take a heartbeat that is newer than the last."""
+        """Record a heartbeat that is newer than the last one."""
         lost = heartbeat.sequence - self.sequence - 1 if self.sequence >= 0 else 0
         self.loss = 1.0 - (1.0 - self.loss) * (1.0 - LOSS_WEIGHT) ** lost
         self.loss *= 1.0 - LOSS_WEIGHT
@@ -62,23 +71,24 @@
         self.leaving = self.leaving or heartbeat.leaving
 
     def timeout(self, interval: float) -> float:
-        """Return how long a silence, in seconds, chance alone doesn't explain.
+        """Return the silence, in seconds, that loss alone doesn't explain.
 
-        What goes wrong: on a path that loses every third heartbeat, runs of
-        five lost ones are common, and each would cut the flows of an agent
-        that is alive. One notices the loss by gaps in the sequence.
+        On a path that loses every third heartbeat, runs of five lost heartbeats are
+        common, and with a fixed timeout each of them would cut the flows of an
+        agent that is alive. The loss is estimated from gaps in the sequence
+        numbers.
         """
         run = math.log(FALSE_MARK_PROBABILITY) / math.log(self.loss)
         return min(MAX_MARK_DOWN_SECONDS, max(MARK_DOWN_AFTER_SECONDS, run * interval))
 
 
 class Liveness:
-    """Judges the peers of one agent.
+    """Detects failed peers of one agent.
 
     Parameters
     ----------
     name : str
-        The agent's own name; it is never judged.
+        The agent's own name, which is never checked.
     """
 
     def __init__(self, name: str) -> None:
@@ -90,7 +100,7 @@
         self._interval = HEARTBEAT_INTERVAL_SECONDS
 
     def learn(self, now: float, roster: Roster) -> None:
-        """Take over a roster: new incarnations start with a fresh clock."""
+        """Adopt a roster. The silence of a new incarnation starts at zero."""
         former = self._status_by_name
         self._status_by_name = {
             member.name: self._status_for(now, member, former.get(member.name))
@@ -106,16 +116,16 @@
             name: factor for name, factor in factors.items() if name in roster.by_name
         }
         for name in set(down) - since.keys():
-            # Marked, back, marked again without a sound in between: it is
-            # likely the path between us that is cut. Each round waits twice
-            # as long, so that its flows are not cut over and over.
+            # A member that was marked, came back and is marked again without a
+            # heartbeat in between probably has a broken path to this agent. Double
+            # its timeout each time, so that its flows aren't cut repeatedly.
             doubled = 2 * self._timeout_factor_by_name.get(name, 1)
             self._timeout_factor_by_name[name] = min(MAX_TIMEOUT_FACTOR, doubled)
 
     def note_heartbeat(self, now: float, sender: str, heartbeat: Heartbeat) -> bool:
-        """Note a heartbeat; return whether the roster knows its sender.
+        """Record a heartbeat and return whether the roster knows its sender.
 
-        Duplicates and late ones of an older incarnation change nothing.
+        Duplicates and late heartbeats of an older incarnation have no effect.
         """
         status = self._status_by_name.get(sender)
         if status is None or heartbeat.incarnation > status.incarnation:
@@ -130,31 +140,31 @@
         return True
 
     def restart_timers(self, now: float) -> None:
-        """Start every silence afresh, after a pause of this agent's own."""
+        """Restart all silence timers after a pause of this process."""
         for status in self._status_by_name.values():
             status.heard_at = max(status.heard_at, now)
 
     def note_own_mark(self) -> None:
-        """Note that peers marked this agent down: judge them more slowly."""
+        """Wait longer before marking peers, since they marked this agent down."""
         self._own_timeout_factor = min(MAX_TIMEOUT_FACTOR, 2 * self._own_timeout_factor)
 
     def silent(self, now: float, name: str) -> bool:
-        """Tell whether nothing came from a peer for a short while."""
+        """Return whether a peer has been silent for a short time."""
         status = self._status_by_name.get(name)
         limit = max(MIN_SILENCE_SECONDS, SILENT_INTERVALS * self._interval)
         return status is None or now - status.heard_at > limit
 
     def leaving(self, name: str) -> bool:
-        """Tell whether a peer's own heartbeats said that it leaves."""
+        """Return whether a peer has announced in a heartbeat that it leaves."""
         status = self._status_by_name.get(name)
         return status is not None and status.leaving
 
     def live(self, now: float) -> set[str]:
-        """Return the peers that are not silent, whatever their state."""
+        """Return the peers that aren't silent, in any state."""
         return {name for name in self._status_by_name if not self.silent(now, name)}
 
     def loads(self, now: float) -> dict[str, tuple[Load, float]]:
-        """Return the last load of each peer with its age in seconds."""
+        """Return the last load of each peer and its age in seconds."""
         return {
             name: (status.load, now - status.heard_at)
             for name, status in self._status_by_name.items()
@@ -162,7 +172,7 @@
         }
 
     def members_to_mark(self, now: float, roster: Roster) -> list[Member]:
-        """Return the members that this agent has to mark down now."""
+        """Return the members that this agent must mark down now."""
         allowance = self._mark_allowance(now, roster)
         if allowance <= 0:
             return []
@@ -170,10 +180,10 @@
         return due[:allowance]
 
     def presumed_down(self, now: float, roster: Roster) -> frozenset[str]:
-        """Return the members that would be marked if the store were up.
+        """Return the members that would be marked down if the store were up.
 
-        Nobody is presumed dead by an agent that hears nobody, and at most
-        the share that may be marked at once.
+        An agent that hears no peer presumes none down. The number is limited to the
+        share that may be marked at once.
         """
         if not self.live(now):
             return frozenset()
@@ -186,7 +196,7 @@
         return frozenset(silent[:most])
 
     def expired(self, now: float, names: Iterable[str], retention: float) -> list[str]:
-        """Return those of ``names`` that were marked down long enough ago."""
+        """Return those of ``names`` that have been down longer than ``retention``."""
         since = self._down_since_by_name
         return [name for name in names if now - since.get(name, now) > retention]
 
@@ -199,7 +209,7 @@
 
     def _should_mark(self, now: float, member: Member) -> bool:
         status = self._status_by_name.get(member.name)
-        # Fenced by the incarnation: what was silent may have come back.
+        # A newer incarnation may have replaced the silent one.
         if status is None or status.incarnation != member.incarnation:
             return False
         silence = now - status.heard_at
@@ -209,8 +219,8 @@
         markers = {self._name, *self.live(now)}
         wait = timeout * self._timeout_factor_by_name.get(member.name, 1)
         if len(markers) == 1:
-            # Who hears nobody may be the one that is cut off. If it is, the
-            # others mark it down first and its own write then conflicts.
+            # An agent that hears no peer may itself be cut off. In that case the
+            # others mark it down first and its own write conflicts.
             wait *= ISOLATED_FACTOR * self._own_timeout_factor
         key = f"{member.name}/{member.incarnation}".encode()
         turn = rendezvous.rank(key, markers).index(self._name)
--- a/packages/zinniahook-core/src/zinniahook_core/lookups.py
+++ b/packages/zinniahook-core/src/zinniahook_core/lookups.py
@@ -1,9 +1,9 @@
-"""How a new claim owner finds out whether a key was claimed before.
+"""Lookups by which a new claim owner learns whether a key was claimed before.
 
-What goes wrong: the owner of a claim dies or another member joins, ownership
-moves, and the new owner has no record of a request that already ran. It would
-show as a doubled ticket. So a new owner asks every other live member first,
-and grants only if all of them deny it under the same roster revision.
+When the owner of a claim dies or a member joins, ownership moves, and the new owner
+has no record of a request that already ran. Without a lookup it would run twice,
+which shows as a doubled ticket. A new owner therefore asks all other live members
+and grants the claim only if all of them deny it under the same roster revision.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 REPEAT_AFTER_SECONDS = 0.2
 LOOKUP_TIMEOUT_SECONDS = 0.5
-"""How long a member may be silent before it counts as lost, in seconds."""
+"""How long a lookup waits for a member before it is counted as lost."""
 
 SILENT_TIMEOUT_SECONDS = 0.1
-"""The same for one that has let a lookup time out and said nothing since."""
+"""The timeout for members that let a lookup time out and haven't sent since."""
 
 LOOKUP_LIFETIME_SECONDS = 5.0
 LOOKUPS_LIMIT = 1024
 
 
 class Finding(NamedTuple):
-    """An answer to a LOOK and who gave it."""
+    """An answer to a LOOK and the member that sent it."""
 
     name: str
     answer: ClaimAnswer
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Lookup:
-    """One key being looked up for one asker."""
+    """The lookup of a key for one asker."""
 
     number: int
     sender: str
@@ -48,16 +48,17 @@
 
     @property
     def complete(self) -> bool:
-        """Whether nothing more is to be learned."""
+        """Whether further answers can't change the result."""
         states = (answer.state for answer in self.answers_by_name.values())
         return not self.waiting or ClaimState.FINISHED in states
 
     def losses(self, own: int, covers: bool) -> int:
-        """Count the losses and silent members that may hide a claim.
+        """Count the lost and silent members that may hide a claim.
 
-        Whoever has seen every roster for long enough knows of every loss, and
-        knows which are repaired; the others know some. So one that covers
-        the time decides, and without one the worst that any member knows.
+        A member that has seen every roster for long enough knows every loss, and
+        which of them are repaired. Other members know only some losses. The count
+        of a member that covers the time is therefore decisive. Without such a
+        member, the highest count of any member is used.
 
         Parameters
         ----------
@@ -76,13 +77,13 @@
         return max([own, *(answer.losses + silent for answer in answers)])
 
     def add_answer(self, sender: str, answer: ClaimAnswer) -> None:
-        """Note one member's answer."""
+        """Record the answer of a member."""
         if sender in self.waiting:
             self.waiting.discard(sender)
             self.answers_by_name[sender] = answer
 
     def finding(self) -> Finding | None:
-        """Return the answer that tells most, None if none tells anything."""
+        """Return the most significant answer, or None if no member knows a claim."""
         findings = [
             Finding(name, answer) for name, answer in self.answers_by_name.items()
         ]
@@ -90,12 +91,12 @@
         return best if best is not None and self._weight(best) else None
 
     def _weight(self, finding: Finding) -> int:
-        """Return how much an answer tells.
+        """Return the significance of an answer.
 
-        What goes wrong without the order: a grant that was never used stays
-        at its owner, which is cut off; when it is back, its record must not
-        outdo what became of the key meanwhile. So the word of the runner
-        itself counts for more, also if it knows nothing of the grant.
+        Without this order, an owner that was cut off with an unused grant would
+        return with a record that overrides what happened to the key meanwhile. The
+        answer of the runner itself therefore weighs more, even if it doesn't know
+        the grant.
         """
         name, answer = finding
         if answer.state is ClaimState.RUNNING:
@@ -116,7 +117,7 @@
 
 
 class Lookups:
-    """The lookups of one agent, at most one a key."""
+    """The lookups of one agent, at most one per key."""
 
     def __init__(self) -> None:
         self._by_key: dict[bytes, Lookup] = {}
@@ -129,14 +130,14 @@
         return key in self._by_key
 
     def begin(self, lookup: Lookup) -> bool:
-        """Start a lookup; False if there are too many already."""
+        """Start a lookup and return False if there are too many."""
         if len(self._by_key) >= LOOKUPS_LIMIT:
             return False
         self._by_key[lookup.ask.key] = lookup
         return True
 
     def add_answer(self, sender: str, answer: ClaimAnswer) -> Lookup | None:
-        """Note an answer; return the lookup that it completes."""
+        """Record an answer and return the lookup that it completes, or None."""
         self._silent.discard(sender)
         lookup = self._by_key.get(answer.key)
         if lookup is None or lookup.number != answer.number:
@@ -147,26 +148,26 @@
         return self._by_key.pop(answer.key)
 
     def renumber(self, sender: str, ask: ClaimAsk) -> None:
-        """Let the same asker's repeated ask replace its earlier one."""
+        """Replace an ask by a repetition of the same asker."""
         lookup = self._by_key[ask.key]
         same = lookup.sender == sender and lookup.ask.intent is ask.intent
-        # Members were asked about this very attempt; a refusal that they told
-        # of must not be taken for one of a later attempt.
+        # Members were asked about this attempt. A refusal that they reported must
+        # not be applied to a later one.
         same = same and lookup.ask.attempt == ask.attempt
         if same and ask.number > lookup.ask.number:
             lookup.ask = ask
 
     def drop_all(self) -> None:
-        """Forget every lookup: the roster that they were made under is old."""
+        """Drop all lookups when the roster that they were made under is replaced."""
         self._by_key.clear()
         self._silent.clear()
 
     def overdue(self, now: float) -> list[Lookup]:
         """Return the lookups whose silent members may be counted as lost.
 
-        What goes wrong: a member has died, and until it is marked down each
-        new key waits for it as long as the first one did. It would show as
-        half a second more for every request of the service.
+        Without the shorter timeout for silent members, every lookup would wait for
+        a dead member until it is marked down, which would add half a second to each
+        request of the service.
         """
         for lookup in self._by_key.values():
             if now - lookup.begun_at >= LOOKUP_TIMEOUT_SECONDS:
@@ -185,11 +186,11 @@
         )
 
     def end(self, lookup: Lookup) -> None:
-        """Forget a lookup that needs no more answers."""
+        """Remove a lookup that needs no more answers."""
         self._by_key.pop(lookup.ask.key, None)
 
     def due(self, now: float) -> list[Lookup]:
-        """Return the lookups to be repeated; overdue ones are dropped."""
+        """Return the lookups to repeat, and drop those past their lifetime."""
         for key, lookup in list(self._by_key.items()):
             if now - lookup.begun_at > LOOKUP_LIFETIME_SECONDS:
                 del self._by_key[key]
@@ -204,7 +205,7 @@
 
     @staticmethod
     def message(lookup: Lookup, name: str, incarnation: int) -> ClaimAsk:
-        """Return what the members are asked."""
+        """Return the message that is sent to the members."""
         ask = lookup.ask
         return ClaimAsk(
             lookup.number,
--- a/packages/zinniahook-core/src/zinniahook_core/membership.py
+++ b/packages/zinniahook-core/src/zinniahook_core/membership.py
@@ -1,10 +1,9 @@
-"""Announcing an agent, fencing it, and taking it out of its roster.
+"""Registers an agent in its roster, fences it and removes it.
 
-The roster value in the store is changed by compare-and-swap alone. Every
-write is planned afresh from the newest roster known and from what this agent
-wants now, so a conflict, a lost answer and a store that was down are all
-settled in the same way: learn what is stored, plan again. A plan that finds
-nothing to change writes nothing.
+The roster in the store changes only by compare-and-swap. Each write is planned from
+the newest roster known and from the state this agent wants now. Conflicts, lost
+answers and store outages are therefore handled the same way: read the stored roster
+and plan again. If the plan changes nothing, nothing is written.
 """
 
 from __future__ import annotations
@@ -24,32 +23,45 @@
 __all__ = ["FENCE_AFTER_SECONDS", "Membership"]
 
 FENCE_AFTER_SECONDS = 3.0
-"""A pause this long fences. It is shorter than ``MARK_DOWN_AFTER_SECONDS``, so that
-no peer has acted on the absence before the agent itself knows of it."""
+"""Length of a pause that fences the agent.
+
+It is shorter than ``MARK_DOWN_AFTER_SECONDS``, so the agent notices its own absence
+before any peer acts on it.
+"""
 assert FENCE_AFTER_SECONDS < MARK_DOWN_AFTER_SECONDS
 
 TARGET_GRACE_SECONDS = 10.0
+"""Time after which an open port is enough for a target to be ready."""
 MINIMUM_LEAVE_SECONDS = 3.0
+"""Shortest time between a drain request and the removal of an idle agent."""
 REMOVAL_GRACE_SECONDS = 1.0
+"""How long past the drain deadline the agent waits for its removal."""
 READ_INTERVAL_SECONDS = 5.0
+"""Shortest interval between two reads of a roster that may be stale."""
 DOWN_RETENTION_SECONDS = 300.0
+"""How long members that are marked down stay in the roster."""
 MEMBERS_LIMIT = 256
 
 
 class Membership:
-    """One agent's part in the roster of its service.
+    """The membership of one agent in the roster of its service.
 
     Parameters
     ----------
     identity : Member
-        What is announced. ``incarnation`` has to grow from one start of the
-        process to the next, as wall-clock seconds do; ``state`` is ignored.
+        What the agent announces. ``incarnation`` must grow with every start of
+        the process, as wall-clock seconds do; ``state`` is ignored.
     service : str
         The service of the roster.
     rng : random.Random
-        Jitter of heartbeats and retries.
+        Adds jitter to heartbeats and retries.
     load : callable
-        Returns the agent's own ``Load`` for a time.
+        Returns the agent's own ``Load`` at a given time.
+
+    Attributes
+    ----------
+    effective_roster : Roster
+        The roster, with the members that are presumed down marked as such.
     """
 
     def __init__(
@@ -83,27 +95,27 @@
 
     @property
     def incarnation(self) -> int:
-        """The incarnation that this agent runs under."""
+        """The current incarnation of this agent."""
         return self.identity.incarnation
 
     @property
     def state(self) -> AgentState:
-        """What this agent says of itself."""
+        """The state that this agent announces."""
         return self.identity.state
 
     @property
     def leaving(self) -> bool:
-        """Whether a drain was requested; it takes effect at once."""
+        """Whether a drain was requested. It takes effect at once."""
         return self._leave_since is not None
 
     @property
     def fenced(self) -> bool:
-        """Whether the roster doesn't hold this incarnation, so far known."""
+        """Whether the newest known roster doesn't confirm this incarnation."""
         return not self._confirmed
 
     @property
     def accepting(self) -> bool:
-        """Whether this agent may take new work."""
+        """Whether this agent may accept new work."""
         ready = self.state is AgentState.READY
         return ready and self._confirmed and not self.leaving
 
@@ -117,7 +129,7 @@
         }
 
     def live(self, now: float) -> set[str]:
-        """Return the peers heard lately, in any state, and this agent."""
+        """Return this agent and the peers heard recently, in any state."""
         return self._liveness.live(now) | {self.identity.name}
 
     def accepting_members(self, now: float) -> set[str]:
@@ -133,37 +145,37 @@
         return names | {self.identity.name} if self.accepting else names
 
     def isolated(self, now: float) -> bool:
-        """Tell whether there are peers and none of them is heard.
+        """Return whether this agent has peers but hears none of them.
 
-        Peers may then have marked this agent down without its knowledge, so
-        it must not decide alone on what only one agent may decide.
+        Peers may have marked this agent down without its knowledge. It must not
+        make decisions then that only one agent may make.
         """
         return bool(self.peers) and not self._liveness.live(now)
 
     def loads(self, now: float) -> dict[str, tuple[Load, float]]:
-        """Return each peer's last own count and its age in seconds."""
+        """Return the last reported load of each peer and its age in seconds."""
         return self._liveness.loads(now)
 
     def detect_pause(self, now: float) -> list[AgentEffect]:
-        """Fence this agent if it was paused; call before every event.
+        """Fence this agent if it was paused. Call this before every event.
 
-        What goes wrong: a paused process wakes and acts on an authority
-        that peers have taken over meanwhile. It shows as a gap between two
-        events, for ticks come ten times a second.
+        Otherwise a paused process resumes and acts on authority that its peers have
+        taken over. A pause shows as a gap between two events, since ticks come ten
+        times a second.
         """
         gap = 0.0 if self._last_event_at is None else now - self._last_event_at
         self._last_event_at = now
         if gap > HEARTBEAT_INTERVAL_SECONDS:
-            # What peers sent meanwhile still waits in the socket.
+            # Messages that peers sent during the pause are still in the socket.
             self._liveness.restart_timers(now)
         if gap <= FENCE_AFTER_SECONDS or self.drained:
             return []
         return self._restart(now, "paused", self.incarnation + 1)
 
     def tick(self, now: float, busy: bool) -> list[AgentEffect]:
-        """Send heartbeats, retry writes, finish a drain.
+        """Send heartbeats, retry writes and complete a drain.
 
-        ``busy`` tells whether flows or requests are in progress here.
+        ``busy`` is whether flows or requests are in progress here.
         """
         if self.drained:
             return []
@@ -173,7 +185,8 @@
         if self._writer.expire(now, self.incarnation):
             effects += self._read_after_lost_answer()
         if self.isolated(now):
-            # Whoever is marked down gets no more heartbeats.
+            # An agent that is marked down receives no more heartbeats, so silence
+            # may mean that the roster is stale.
             effects += self._read_if_due(now)
         effects += self._leave(now, busy)
         self._update_effective_roster(now)
@@ -182,17 +195,17 @@
     def note_heartbeat(
         self, now: float, sender: str, heartbeat: Heartbeat
     ) -> list[AgentEffect]:
-        """Take a peer's heartbeat."""
+        """Handle a heartbeat of a peer."""
         self._liveness.note_heartbeat(now, sender, heartbeat)
         stored = self.roster.by_name.get(sender)
         unknown = stored is None or stored.incarnation < heartbeat.incarnation
         if unknown or heartbeat.revision > self.roster.revision:
-            # The push of a newer roster got lost on its way here.
+            # The push of a newer roster was lost.
             return self._read_if_due(now)
         return []
 
     def learn(self, now: float, roster: Roster) -> list[AgentEffect]:
-        """Take a roster from the store or a peer, if it is newer."""
+        """Adopt a roster from the store or a peer if it is newer."""
         if roster.service != self.roster.service or self.drained:
             return []
         if roster.revision < self.roster.revision:
@@ -200,7 +213,7 @@
         return self._adopt(now, roster) + self._reconcile(now)
 
     def written(self, now: float, event: RosterWritten) -> list[AgentEffect]:
-        """Settle the outcome of a write."""
+        """Handle the result of a write."""
         settlement = self._writer.settle(
             now, event, self.incarnation, self.roster.revision
         )
@@ -218,7 +231,7 @@
         return effects + self.learn(now, stored) if stored else effects
 
     def drain(self, now: float, seconds: float) -> list[AgentEffect]:
-        """Start a graceful leave, or bring its deadline forward."""
+        """Start a graceful leave, or shorten the deadline of the current one."""
         deadline = now + max(0.0, seconds)
         if self.leaving:
             self._leave_deadline = min(self._leave_deadline, deadline)
@@ -231,11 +244,11 @@
         return [log, *self._send_heartbeats(now), *self._reconcile(now)]
 
     def target_reported(self, now: float, event: TargetReported) -> list[AgentEffect]:
-        """Take the target's own report as evidence of readiness.
+        """Update the readiness of this agent from a report of its target.
 
-        A target that says it is healthy is ready at once. One whose port
-        accepts connections while its health endpoint fails or denies is
-        ready after ``TARGET_GRACE_SECONDS`` seconds: the endpoint may be the liar.
+        A target that reports itself healthy is ready at once. If its port accepts
+        connections but its health endpoint fails or reports unhealthy, it is ready
+        after ``TARGET_GRACE_SECONDS``, since the endpoint may be wrong.
         """
         if self.state is not AgentState.STARTING or self._started_at is None:
             return []
@@ -266,11 +279,11 @@
         return [*_log_new_marks(former, roster), *self._check_own(now)]
 
     def _update_effective_roster(self, now: float) -> None:
-        """Keep ``effective_roster``: the roster without those presumed dead.
+        """Mark the members that are presumed down in ``effective_roster``.
 
-        What goes wrong: an agent dies while the store is down, nobody can
-        mark it, and packets of plain UDP flows are forwarded to it until the
-        store is back. Claims must not move without a mark; flows may.
+        Without this, when an agent dies while the store is down, no agent can mark
+        it, and packets of plain UDP flows are forwarded to it until the store is
+        back. Flows may move without a mark in the store; claims must not.
         """
         presumed = self._liveness.presumed_down(now, self.roster)
         if presumed == self._presumed_down:
@@ -291,7 +304,8 @@
         if self._is_foreign(stored):
             return self._resolve_name_conflict(now, stored)
         if stored.state is AgentState.DOWN:
-            # Peers took over its work; only a new incarnation may go on.
+            # Peers have taken over the work of this incarnation. Only a new one may
+            # continue.
             self._liveness.note_own_mark()
             return self._restart(now, "marked down", self.incarnation + 1)
         if self._confirmed:
@@ -300,15 +314,16 @@
         return [self._log("agent-announced")]
 
     def _is_foreign(self, stored: Member) -> bool:
-        """Tell whether another life of this name wrote the stored entry."""
+        """Return whether another process of this name wrote the stored entry."""
         if stored.incarnation > self.incarnation:
             return True
         written = self._writer.may_have_written(self.incarnation)
         return not self._confirmed and not written
 
     def _resolve_name_conflict(self, now: float, stored: Member) -> list[AgentEffect]:
-        # Of two lives with one name the later wins for good. If both took
-        # the name back in turn, each would cut the other's flows for ever.
+        # Of two processes with the same name, the later one wins permanently. If
+        # each reclaimed the name in turn, they would cut each other's flows
+        # forever.
         if self._was_confirmed and stored.state is not AgentState.DOWN:
             if not self._confirmed:
                 return []
@@ -335,7 +350,7 @@
         return [Count("membership.marks_planned", marks), write] if marks else [write]
 
     def _plan(self, now: float) -> tuple[dict[str, Member], int]:
-        """Return the members as they should be, and how many marks are new."""
+        """Return the wanted members and the number of new down marks."""
         name = self.identity.name
         members = dict(self.roster.by_name)
         stored = members.get(name)
@@ -361,7 +376,8 @@
         if self._leave_since is None:
             return []
         late = now >= self._leave_deadline
-        # Stale entries still send openings here; stay to hand them over.
+        # Entries with a stale roster still send openings here. Stay for a while to
+        # hand them over.
         idle = not busy and now - self._leave_since >= MINIMUM_LEAVE_SECONDS
         self._departing = self._departing or idle or late
         if not self._departing:
@@ -369,7 +385,7 @@
         stored = self.roster.by_name.get(self.identity.name)
         removed = stored is None or stored.incarnation > self.incarnation
         overtime = now - self._leave_deadline
-        # With the store down the entry stays; peers mark it down later.
+        # If the store is down, the roster entry stays and peers mark it down later.
         if not removed and (
             overtime < 0
             or (overtime < REMOVAL_GRACE_SECONDS and not self._writer.store_failing)
@@ -393,8 +409,8 @@
         return [SendPeer(peer, heartbeat) for peer in self.peers]
 
     def _read_after_lost_answer(self) -> list[AgentEffect]:
-        # Reading tells whether it was written. If reading fails as well, the
-        # compare of the next write does.
+        # Reading the roster shows whether the write took effect. If the read fails
+        # too, the comparison of the next write shows it.
         return [Count("membership.answers_lost"), ReadRoster(self.roster.service)]
 
     def _read_if_due(self, now: float) -> list[AgentEffect]:
@@ -409,7 +425,7 @@
 
 
 def _log_new_marks(former: Roster, roster: Roster) -> list[Log]:
-    """Return a line for each member that was newly marked down."""
+    """Return a log line for each member that is newly marked down."""
     return [
         Log("agent-down", (("agent", name), ("incarnation", member.incarnation)))
         for name, member in roster.by_name.items()
@@ -420,7 +436,10 @@
 
 
 def _drop_marked_members(members: dict[str, Member]) -> bool:
-    """Remove marked members while there are too many; tell if it was enough."""
+    """Remove marked members while the roster is too large.
+
+    Return whether the roster is then within ``MEMBERS_LIMIT``.
+    """
     down = [m.name for m in members.values() if m.state is AgentState.DOWN]
     while len(members) > MEMBERS_LIMIT and down:
         del members[down.pop(0)]
--- a/packages/zinniahook-core/src/zinniahook_core/openrequests.py
+++ b/packages/zinniahook-core/src/zinniahook_core/openrequests.py
@@ -1,4 +1,4 @@
-"""Requests that have no final answer yet, and the copies that wait with them."""
+"""Requests without a final answer, and copies that wait for the same answer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Stage(enum.Enum):
-    """How far a request has come."""
+    """The progress of an open request."""
 
     NEW = "new"
     QUEUED = "queued"
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request that has no final answer yet."""
+    """A request without a final answer."""
 
     event: RequestArrived
     deadline: float
@@ -45,20 +45,20 @@
 
     @property
     def number(self) -> int:
-        """The driver's name for the request."""
+        """The driver's identifier of the request."""
         return self.event.request
 
     @property
     def needs_claim(self) -> bool:
-        """Whether it may run only under a claim."""
+        """Whether the request may run only under a claim."""
         return bool(self.event.key) and not self.event.idempotent
 
 
 class OpenRequests:
-    """Open requests by number, and which one leads the copies of a key.
+    """Open requests by number, and the leader of the copies of each key.
 
-    Copies of a claimed request at one agent follow the first of them: they
-    get its answer, whatever that is.
+    Copies of a claimed request at one agent follow the first of them and get the
+    same answer.
     """
 
     def __init__(self) -> None:
@@ -75,37 +75,37 @@
         return number in self._by_number
 
     def get(self, number: int) -> OpenRequest | None:
-        """Return an open request, None if it is closed."""
+        """Return an open request, or None if it is closed."""
         return self._by_number.get(number)
 
     def add(self, item: OpenRequest) -> None:
-        """Open a request."""
+        """Add an open request."""
         self._by_number[item.number] = item
 
     def leader(self, key: bytes) -> OpenRequest | None:
-        """Return the request that leads the copies of ``key``."""
+        """Return the leader of the copies of ``key``, or None."""
         return self._by_number.get(self._leader_by_key.get(key, -1))
 
     def set_leader(self, item: OpenRequest) -> None:
-        """Let a request lead the copies of its key."""
+        """Make a request the leader of the copies of its key."""
         self._leader_by_key[item.event.key] = item.number
 
     def follow(self, item: OpenRequest, leader: OpenRequest) -> None:
-        """Let a copy wait for what its leader gets."""
+        """Let a copy wait for the answer of its leader."""
         leader.followers.append(item.number)
         item.leader = leader.number
         item.stage = Stage.JOINED
 
     def detach(self, item: OpenRequest) -> None:
-        """Close a copy without its leader."""
+        """Close a copy without closing its leader."""
         self.close(item)
-        # Not the leader of its key: another copy may lead by now.
+        # Look up the recorded leader, since another copy may lead the key now.
         leader = self._by_number.get(item.leader)
         if leader is not None and item.number in leader.followers:
             leader.followers.remove(item.number)
 
     def close(self, item: OpenRequest) -> None:
-        """Close a request, its followers aside."""
+        """Close a request but not its followers."""
         self._by_number.pop(item.number, None)
         if self._leader_by_key.get(item.event.key) == item.number:
             del self._leader_by_key[item.event.key]
@@ -117,13 +117,13 @@
         self.close(item)
 
     def clear(self) -> None:
-        """Close everything."""
+        """Close all requests."""
         self._by_number.clear()
         self._leader_by_key.clear()
 
 
 class RequestPlacement(Protocol):
-    """What requests need of ``placement.Placement``."""
+    """The part of ``placement.Placement`` that requests use."""
 
     def choose_for_request(
         self, now: float, slots_needed: int, local: Load, forced: bool = False
@@ -131,4 +131,4 @@
         """Return the peer that should run a request, or None for this agent."""
 
     def handed(self, now: float, peer: str, slots: int = 1) -> None:
-        """Note that work was handed to ``peer``."""
+        """Record that work was handed to ``peer``."""
--- a/packages/zinniahook-core/src/zinniahook_core/owners.py
+++ b/packages/zinniahook-core/src/zinniahook_core/owners.py
@@ -1,4 +1,4 @@
-"""The plain UDP flows that one agent owns, and which homes it told of them."""
+"""Plain UDP flows that an agent owns, and the homes that have pointers to them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
 __all__ = ["OwnedFlow", "OwnedFlows"]
 
 RENEWALS_PER_IDLE_TIME = 3
+"""How often a pointer is renewed within the idle time of a flow."""
 FLOWS_PER_SWEEP = 1000
 
 
 @dataclass(slots=True)
 class OwnedFlow:
-    """One flow; ``home`` is whom it was last notified_at to, as of ``epoch``."""
+    """An owned flow.
+
+    ``home`` is the home that was last notified, as of ranking epoch ``epoch``.
+    """
 
     opened: float
     seen: float
@@ -27,7 +31,7 @@
 
 
 class OwnedFlows:
-    """Owned flows by their key; sees to it that each one's home knows.
+    """Owned flows by key. Keeps the home of each flow informed.
 
     Parameters
     ----------
@@ -48,36 +52,36 @@
         return flow in self._by_flow
 
     def get(self, flow: bytes) -> OwnedFlow | None:
-        """Return the flow if it is owned here."""
+        """Return the flow if this agent owns it."""
         return self._by_flow.get(flow)
 
     def add(self, now: float, flow: bytes, known_by: str = "") -> None:
-        """Own ``flow``; its home is notified_at, unless it is ``known_by``."""
+        """Own ``flow`` and notify its home, unless the home is ``known_by``."""
         owned = OwnedFlow(opened=now, seen=now)
         self._by_flow[flow] = owned
         self._update_home(now, flow, owned, known_by)
 
     def notify_home(self, flow: bytes) -> None:
-        """Tell the present home of an owned flow."""
+        """Send a pointer to the current home of an owned flow."""
         owned = self._by_flow.get(flow)
         if owned is not None and owned.home is not None:
             self._sender.enqueue(owned.home, flow)
 
     def forget(self, flow: bytes) -> None:
-        """Own ``flow`` no longer."""
+        """Stop owning ``flow``."""
         owned = self._by_flow.pop(flow, None)
         if owned is not None and owned.home is not None:
             self._sender.forget(owned.home, flow)
 
     def confirmed(self, sender: str, message: FlowAnswer) -> None:
-        """Take a home's confirmation of what it was told."""
+        """Handle the confirmation of a batch of pointers."""
         self._sender.confirmed(sender, message)
 
     def sweep(self, now: float, idle: float) -> list[bytes]:
-        """Look over the next SWEEP flows; return those that went idle.
+        """Check the next ``FLOWS_PER_SWEEP`` flows and return the idle ones.
 
-        A slice at a time, so that a change of roster with many flows does
-        not hold up the packets.
+        Checking a slice at a time keeps a roster change with many flows from
+        delaying packets.
         """
         if not self._to_sweep:
             self._to_sweep = list(self._by_flow)
@@ -99,7 +103,7 @@
         return self._sender.send(now, incarnation)
 
     def clear(self) -> None:
-        """Own nothing."""
+        """Forget all flows."""
         self._by_flow.clear()
         self._sender.clear()
 
@@ -122,9 +126,9 @@
     ) -> None:
         if owned.epoch != self._homes.epoch:
             self._update_home(now, flow, owned)
-        # Entries send straight to the owner while their hints last, so the
-        # home sees no packet for hours; without a renewal its pointer would
-        # run out, and the flow break when an entry is replaced.
+        # Entries send directly to the owner while their hints last, so the home may
+        # see no packet for hours. Without a renewal its pointer would expire, and
+        # the flow would break when an entry is replaced.
         if owned.home is None or owned.home.name == self._homes.name:
             return
         if now - owned.notified_at >= idle / RENEWALS_PER_IDLE_TIME:
--- a/packages/zinniahook-core/src/zinniahook_core/paths.py
+++ b/packages/zinniahook-core/src/zinniahook_core/paths.py
@@ -1,10 +1,10 @@
-"""By way of which entry an agent answers each flow.
+"""The entry through which an agent answers each flow.
 
-What goes wrong: something between an entry and the caller loses track of a
-flow, or an entry's way out is cut while its way in still works. One notices
-it by answers that are never acknowledged while other flows go on. A new
-datagram of the caller does not help, as it may come by the same entry again;
-so an entry that was given up for a flow stays given up for a while.
+A device between an entry and the caller may lose track of a flow, or the entry's
+outbound path may fail while its inbound path still works. Answers are then never
+acknowledged while other flows continue. A new datagram of the caller doesn't help,
+since it may arrive through the same entry. An entry that was given up for a flow is
+therefore avoided for a while.
 """
 
 from __future__ import annotations
@@ -18,6 +18,7 @@
 __all__ = ["Paths"]
 
 RECENT_SECONDS = 10.0
+"""How recently an entry must have been heard to switch a flow to it."""
 GIVEN_UP_SECONDS = 30.0
 GIVEN_UP_LIMIT = 8
 ENTRIES_LIMIT = 1024
@@ -26,23 +27,23 @@
 
 @dataclass(slots=True)
 class Path:
-    """The entry in use for one flow, and until when others are given up."""
+    """The entry in use for a flow, and until when other entries are avoided."""
 
     entry: Address
     given_up_until: dict[Address, float] = field(default_factory=dict)
 
 
 class Paths:
-    """The entries that one agent hears, and the one it uses for each flow.
+    """The entries that one agent hears, and the entry in use for each flow.
 
-    Memory is bounded by 1,024 entries and 16,384 flows. What is used least
-    lately goes first; a forgotten flow is answered by the next entry heard.
+    Memory is limited to 1,024 entries and 16,384 flows. The least recently used are
+    evicted first. A forgotten flow is answered through the next entry heard.
 
     Parameters
     ----------
     rng : random.Random
-        Draws the entry that a flow switches to, so that the flows of a bad
-        entry spread over all the others.
+        Chooses the entry that a flow switches to, so that the flows of a
+        failing entry spread over all others.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -54,7 +55,7 @@
         return len(self._paths_by_flow)
 
     def heard(self, now: float, entry: Address, flow: bytes = b"") -> None:
-        """Note an authenticated datagram by way of ``entry``.
+        """Record an authenticated datagram that arrived through ``entry``.
 
         Parameters
         ----------
@@ -63,7 +64,7 @@
         entry : Address
             The tunnel address of the entry.
         flow : bytes
-            The flow that it belongs to, or empty if it belongs to none.
+            The flow of the datagram, or empty if it belongs to none.
         """
         _put(self._heard_by_entry, entry, now, ENTRIES_LIMIT)
         if not flow:
@@ -76,20 +77,20 @@
         _put(self._paths_by_flow, flow, path, FLOWS_LIMIT)
 
     def for_flow(self, now: float, flow: bytes) -> Address | None:
-        """Return the entry to answer by; None if no entry was ever heard."""
+        """Return the entry to answer through, or None if none was ever heard."""
         path = self._paths_by_flow.get(flow)
         if path is not None:
             return path.entry
         return next(reversed(self._heard_by_entry), None)
 
     def switch_entry(self, now: float, flow: bytes) -> Address | None:
-        """Switch a flow whose answers get no acknowledgement.
+        """Switch a flow whose answers aren't acknowledged to another entry.
 
         Returns
         -------
         Address or None
-            The entry to use from now on. It is the one in use if no other
-            was heard lately.
+            The entry to use from now on. It stays the same if no other entry was
+            heard recently.
         """
         current = self.for_flow(now, flow)
         if current is None:
@@ -103,7 +104,7 @@
         return path.entry
 
     def forget(self, flow: bytes) -> None:
-        """Drop what is kept of a flow that ended."""
+        """Forget a flow that ended."""
         self._paths_by_flow.pop(flow, None)
 
     def _choose_other(self, now: float, path: Path) -> Address:
@@ -118,7 +119,7 @@
         fresh = [entry for entry in recent if given_up.get(entry, now) <= now]
         if fresh:
             return self._rng.choice(fresh)
-        # Every one was tried; the one given up longest ago may work again.
+        # All entries were tried. The one given up longest ago may work again.
         return min(recent, key=given_up.__getitem__)
 
 
--- a/packages/zinniahook-core/src/zinniahook_core/placement.py
+++ b/packages/zinniahook-core/src/zinniahook_core/placement.py
@@ -1,8 +1,8 @@
-"""Who of a service's agents takes new work: two choices by own counts.
+"""Placement of new work: the better of two random peers, by reported load.
 
-Each agent compares its own load with what its peers last counted themselves.
-Work is handed to the better of two random peers, and only when that gains by
-a margin. Measured variants and figures are in docs/design/placement.md.
+Each agent compares its own load with the load that its peers last reported. It
+hands work to the better of two random peers, and only if that gains by a margin.
+docs/design/placement.md has the variants and their measurements.
 """
 
 from __future__ import annotations
@@ -22,26 +22,33 @@
 
 REPORT_MAX_AGE_SECONDS = 3.0
 IN_FLIGHT_SECONDS = 0.02
+"""How long handed over work may be missing from a new report."""
 BUCKET_SECONDS = 0.01
 CHOICES = 2
+"""Number of random peers whose work is compared."""
 MAX_COMPARED = 16
-"""How many peers a choice looks at, however many there are."""
+"""Limit of the peers that one choice considers."""
 FLOW_MARGIN = 0.05
-"""How much a peer must be better, in parts of the mean."""
+"""How much better a peer must be, as a fraction of the mean."""
 UTILIZATION_WEIGHT = 0.2
+"""Weight of the utilization in the choice for flows and streams."""
 LOCAL_UTILIZATION_LIMIT = 0.5
-"""Up to this share of its slots an agent runs what it gets."""
+"""Utilization up to which an agent runs its requests itself."""
 TRUST_SECONDS = 1.0
+"""Time constant with which a report loses weight."""
 WARM_UP_SECONDS = 10.0
 COLD_CAPACITY_SHARE = 0.2
+"""Usable share of the slots of a target that has just started."""
 HEALTH_HALF_LIFE_SECONDS = 15.0
 HEALTH_PRIOR = 2.0
+"""Weight of the assumption that a target is healthy, in requests."""
 MIN_HEALTH = 0.05
 UNHEALTHY_REPORT_SECONDS = 3.0
+"""How long a report of the target that it is unhealthy applies."""
 UNHEALTHY_PRIOR = 0.5
-"""Stands for HEALTH_PRIOR while the target says that it is unhealthy."""
+"""Replaces ``HEALTH_PRIOR`` while the target reports that it is unhealthy."""
 FAILURE_WEIGHT = 4.0
-"""A target that fails all counts as filled this many times more."""
+"""Added to the utilization of a target that fails all requests."""
 MIN_SLOTS = 0.1
 NO_LOAD = Load(1, 0, 0, 0, 0)
 
@@ -52,15 +59,15 @@
 
 
 class Health:
-    """How much of its target's slots an agent may count on.
-
-    A target that fails fast has few requests in progress, so by load alone it
-    looks like the best place and draws in all the work, whatever its health
-    endpoint claims. The failures that the agent itself saw lower its share;
-    a healthy claim never raises it. An unhealthy claim only makes failures
-    count sooner: a wrong alarm that counted by itself would keep away the very
-    requests whose success refutes it. Evidence fades, so that a mended target
-    is tried again.
+    """The share of its target's slots that an agent can rely on.
+
+    A target that fails fast has few requests in progress. By load alone it looks
+    like the best choice and attracts all work, whatever its health endpoint
+    reports. The failures that the agent itself sees lower the share, and a report
+    that the target is healthy never raises it. A report that it is unhealthy only
+    makes failures count sooner. If such a report counted by itself, a false alarm
+    would keep away the requests whose success refutes it. Failures and successes
+    decay, so that a repaired target is tried again.
     """
 
     def __init__(self) -> None:
@@ -70,7 +77,7 @@
         self._unhealthy_at = -math.inf
 
     def finished(self, now: float, failed: bool) -> None:
-        """Note how the target ended a request."""
+        """Record how a request ended at the target."""
         self._decay(now)
         if failed:
             self._failures += 1.0
@@ -78,11 +85,11 @@
             self._successes += 1.0
 
     def reported(self, now: float, report: TargetReported) -> None:
-        """Note what the target says of itself."""
+        """Record the target's report of its own health."""
         self._unhealthy_at = -math.inf if report.healthy else now
 
     def share(self, now: float) -> float:
-        """Return the usable part of the slots, from HEALTH_FLOOR to 1."""
+        """Return the usable share of the slots, from MIN_HEALTH to 1."""
         self._decay(now)
         reported_unhealthy = now - self._unhealthy_at < UNHEALTHY_REPORT_SECONDS
         prior = UNHEALTHY_PRIOR if reported_unhealthy else HEALTH_PRIOR
@@ -98,7 +105,7 @@
 
 @dataclass(slots=True)
 class HandedWork:
-    """Work handed to a peer within one BUCKET of time."""
+    """Work handed to a peer within one interval of BUCKET_SECONDS."""
 
     at: float
     slots: int
@@ -106,7 +113,7 @@
 
 
 class Work(NamedTuple):
-    """What one peer is thought to have in progress, and its usable slots."""
+    """The estimated work in progress at an agent, and its usable slots."""
 
     flows: float
     streams: float
@@ -117,13 +124,13 @@
 
     @property
     def utilization(self) -> float:
-        """Requests running and queued per slot, more if the target fails."""
+        """Running and queued requests per slot, increased if the target fails."""
         return self.busy / self.slots + FAILURE_WEIGHT * (1.0 - self.share)
 
 
 @dataclass(slots=True)
 class Peer:
-    """What is known of one peer: its last report and what was handed since."""
+    """The last report of a peer and the work handed to it since."""
 
     slots: int = 1
     ready: bool = False
@@ -136,11 +143,11 @@
 
     @property
     def accepts_new(self) -> bool:
-        """Whether it may be given new work."""
+        """Whether the peer may be given new work."""
         return self.ready and not self.leaving
 
     def work(self, now: float) -> Work:
-        """Return its last report and what was handed to it since."""
+        """Return the last report plus the work handed over since."""
         flows = sum(item.flows for item in self.handed)
         slots = sum(item.slots for item in self.handed)
         load = self.load
@@ -162,7 +169,7 @@
     name : str
         This agent's own name, which is never chosen.
     rng : random.Random
-        Draws the two choices.
+        Draws the peers that are compared.
     """
 
     def __init__(self, name: str, rng: random.Random) -> None:
@@ -174,13 +181,13 @@
         self.health = Health()
 
     def configure(self, service: Service) -> None:
-        """Take the service's rules on who may serve it."""
+        """Adopt the service's rules on which members may serve it."""
         self._service = service
         if self._roster is not None:
             self.roster(0.0, self._roster)
 
     def roster(self, now: float, roster: Roster) -> None:
-        """Replace the peers; reports of a former incarnation are void."""
+        """Replace the peers. Reports of former incarnations are discarded."""
         former = self._peers_by_name
         self._roster = roster
         self._peers_by_name = {}
@@ -196,14 +203,14 @@
             self._peers_by_name[name] = peer
 
     def heartbeat(self, now: float, sender: str, heartbeat: Heartbeat) -> None:
-        """Take a peer's own counts, unless a later report is known."""
+        """Record the load that a peer reports unless a later report is known."""
         peer = self._peers_by_name.get(sender)
         if peer is None or heartbeat.incarnation < peer.incarnation:
             return
         if heartbeat.incarnation > peer.incarnation:
             peer.incarnation = heartbeat.incarnation
             peer.sequence = -1
-        # A late or doubled report must not look fresh.
+        # A late or duplicated report must not look fresh.
         if heartbeat.sequence <= peer.sequence:
             return
         peer.sequence = heartbeat.sequence
@@ -215,7 +222,7 @@
         ]
 
     def handed(self, now: float, peer: str, slots: int = 1, flows: int = 0) -> None:
-        """Note that work was handed to ``peer`` and is in no report yet."""
+        """Record work handed to ``peer`` that no report includes yet."""
         known = self._peers_by_name.get(peer)
         if known is None:
             return
@@ -229,9 +236,10 @@
         known.handed.append(HandedWork(now, slots, flows))
 
     def reported(self, now: float, load: Load) -> Load:
-        """Return ``load`` for a heartbeat, with the slots that are usable.
+        """Return ``load`` for a heartbeat, reduced to the usable slots.
 
-        Peers know from the roster how many there are, and so the health.
+        Peers know the number of slots from the roster and derive the health from
+        the ratio.
         """
         return load._replace(slots=round(load.slots * self.health.share(now)))
 
@@ -245,10 +253,10 @@
         now : float
             Monotonic seconds.
         local : Load
-            This agent's own counts.
+            This agent's own load.
         forced : bool
-            This agent may not take it (it is leaving); None then means that
-            no peer is ready.
+            Whether this agent can't take the flow because it is leaving. None then
+            means that no peer is ready.
         """
         return self._choose_by(now, local, forced, lambda work: work.flows)
 
@@ -257,8 +265,8 @@
     ) -> str | None:
         """Choose the peer that should run a request, or None for this agent.
 
-        ``slots_needed`` is 0 for a long-lived stream, which is weighed by
-        the streams in progress.
+        ``slots_needed`` is 0 for a long-lived stream, which is placed by the number
+        of streams in progress.
         """
         if slots_needed == 0:
             return self._choose_by(now, local, forced, lambda work: work.streams)
@@ -273,8 +281,9 @@
         scored = []
         for name in self._sample_peers(works):
             work = works[name]
-            # The older a report of short requests, the less it says; it is
-            # pulled to the mean, or the last to report idle draws a herd.
+            # A report of short requests loses meaning with age and is pulled
+            # towards the mean. Otherwise the last peer to report idle would attract
+            # a burst of requests.
             trust = math.exp(-work.age / TRUST_SECONDS)
             expected = mean + (work.utilization - mean) * trust
             scored.append((expected + slots_needed / work.slots, name))
@@ -288,7 +297,7 @@
         forced: bool,
         count: Callable[[Work], float],
     ) -> str | None:
-        """Choose by a count of long-lived things, and a little by requests."""
+        """Choose by a count of long-lived items and, with less weight, by requests."""
         works = self._peers_work(now)
         if not works:
             return self._any_ready() if forced else None
@@ -319,7 +328,7 @@
         )
 
     def _peers_work(self, now: float) -> dict[str, Work]:
-        """Return the work of ready peers with a fresh report."""
+        """Return the work of ready peers with a recent report."""
         fresh = [
             (name, peer)
             for name, peer in self._peers_by_name.items()
@@ -335,5 +344,5 @@
 
 
 def _usable_slots(slots: int, cold: float) -> float:
-    """Return the slots that a target can fill, fewer while it is cold."""
+    """Return the slots that a target can use, which are fewer while it is cold."""
     return max(MIN_SLOTS, slots * (1.0 - cold * (1.0 - COLD_CAPACITY_SHARE)))
--- a/packages/zinniahook-core/src/zinniahook_core/pointers.py
+++ b/packages/zinniahook-core/src/zinniahook_core/pointers.py
@@ -1,8 +1,8 @@
-"""Pointers from the home of a flow to its owner, and how a home learns them.
+"""Pointers from the home of a flow to its owner.
 
-What goes wrong: an agent joins or leaves, the home of an established flow
-moves, and the new home would open the flow a second time at another target.
-One notices a stream that starts anew. So each owner tells the new home, in
+When an agent joins or leaves, the home of an established flow moves. Without
+pointers the new home would open the flow again at another target, and the caller's
+stream would restart. Each owner therefore sends pointers to the new home, in
 batches that are repeated until confirmed.
 """
 
@@ -28,10 +28,10 @@
 
 
 class Pointer(NamedTuple):
-    """Who owns a flow; void after ``until``.
+    """The owner of a flow, valid until ``until``.
 
-    Until ``handed_until`` the opening itself may have been lost on its way,
-    so that forwarded datagrams are marked as handed over again.
+    The opening itself may have been lost before ``handed_until``, so until then
+    forwarded datagrams are marked as handed over again.
     """
 
     owner: str
@@ -41,7 +41,7 @@
 
 
 class Pointers:
-    """A bounded table of pointers; the one renewed longest ago goes first."""
+    """A bounded table of pointers that evicts the least recently renewed."""
 
     def __init__(self, limit: int = POINTERS_LIMIT) -> None:
         self._limit = limit
@@ -52,7 +52,7 @@
         return len(self._by_flow)
 
     def get(self, flow: bytes) -> Pointer | None:
-        """Return the pointer of ``flow``, if there is one."""
+        """Return the pointer of ``flow``, or None."""
         return self._by_flow.get(flow)
 
     def put(self, flow: bytes, pointer: Pointer) -> None:
@@ -64,11 +64,11 @@
             self.evicted += 1
 
     def drop(self, flow: bytes) -> None:
-        """Forget the pointer of ``flow``, if there is one."""
+        """Remove the pointer of ``flow``, if any."""
         self._by_flow.pop(flow, None)
 
     def expire(self, now: float, limit: int) -> None:
-        """Drop up to ``limit`` pointers that ran out, oldest first."""
+        """Remove up to ``limit`` expired pointers, oldest first."""
         for _ in range(min(limit, len(self._by_flow))):
             flow, pointer = next(iter(self._by_flow.items()))
             if pointer.until > now:
@@ -76,12 +76,12 @@
             del self._by_flow[flow]
 
     def clear(self) -> None:
-        """Forget every pointer."""
+        """Remove every pointer."""
         self._by_flow.clear()
 
 
 def confirmation(message: FlowPointers) -> FlowAnswer:
-    """Return what confirms ``message``: an answer that names no flow."""
+    """Return the confirmation of ``message``: an answer that names no flow."""
     return FlowAnswer(_digest(message.flows), b"", message.owner)
 
 
@@ -91,14 +91,14 @@
 
 @dataclass(slots=True)
 class UnconfirmedFlows:
-    """The flows that one home has not confirmed yet."""
+    """Flows whose pointers one home hasn't confirmed yet."""
 
     flows: dict[bytes, None] = field(default_factory=dict)
     batches_by_digest: dict[int, tuple[bytes, ...]] = field(default_factory=dict)
 
 
 class PointerSender:
-    """Tells homes of flows until they confirm.
+    """Sends pointers to homes until they are confirmed.
 
     Parameters
     ----------
@@ -112,13 +112,13 @@
         self._next_round = 0.0
 
     def enqueue(self, home: Home, flow: bytes) -> None:
-        """Queue ``flow`` for ``home``."""
+        """Queue a pointer of ``flow`` for ``home``."""
         self._unconfirmed_by_home.setdefault(home, UnconfirmedFlows()).flows[flow] = (
             None
         )
 
     def forget(self, home: Home, flow: bytes) -> None:
-        """Take ``flow`` back: it ended, or its home has moved on."""
+        """Drop the pointer of a flow that ended or has another home now."""
         unconfirmed = self._unconfirmed_by_home.get(home)
         if unconfirmed is None:
             return
@@ -127,7 +127,7 @@
             del self._unconfirmed_by_home[home]
 
     def confirmed(self, sender: str, message: FlowAnswer) -> None:
-        """Take a home's confirmation."""
+        """Handle the confirmation of a batch."""
         for home, unconfirmed in list(self._unconfirmed_by_home.items()):
             if home.name != sender:
                 continue
@@ -137,7 +137,7 @@
                 del self._unconfirmed_by_home[home]
 
     def send(self, now: float, incarnation: int) -> list[SendPeer]:
-        """Return the batches that are due; call it on every tick."""
+        """Return the batches that are due. Call this on every tick."""
         if now < self._next_round or not self._unconfirmed_by_home:
             return []
         self._next_round = now + ROUND_SECONDS
@@ -151,7 +151,7 @@
         return effects
 
     def clear(self) -> None:
-        """Forget everything that is queued."""
+        """Drop all queued pointers."""
         self._unconfirmed_by_home.clear()
 
 
--- a/packages/zinniahook-core/src/zinniahook_core/queries.py
+++ b/packages/zinniahook-core/src/zinniahook_core/queries.py
@@ -1,4 +1,4 @@
-"""Packets that wait while their flow's owner is asked for."""
+"""Queries for the owner of a flow, and the packets held meanwhile."""
 
 from __future__ import annotations
 
@@ -16,12 +16,14 @@
 PROVISIONAL_REPEAT_SECONDS = 0.5
 MAX_HELD_FLOWS = 1024
 MAX_HELD_PACKETS = 16
+"""Limit of the held packets of one flow."""
 MAX_HELD_BYTES = 4 * 1024 * 1024
+"""Limit of the held payload of all flows."""
 
 
 @dataclass(slots=True)
 class OwnerQuery:
-    """A flow whose owner is asked for, with its packets so far."""
+    """A query for the owner of a flow, with the packets held so far."""
 
     flow: bytes
     number: int
@@ -32,22 +34,22 @@
     packets: list[FlowDatagram] = field(default_factory=list)
 
     def restart(self, now: float, asked: tuple[str, ...]) -> None:
-        """Ask anew under another roster; earlier denials are void."""
+        """Restart the query under another roster and discard earlier denials."""
         self.since = now
         self.asked = asked
         self.denied.clear()
 
     def messages(self) -> list[SendPeer]:
-        """Return the asks to those that have not answered yet."""
+        """Return the messages to agents that haven't answered yet."""
         ask = FlowAsk(self.number, self.flow)
         return [SendPeer(name, ask) for name in self.asked if name not in self.denied]
 
 
 class OwnerQueries:
-    """The held flows, bounded in flows, packets of one flow, and bytes.
+    """Pending queries, limited in flows, packets of a flow and bytes.
 
-    A caller gets no answer while its packets are held, so a flood of new
-    flows in an overlap window would otherwise grow the process without end.
+    A caller gets no answer while its packets are held. Without limits, a flood of
+    new flows in an overlap window would grow the process without bound.
     """
 
     def __init__(self) -> None:
@@ -64,7 +66,7 @@
     def start(
         self, now: float, flow: bytes, asked: tuple[str, ...]
     ) -> OwnerQuery | None:
-        """Begin to ask for ``flow``; None if too many flows are held."""
+        """Start a query for ``flow``, or return None if too many flows are held."""
         if len(self._queries_by_flow) >= MAX_HELD_FLOWS:
             return None
         self._number += 1
@@ -73,7 +75,7 @@
         return query
 
     def hold(self, flow: bytes, packet: FlowDatagram) -> bool:
-        """Keep a packet of a held flow; False if there is no room."""
+        """Hold a packet and return whether it fits into the limits."""
         query = self._queries_by_flow[flow]
         size = len(packet.payload)
         if (
@@ -86,12 +88,12 @@
         return True
 
     def match(self, flow: bytes, number: int) -> OwnerQuery | None:
-        """Return the flow that an answer is for, unless the ask is over."""
+        """Return the pending query that an answer belongs to, or None."""
         query = self._queries_by_flow.get(flow)
         return query if query is not None and query.number == number else None
 
     def release(self, flow: bytes) -> list[FlowDatagram]:
-        """Stop asking for ``flow`` and return its packets in order."""
+        """End the query for ``flow`` and return its packets in order."""
         query = self._queries_by_flow.pop(flow, None)
         if query is None:
             return []
@@ -99,7 +101,7 @@
         return query.packets
 
     def overdue(self, now: float) -> list[OwnerQuery]:
-        """Return the flows whose asks have timed out."""
+        """Return the queries that have timed out."""
         return [
             query
             for query in self._queries_by_flow.values()
@@ -107,7 +109,7 @@
         ]
 
     def repeats(self, now: float) -> list[SendPeer]:
-        """Return the asks to send again; any message may get lost."""
+        """Return the messages to send again, since any message may be lost."""
         messages: list[SendPeer] = []
         for query in self._queries_by_flow.values():
             if now >= query.repeat_at:
@@ -116,18 +118,18 @@
         return messages
 
     def clear(self) -> None:
-        """Forget every held flow and packet."""
+        """Drop all queries and held packets."""
         self._queries_by_flow.clear()
         self._bytes = 0
 
 
 class ProvisionalFlows:
-    """Flows opened elsewhere than at their home, since the home was silent.
+    """Flows opened by an agent that isn't their home, as the home was silent.
 
-    What goes wrong: a home that was paused, or whose answers got lost, owns
-    the flow already, and one caller's packets are spread over two targets for
-    good. One notices two owners. So the home is asked until it answers, and
-    the flow goes to the owner that it names.
+    A home that was paused or whose answers were lost may own such a flow already.
+    The packets of one caller would then be spread over two targets permanently. The
+    home is therefore asked until it answers, and the flow goes to the owner that it
+    names.
     """
 
     def __init__(self) -> None:
@@ -135,24 +137,24 @@
         self._next_round = 0.0
 
     def add(self, flow: bytes, number: int) -> None:
-        """Ask for ``flow`` from the next round on, under ``number``."""
+        """Ask about ``flow`` under ``number`` from the next round on."""
         self._number_by_flow[flow] = number
 
     def number(self, flow: bytes) -> int | None:
-        """Return the number of the ask for ``flow``, if there is one."""
+        """Return the query number for ``flow``, or None."""
         return self._number_by_flow.get(flow)
 
     def drop(self, flow: bytes) -> None:
-        """Ask no more for ``flow``."""
+        """Stop asking about ``flow``."""
         self._number_by_flow.pop(flow, None)
 
     def due(self, now: float) -> list[tuple[bytes, int]]:
-        """Return what is to be asked now, once a round."""
+        """Return the flows and query numbers to ask about now, once per round."""
         if now < self._next_round:
             return []
         self._next_round = now + PROVISIONAL_REPEAT_SECONDS
         return list(self._number_by_flow.items())
 
     def clear(self) -> None:
-        """Ask for nothing."""
+        """Drop all flows."""
         self._number_by_flow.clear()
--- a/packages/zinniahook-core/src/zinniahook_core/queues.py
+++ b/packages/zinniahook-core/src/zinniahook_core/queues.py
@@ -1,4 +1,4 @@
-"""A bounded queue of requests, earliest deadline first."""
+"""A queue of requests, ordered by deadline."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class QueuedRequest(NamedTuple):
-    """One queued request; sorts by deadline, then by arrival."""
+    """A queued request, ordered by deadline and then by arrival."""
 
     deadline: float
     arrival: int
@@ -19,8 +19,8 @@
 class DeadlineQueue:
     """Requests that wait for a slot, earliest deadline first.
 
-    It is kept short (tens of requests), so a sorted list serves better than
-    a heap: the last one and the place of any one are at hand.
+    The queue is short (tens of requests). A sorted list suits it better than a
+    heap, since the last request and the position of any request are easy to find.
     """
 
     def __init__(self) -> None:
@@ -39,11 +39,11 @@
         return self._waiting[-1]
 
     def ahead(self, deadline: float) -> int:
-        """Count the requests that go before one with ``deadline``."""
+        """Return how many requests precede one with ``deadline``."""
         return bisect.bisect_right(self._waiting, (deadline, self._arrivals + 1))
 
     def push(self, deadline: float, request: int) -> None:
-        """Add a request at its place."""
+        """Add a request in order."""
         self._arrivals += 1
         bisect.insort(self._waiting, QueuedRequest(deadline, self._arrivals, request))
 
@@ -52,7 +52,7 @@
         return self._waiting.pop(0)
 
     def remove(self, request: int) -> bool:
-        """Remove a request; False if it isn't queued."""
+        """Remove a request and return whether it was queued."""
         for place, waiting in enumerate(self._waiting):
             if waiting.request == request:
                 del self._waiting[place]
--- a/packages/zinniahook-core/src/zinniahook_core/rendezvous.py
+++ b/packages/zinniahook-core/src/zinniahook_core/rendezvous.py
@@ -1,8 +1,8 @@
 """Rendezvous (highest random weight) hashing.
 
-Every process that knows the same names ranks them alike for a key, with no
-state and no coordination. When a name joins or leaves, only the keys move
-that it wins or has won, and the former best is exactly the next in rank.
+Every process that knows the same names ranks them in the same order for a key,
+without state or coordination. When a name joins or leaves, only the keys that rank
+it first move. After a join, the former first name of such a key is second.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 
 @functools.lru_cache(maxsize=SEED_CACHE_SIZE)
 def _seed(name: str) -> int:
-    """Hash a name once; per key only one more hash is needed."""
+    """Return the cached hash of a name, so that a key needs only one more hash."""
     return xxh3_64_intdigest(name.encode())
 
 
 def rank(key: bytes, names: Iterable[str]) -> list[str]:
-    """Rank ``names`` for ``key``, best first.
+    """Rank ``names`` for ``key``, highest first.
 
     Parameters
     ----------
     key : bytes
-        What is to be placed.
+        The key to place.
     names : iterable of str
         The candidates, in any order.
 
     Returns
     -------
     list of str
-        Every name once; the order depends on the set of names alone.
+        Every name once. The order depends only on the set of names.
     """
     weighed = [(xxh3_64_intdigest(key, _seed(name)), name) for name in set(names)]
     weighed.sort(reverse=True)
@@ -60,5 +60,5 @@
 
 
 def fraction(key: bytes) -> float:
-    """Return a number from 0 to 1 that depends on ``key`` alone."""
+    """Return a number from 0 to 1 that depends only on ``key``."""
     return xxh3_64_intdigest(key) / 2.0**64
--- a/packages/zinniahook-core/src/zinniahook_core/replication.py
+++ b/packages/zinniahook-core/src/zinniahook_core/replication.py
@@ -1,7 +1,7 @@
-"""Keeping each record of a claim at two members.
+"""Replication of claim records, so that two members hold each of them.
 
-It takes copies from peers, copies again what was held together with a member
-that is lost, and tells the others once that is done.
+An agent takes copies from its peers, makes new copies of the records that it held
+together with a lost member, and declares to the others when that is done.
 """
 
 from __future__ import annotations
@@ -20,12 +20,13 @@
 __all__ = ["Replication"]
 
 ANNOUNCE_REPEAT_SECONDS = 1.0
+"""Delay of the second announcement of a finished request."""
 DECLARE_INTERVAL_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class Declaration:
-    """What the others are being told: nothing is held by this agent alone."""
+    """A declaration that this agent holds no record alone, sent to the others."""
 
     number: int
     revision: int
@@ -34,25 +35,25 @@
 
 
 class Replication:
-    """The records that this agent holds, and what it owes to other holders.
+    """The records that this agent holds, and their copies at other members.
 
     Parameters
     ----------
     view : MembershipView
         The members as this agent sees them.
     records : Records
-        What this agent remembers.
+        The records of this agent.
     effects : list of AgentEffect
-        Where messages and counts are put.
+        The list that messages and counts are appended to.
     next_number : callable
-        Returns a fresh number for a message.
+        Returns a new number for a message.
 
     Attributes
     ----------
     leaving : bool
-        Two others have to hold each record, for this agent will not.
+        Whether two others must hold each record because this agent leaves.
     remembers : int
-        The first incarnation of this process; it has forgotten nothing since.
+        The first incarnation since which this process has lost no records.
     """
 
     def __init__(
@@ -74,21 +75,21 @@
 
     @property
     def handed_over(self) -> bool:
-        """Whether others hold all that is held here."""
+        """Whether other members hold all records of this agent."""
         return self._transfer is None or self._transfer.done
 
     def finished(self, now: float, key: bytes, answer: bytes) -> None:
-        """Keep the answer of what ran here and tell the other holders."""
+        """Store the answer of a request that ran here and announce it."""
         self._end(now, key, ClaimState.FINISHED, answer)
         self._announce(now, key)
         self._announcements.append((now + ANNOUNCE_REPEAT_SECONDS, key))
 
     def failed(self, now: float, key: bytes) -> None:
-        """Note that nobody can tell what became of what ran here."""
+        """Record that the outcome of a request that ran here is unknown."""
         self._end(now, key, ClaimState.UNKNOWN, b"")
 
     def acknowledged(self, now: float, sender: str, number: int) -> bool:
-        """Note an acknowledgement; False if it is of something else."""
+        """Handle an acknowledgement and return whether it was expected."""
         if self._declared is not None and number == self._declared.number:
             self._declared.acknowledged.add(sender)
             return True
@@ -96,7 +97,7 @@
         return transfer is not None and transfer.acknowledged(now, sender, number)
 
     def tick(self, now: float) -> None:
-        """Send what is due."""
+        """Send the messages that are due."""
         while self._announcements and self._announcements[0][0] <= now:
             self._announce(now, self._announcements.popleft()[1])
         if self._transfer is not None:
@@ -128,7 +129,7 @@
         self._effects += [SendPeer(name, message) for name in holders]
 
     def learn_finished(self, now: float, sender: str, message: ClaimFinished) -> None:
-        """Learn that a peer has finished a request, and keep its answer."""
+        """Record the answer of a request that a peer has finished."""
         if message.runner != sender or not message.started:
             return
         record = Record(
@@ -144,15 +145,15 @@
         self._records.absorb(now, finished_record, sender, message.incarnation)
 
     def learn_records(self, now: float, sender: str, message: ClaimRecords) -> None:
-        """Take a peer's records or its declaration, and acknowledge them."""
+        """Handle records or a declaration of a peer and acknowledge them."""
         if not self._view.valid(sender, message.incarnation):
             return
         if not message.records:
             current = self._view.current(sender, message.incarnation)
             if not current or sender not in self._view.live:
-                # A new life of that name must not speak for the one whose
-                # death this agent hasn't heard of yet; and whoever isn't asked
-                # in lookups can't stand for what it holds.
+                # A new incarnation of that name must not declare for the one whose
+                # death this agent hasn't learned of yet. A member that isn't asked
+                # in lookups can't vouch for its records either.
                 return
             if message.remembers:
                 self._view.remember(sender, message.remembers)
@@ -165,10 +166,10 @@
         self._effects.append(SendPeer(sender, reply))
 
     def _take_records(self, now: float, sender: str, message: ClaimRecords) -> bool:
-        """Hold a peer's records; False if they must not count as held."""
+        """Store records of a peer and return whether they count as held."""
         if 0 < message.revision < self._view.revision:
-            # Ownership may have moved since, and this agent may have told the
-            # new owner that it knows of no claim.
+            # Ownership may have moved since, and this agent may have answered the
+            # new owner that it knows no claim.
             self._effects.append(Count("claims.view_stale"))
             return False
         taken = [
@@ -181,16 +182,16 @@
         return True
 
     def start_transfer(self) -> None:
-        """Start to copy whatever has too few holders."""
+        """Start to copy the records that have too few holders."""
         holders = 2 if self.leaving else 1
         self._transfer = RecordTransfer(
             self._view, self._records, self._next_number, holders
         )
 
     def _declare(self, now: float) -> None:
-        """Tell the others once a handover is complete.
+        """Declare to the others that a transfer is complete.
 
-        They may then disregard the losses that it made good.
+        They may then ignore the losses that it has repaired.
         """
         transfer = self._transfer
         if transfer is not None and transfer.done and transfer.has_recipients:
--- a/packages/zinniahook-core/src/zinniahook_core/rosters.py
+++ b/packages/zinniahook-core/src/zinniahook_core/rosters.py
@@ -1,10 +1,10 @@
-"""One write of a roster at a time, with its retries.
+"""Writes of a roster, one at a time, with retries.
 
-What goes wrong: a write takes effect while its answer is lost, or the store
-is down and every agent of every service tries again at the same moment. The
-first shows as STORE_ANSWER_LOST or as no answer at all, the second as
-STORE_DOWN. Each write names the revision it replaces, so that a second try
-can't undo anybody's change, and tries are spread by a jittered backoff.
+A write may take effect while its answer is lost, and when the store is down, every
+agent of every service would retry at the same moment. The first case shows as
+STORE_ANSWER_LOST or as no answer at all, the second as STORE_DOWN. Each write names
+the revision that it replaces, so a retry can't undo another agent's change. Retries
+are spread by a backoff with jitter.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Settlement(enum.Enum):
-    """What is known of a write after its answer."""
+    """What is known about a write after its answer."""
 
     FOREIGN = "not the write that is waited for"
     WRITTEN = "stored"
@@ -37,7 +37,7 @@
 
 
 class Pending(NamedTuple):
-    """A write that has no answer yet."""
+    """A write without an answer."""
 
     operation: str
     base: int
@@ -45,14 +45,14 @@
 
 
 class RosterWriter:
-    """Paces the writes of one agent to its service's roster value.
+    """Schedules the writes of one agent to the roster of its service.
 
     Parameters
     ----------
     name : str
-        The agent's name; starts every operation id.
+        The agent's name, which starts every operation id.
     rng : random.Random
-        Jitter of the retries.
+        Adds jitter to retries.
     """
 
     def __init__(self, name: str, rng: random.Random) -> None:
@@ -66,19 +66,19 @@
 
     @property
     def store_failing(self) -> bool:
-        """Whether the last write got no proper answer from the store."""
+        """Whether the last write got no valid answer from the store."""
         return self._backoff > INITIAL_BACKOFF_SECONDS
 
     def idle(self, now: float) -> bool:
-        """Tell whether a write may be sent now."""
+        """Return whether a write may be sent now."""
         return self._pending is None and now >= self._retry_at
 
     def may_have_written(self, incarnation: int) -> bool:
-        """Tell whether a write under ``incarnation`` may be in the store."""
+        """Return whether the store may hold a write of ``incarnation``."""
         return self._pending is not None or self._stored_incarnation == incarnation
 
     def write(self, now: float, incarnation: int, roster: Roster) -> WriteRoster:
-        """Send ``roster`` in place of the revision that it names."""
+        """Return a write that replaces the revision named in ``roster``."""
         self._operations += 1
         operation = f"{self._name}/{incarnation}/{self._operations}"
         self._pending = Pending(operation, roster.revision, now)
@@ -87,7 +87,7 @@
     def settle(
         self, now: float, event: RosterWritten, incarnation: int, revision: int
     ) -> Settlement:
-        """Take the answer to a write; ``revision`` is the newest known."""
+        """Handle the answer to a write; ``revision`` is the newest known."""
         pending = self._pending
         if pending is None or event.operation != pending.operation:
             return Settlement.FOREIGN
@@ -110,7 +110,7 @@
         return Settlement.LOST
 
     def expire(self, now: float, incarnation: int) -> bool:
-        """Give up waiting for an answer; return whether one was overdue."""
+        """Stop waiting for an overdue answer and return whether there was one."""
         if self._pending is None or now - self._pending.sent < WRITE_TIMEOUT_SECONDS:
             return False
         self._pending = None
@@ -119,13 +119,13 @@
         return True
 
     def abandon(self, now: float) -> None:
-        """Forget the pending write: its incarnation is over."""
+        """Forget the pending write of an incarnation that has ended."""
         self._pending = None
         self._stored_incarnation = None
         self._retry_at = min(self._retry_at, now)
 
     def delay(self, now: float, seconds: float) -> None:
-        """Send nothing for some seconds."""
+        """Send no write for ``seconds``."""
         self._retry_at = now + seconds
 
     def _back_off(self, now: float) -> None:
--- a/packages/zinniahook-core/src/zinniahook_core/routing.py
+++ b/packages/zinniahook-core/src/zinniahook_core/routing.py
@@ -1,11 +1,12 @@
-"""What a datagram says of its own way: connection ids and flow keys.
+"""Connection ids and flow keys, by which datagrams are routed.
 
-A connection id is one clear byte, the key id, and one AES block::
+A connection id is one byte in the clear, the key id, followed by one AES block::
 
     service 2 | IPv4 address 4 | port 2 | incarnation 2 | random 3 | zeros 3
 
-Whoever knows the key routes an established connection to its owner and needs
-no table. The three zero bytes tell ours from ids that callers drew at random.
+Any process with the key routes an established connection to its owner without a
+table. The three zero bytes distinguish these ids from ids that callers chose at
+random.
 """
 
 from __future__ import annotations
@@ -34,6 +35,7 @@
 
 CONNECTION_ID_LENGTH = 17
 SHORT_HEADER_BYTES = 1 + CONNECTION_ID_LENGTH
+"""Length of a short header: the first byte and a connection id."""
 OWNER_CACHE_SIZE = 16384
 
 LONG_HEADER_BIT = 0x80
@@ -44,12 +46,13 @@
 
 BLOCK = struct.Struct("!H4sHH3s3s")
 OWNER_BYTES = 10
+"""Length of the part of the block that identifies the owner."""
 CHECK_BYTES = bytes(3)
 CHECK_OFFSET = 13
 
 
 class Owner(NamedTuple):
-    """Who owns a connection; ``incarnation`` is the low 16 bits."""
+    """The owner of a connection, with the low 16 bits of its incarnation."""
 
     service: int
     agent: Address
@@ -57,12 +60,12 @@
 
 
 class ConnectionIds:
-    """Encode and decode the connection ids of all services.
+    """Encodes and decodes the connection ids of all services.
 
     Parameters
     ----------
     keys_by_number : mapping of int to Key
-        Every key that is accepted.
+        All accepted keys.
     key : int
         The number of the key for new ids.
     rng : random.Random
@@ -76,7 +79,8 @@
             number: Cipher(algorithms.AES(entry.secret), modes.ECB())
             for number, entry in keys_by_number.items()
         }
-        # One block a call: an ECB context keeps no state between blocks.
+        # Each call processes one block, and an ECB context keeps no state between
+        # blocks.
         self._decrypt_by_number = {
             number: cipher.decryptor().update
             for number, cipher in ciphers_by_number.items()
@@ -87,7 +91,7 @@
         self._owners_by_block: dict[bytes, Owner] = {}
 
     def encode(self, owner: Owner) -> bytes:
-        """Draw a new id of 17 bytes for a connection of ``owner``.
+        """Return a new id of 17 bytes for a connection of ``owner``.
 
         Raises
         ------
@@ -109,7 +113,7 @@
         return self._prefix + self._encrypt(block)
 
     def decode(self, connection_id: bytes) -> Owner | Code:
-        """Return the owner, or CONNECTION_ID_UNKNOWN if the id isn't ours."""
+        """Return the owner, or CONNECTION_ID_UNKNOWN for a foreign id."""
         if len(connection_id) != CONNECTION_ID_LENGTH:
             return Code.CONNECTION_ID_UNKNOWN
         decrypt = self._decrypt_by_number.get(connection_id[0])
@@ -124,8 +128,8 @@
     def _unpack(self, block: bytes) -> Owner:
         service, host, port, incarnation, _, _ = BLOCK.unpack(block)
         owner = Owner(service, Address(socket.inet_ntoa(host), port), incarnation)
-        # Only ids under our key get here, so a flood of random ids fills
-        # nothing, and there are as many owners as agents, not as flows.
+        # Only ids made with an accepted key get here, so a flood of random ids
+        # doesn't fill the cache. It has an entry per agent, not per flow.
         if len(self._owners_by_block) >= OWNER_CACHE_SIZE:
             self._owners_by_block.clear()
         self._owners_by_block[block[:OWNER_BYTES]] = owner
@@ -133,15 +137,15 @@
 
 
 def destination_of(datagram: bytes) -> tuple[bool, bytes] | Code:
-    """Parse the header of a QUIC datagram as far as RFC 8999 fixes it.
+    """Parse the version-independent header of a QUIC datagram (RFC 8999).
 
     Returns
     -------
     tuple of bool and bytes
-        Whether the header is long, and the destination connection id; a
-        short header is taken to carry an id of 17 bytes.
+        Whether the header is long, and the destination connection id. The id
+        of a short header is assumed to have 17 bytes.
     Code
-        DATAGRAM_MALFORMED if it is too short for its own header.
+        DATAGRAM_MALFORMED if the datagram is shorter than its header.
     """
     length = len(datagram)
     if length < MIN_LONG_HEADER_BYTES:
@@ -157,10 +161,10 @@
 
 
 def flow_key(caller: Address) -> bytes:
-    """Return the key of a plain UDP flow: the caller's address, packed.
+    """Return the key of a plain UDP flow: the packed address of the caller.
 
-    6 bytes for IPv4 and 18 for IPv6. Within one service the caller's address
-    is all of the 5-tuple that differs.
+    The key has 6 bytes for IPv4 and 18 for IPv6. Within one service, flows differ
+    only in the address of the caller.
 
     Raises
     ------
@@ -175,7 +179,7 @@
 
 
 def may_serve(service: Service, member: Member) -> bool:
-    """Tell whether the configuration lets ``member`` take new work."""
+    """Return whether the configuration allows ``member`` to take new work."""
     if service.data_centres and member.data_centre not in service.data_centres:
         return False
     return any(fnmatchcase(member.name, pattern) for pattern in service.targets)
--- a/packages/zinniahook-core/src/zinniahook_core/suspensions.py
+++ b/packages/zinniahook-core/src/zinniahook_core/suspensions.py
@@ -1,10 +1,9 @@
 """Passive suspension of silent agents at an entry.
 
-What goes wrong: an agent dies or the way to it is cut, and until its peers
-have marked it down every new flow that ranks it first is lost. One notices
-it by openings that get no answer from anybody. The entry then leaves the
-agent out for new flows, by its own evidence alone, and tries it again with
-single openings at growing intervals.
+When an agent dies or becomes unreachable, every new flow that ranks it first is
+lost until its peers have marked it down. This shows as openings that no agent
+answers. The entry stops sending new flows to the agent on its own evidence and
+probes it with single openings at growing intervals.
 """
 
 from __future__ import annotations
@@ -20,9 +19,12 @@
 
 ANSWER_TIMEOUT_SECONDS = 1.0
 CALLERS_TO_SUSPEND = 3
+"""Number of callers without an answer that suspends an agent."""
 FAILURES_TO_SUSPEND = 8
-"""Of fewer callers: few may rank the agent first, and they would wait for
-ever for a third one."""
+"""Number of failures that suspends an agent if fewer callers fail.
+
+Few callers may rank the agent first, and they would wait forever for a third.
+"""
 
 MAX_SUSPENDED_SHARE = 0.5
 EVIDENCE_MAX_AGE_SECONDS = 10.0
@@ -34,7 +36,7 @@
 
 @dataclass(slots=True)
 class AgentRecord:
-    """What an entry has seen of one agent."""
+    """Answers and failures of one agent as an entry has seen them."""
 
     answered: float = float("-inf")
     failed_callers: set[Address] = field(default_factory=set)
@@ -45,24 +47,24 @@
 
 
 class Suspensions:
-    """The suspended agents of one service, as one entry sees them.
+    """The suspended agents of one service at one entry.
 
     Parameters
     ----------
     rng : random.Random
-        Spreads the probes of several entries.
+        Spreads the probes of different entries over time.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._names: tuple[str, ...] = ()
         self._records_by_name: dict[str, AgentRecord] = {}
-        # A dict keeps insertion order, so the oldest opening stands first.
+        # Dicts keep insertion order, so the oldest opening comes first.
         self._pending_by_caller: dict[Address, tuple[str, float]] = {}
 
     @property
     def suspended(self) -> tuple[str, ...]:
-        """The names that get no new flows now, in order of the roster."""
+        """The agents that get no new flows now, in roster order."""
         return tuple(
             name for name in self._names if self._records_by_name[name].suspended
         )
@@ -75,8 +77,8 @@
     def replace(self, names: Sequence[str], restarted: Iterable[str] = ()) -> None:
         """Set the agents that may get new flows.
 
-        ``restarted`` names those with a new incarnation; what was seen of
-        the former one says nothing of them.
+        ``restarted`` are the names with a new incarnation. The record of the former
+        incarnation is discarded.
         """
         fresh = set(restarted)
         former = self._records_by_name
@@ -90,7 +92,7 @@
         self._enforce_cap()
 
     def choose(self, now: float, key: bytes) -> str | None:
-        """Choose the agent for an opening, or None if there is none."""
+        """Choose the agent for an opening, or return None if there is none."""
         if not self._names:
             return None
         name = rendezvous.best(key, self._names)
@@ -106,17 +108,17 @@
         )
 
     def opened(self, now: float, name: str, caller: Address) -> None:
-        """Note that an opening of ``caller`` was sent to ``name``."""
+        """Record that an opening of ``caller`` was sent to ``name``."""
         pending = self._pending_by_caller
         if caller in pending or len(pending) >= PENDING_LIMIT:
             return
         pending[caller] = (name, now)
 
     def answered(self, now: float, caller: Address) -> str | None:
-        """Note an answer to ``caller``; return the agent it reinstates.
+        """Record an answer to ``caller`` and return the agent that it reinstates.
 
-        It counts for the agent that got the opening, whoever answers: an
-        agent that hands openings over is alive.
+        The answer counts for the agent that got the opening, whichever agent sent
+        it, since an agent that hands openings over is alive.
         """
         name, _ = self._pending_by_caller.pop(caller, (None, 0.0))
         record = self._records_by_name.get(name) if name else None
@@ -131,7 +133,7 @@
         return name if reinstated else None
 
     def expire(self, now: float) -> list[str]:
-        """Judge overdue openings; return the agents newly suspended."""
+        """Count overdue openings as failures and return newly suspended agents."""
         overdue = []
         for caller, (name, sent) in self._pending_by_caller.items():
             if now - sent < ANSWER_TIMEOUT_SECONDS:
@@ -161,9 +163,8 @@
         return True
 
     def _others_answer(self, now: float, name: str) -> bool:
-        # A service whose protocol never answers, or an entry that is itself
-        # cut off, sees silence everywhere; suspending anyone then only
-        # narrows the choice.
+        # If the protocol of the service never answers, or the entry itself is cut
+        # off, all agents are silent. Suspending one then only narrows the choice.
         return any(
             now - record.answered < EVIDENCE_MAX_AGE_SECONDS
             for other, record in self._records_by_name.items()
@@ -171,8 +172,8 @@
         )
 
     def _below_cap(self) -> bool:
-        # Without a cap, one entry with a bad path of its own would send all
-        # new flows to the last agent left and overload it.
+        # Without a cap, an entry with a broken path would send all new flows to the
+        # last agent left and overload it.
         return len(self.suspended) + 1 <= len(self._names) * MAX_SUSPENDED_SHARE
 
     def _enforce_cap(self) -> None:
--- a/packages/zinniahook-core/src/zinniahook_core/transfers.py
+++ b/packages/zinniahook-core/src/zinniahook_core/transfers.py
@@ -1,9 +1,9 @@
-"""Records of claims on their way from one agent to its peers.
+"""Transfers of claim records from an agent to its peers.
 
-Two members have to hold each claim. When one of them is lost the other copies
-the record to a third, an agent that was alone does so once it has a peer, and
-a leaving agent first sees to it that two others hold what it holds. Batches
-are repeated until acknowledged.
+Each claim must be held by two members. When one of them is lost, the other copies
+the record to a third. An agent that was alone copies its records once it has a
+peer. A leaving agent first makes sure that two others hold its records. Batches are
+repeated until they are acknowledged.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 BATCH_RECORDS = 8
 BATCH_BYTES = 1000
 BATCHES_IN_FLIGHT = 4
-"""Together with the tick, this bounds a handover to some 36 KB a second."""
+"""Limits a transfer, together with the tick, to about 36 KB per second."""
 
 ASSIGNED_PER_TICK = 1000
 REPEAT_AFTER_SECONDS = 0.3
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Batch:
-    """Records sent to one peer and not acknowledged yet."""
+    """Records that were sent to a peer and aren't acknowledged yet."""
 
     peer: str
     keys: tuple[bytes, ...]
@@ -38,18 +38,19 @@
 
 
 class RecordTransfer:
-    """One run through the records of an agent.
+    """One pass over the records of an agent.
 
     Parameters
     ----------
     view : MembershipView
-        Tells who is ready to take records.
+        Names the members that are ready to receive records.
     records : Records
-        What is handed over; a record that changes is sent as it is then.
+        The records to transfer. A record that changes is sent in its state at
+        that time.
     next_number : callable
-        Returns a fresh number for a batch.
+        Returns a new number for a batch.
     holders : int
-        How many members besides this agent have to hold each record.
+        How many members besides this agent must hold each record.
     """
 
     def __init__(
@@ -70,18 +71,18 @@
 
     @property
     def done(self) -> bool:
-        """Whether every record has been acknowledged, or nobody can take one."""
+        """Whether all records are acknowledged or no member can receive them."""
         if not self._recipients():
             return True
         return not (self._waiting or self._due_by_peer or self._batches_by_number)
 
     @property
     def has_recipients(self) -> bool:
-        """Whether there is a ready member besides this agent."""
+        """Whether a member besides this agent is ready."""
         return bool(self._recipients())
 
     def acknowledged(self, now: float, sender: str, number: int) -> bool:
-        """Note an acknowledgement; False if it isn't of this handover."""
+        """Record an acknowledgement and return whether it is for this transfer."""
         batch = self._batches_by_number.get(number)
         if batch is None or batch.peer != sender:
             return False
@@ -94,7 +95,7 @@
         return True
 
     def send(self, now: float) -> list[SendPeer]:
-        """Return what is to be sent now."""
+        """Return the messages to send now."""
         self._reassign()
         effects = []
         for number, batch in list(self._batches_by_number.items()):
@@ -127,12 +128,12 @@
                 self._due_by_peer.setdefault(peer, []).append(key)
 
     def _is_unused(self, record: Record) -> bool:
-        # A grant to this agent that it never used says nothing to others.
+        # A grant to this agent that it never used has no meaning to other members.
         own = record.runner == self._view.name
         return own and record.state is ClaimState.GRANTED
 
     def _missing_holders(self, key: bytes, record: Record) -> Iterable[str]:
-        """Return who has to take a record, so that enough members hold it."""
+        """Return the members that must receive a record to give it enough holders."""
         view = self._view
         places = (
             (record.runner, record.incarnation),
@@ -168,7 +169,8 @@
         found = ((key, self._records.get(now, key)) for key in batch.keys)
         records = tuple(record.message(now, key) for key, record in found if record)
         if not records:
-            # An empty batch would say something else.
+            # A message without records has another meaning: it is an
+            # acknowledgement or a declaration.
             del self._batches_by_number[number]
             return []
         batch.sent_at = now
--- a/packages/zinniahook-core/src/zinniahook_core/views.py
+++ b/packages/zinniahook-core/src/zinniahook_core/views.py
@@ -1,9 +1,9 @@
-"""What one agent may conclude about claims from the rosters it has seen.
+"""Conclusions about claims from the rosters that one agent has seen.
 
-The owner of a claim is the best ready member for its key. When ownership
-moves, the new owner has no records, so it has to know whether an older claim
-may exist (``may_have_moved``) and how many members may have died with all records of
-one (``losses``).
+The owner of a claim is the highest ranked ready member for its key. When ownership
+moves, the new owner has no records. It must know whether an older claim may exist
+(``may_have_moved``) and how many members may have died with all records of a claim
+(``losses``).
 """
 
 from __future__ import annotations
@@ -20,18 +20,19 @@
 __all__ = ["MembershipView"]
 
 MAX_STALENESS_SECONDS = 30.0
-"""A member may decide by a roster that is older than this agent's by so much."""
+"""How much older than this agent's roster another member's roster may be."""
 
 HOLDING_STATES = (AgentState.READY, AgentState.LEAVING)
+"""States in which a member holds records."""
 
 
 @dataclass(slots=True)
 class Loss:
-    """A member has gone without a graceful leave.
+    """A member that left without a graceful drain.
 
-    ``repairing`` are the members that haven't yet declared that they copied
-    again what they held together with it, ``gone`` those (by name and
-    incarnation) that were lost before they did: no copying makes that good.
+    ``repairing`` are the members that haven't yet declared new copies of the
+    records that they held together with it. ``gone`` are those, by name and
+    incarnation, that were lost before they did, which no copying can repair.
     ``ready_since_by_name`` are the members that were ready at the time.
     """
 
@@ -46,20 +47,20 @@
 
     @property
     def repaired(self) -> bool:
-        """Whether every record that survived has two holders again."""
+        """Whether every surviving record has two holders again."""
         was_alone = self.alone_at > -math.inf
         return not (self.repairing or self.gone or was_alone)
 
 
 class LastAlone(NamedTuple):
-    """When and under which revision a member was last seen alone."""
+    """The time and revision at which a member was last seen alone."""
 
     at: float
     revision: int
 
 
 class MembershipView:
-    """The members of a service as one agent has seen them lately.
+    """The members of a service as one agent has recently seen them.
 
     Parameters
     ----------
@@ -83,7 +84,7 @@
         self._ready_since_by_name: dict[str, float] = {}
 
     def learn(self, now: float, roster: Roster) -> bool:
-        """Take a roster; False if it isn't newer than the one held."""
+        """Adopt a roster and return whether it is newer than the current one."""
         if roster.revision <= self.revision:
             return False
         self._observing_since = min(self._observing_since, now)
@@ -105,7 +106,7 @@
         return True
 
     def restart(self, now: float) -> None:
-        """Start again: others may have been owners during a pause."""
+        """Start observing again, since others may have been owners during a pause."""
         self._observing_since = now
 
     def owner(self, key: bytes) -> str | None:
@@ -115,23 +116,23 @@
         return self.name if self.name in self.members_by_name else None
 
     def partners(self, key: bytes) -> list[str]:
-        """Return the other ready members, best first."""
+        """Return the other ready members, highest ranked first."""
         return rank(key, (name for name in self.ready if name != self.name))
 
     def incarnation_of(self, name: str) -> int:
-        """Return a member's incarnation, 0 if there is no such member."""
+        """Return the incarnation of a member, or 0 if it is unknown."""
         member = self.members_by_name.get(name)
         return member.incarnation if member else 0
 
     def current(self, name: str, incarnation: int) -> bool:
-        """Tell whether a member lives and still has this incarnation."""
+        """Return whether a member isn't down and still has this incarnation."""
         member = self.members_by_name.get(name)
         if member is None or member.state is AgentState.DOWN:
             return False
         return member.incarnation == incarnation
 
     def valid(self, name: str, incarnation: int) -> bool:
-        """Tell whether a message of a member may be acted on.
+        """Return whether a message of a member may be acted on.
 
         The member may know a newer incarnation of itself than the roster.
         """
@@ -141,10 +142,10 @@
         return member.incarnation <= incarnation
 
     def may_have_moved(self, now: float, key: bytes) -> bool:
-        """Tell whether another member may have owned ``key`` lately.
+        """Return whether another member may have owned ``key`` recently.
 
-        Every member seen within the lifetime of a key counts, in whatever
-        state: one that was ready only between two rosters seen here counts.
+        Every member seen within the lifetime of a key counts, in any state, since
+        it may have been ready between two rosters that this agent has seen.
         """
         if now - self._observing_since < KEY_LIFETIME:
             return True
@@ -160,11 +161,11 @@
     ) -> int:
         """Count the losses within ``window`` seconds that may hide a claim.
 
-        Two members hold each claim, so one loss hides none. A member that
-        was alone held its claims by itself, so its loss counts twice.
-        ``silent`` members count as lost. Of two holders one was the owner of
-        ``key`` when they became its holders; if no lost member can have been
-        the owner, nothing is hidden.
+        Two members hold each claim, so a single loss hides none. A member that was
+        alone held its claims by itself, so its loss counts twice. ``silent``
+        members count as lost. One of the two holders was the owner of ``key`` when
+        the claim was made. If no lost member can have been the owner, nothing is
+        hidden.
         """
         lost = {
             loss.name: loss.ready_since_by_name
@@ -187,19 +188,19 @@
         return 1
 
     def covers(self, now: float, window: float) -> bool:
-        """Tell whether no loss within ``window`` can have gone unseen here."""
+        """Return whether this agent has seen every loss within ``window``."""
         return now - self._first_roster_at >= window
 
     def declare(self, name: str, revision: int) -> None:
-        """Note that all that ``name`` holds had two holders at ``revision``.
+        """Record that all records of ``name`` had two holders at ``revision``.
 
-        Holders that were lost after that revision aside.
+        Holders that were lost after that revision are not included.
         """
         known = self._declared_by_name.get(name, 0)
         self._declared_by_name[name] = max(known, revision)
         if revision > self.revision:
-            # The copies may be at members that this agent doesn't know of
-            # yet, and so wouldn't ask. It counts once the roster is here.
+            # The copies may be at members that this agent doesn't know yet and so
+            # wouldn't ask. The declaration applies once the roster arrives.
             return
         for loss in self._losses:
             if revision >= loss.revision:
@@ -209,9 +210,9 @@
             del self._alone_by_name[name]
 
     def remember(self, name: str, since: int) -> None:
-        """Note that ``name`` kept its records from incarnation ``since`` on.
+        """Record that ``name`` has kept its records since incarnation ``since``.
 
-        It was paused or cut off, not dead, so its losses since are none.
+        It was paused or cut off, not dead, so its losses since then don't count.
         """
         self._losses = [
             loss
@@ -245,8 +246,8 @@
         if not lost:
             return
         ids = {(name, former[name].incarnation) for name in lost}
-        # One that is lost while it still had to copy what it held with an
-        # earlier loss takes the last copy along: both losses stay.
+        # A member that is lost before it has copied the records that it shared with
+        # an earlier loss takes the last copy with it. Both losses then stay.
         cut_short = {
             (loss.name, loss.incarnation)
             for loss in self._losses
@@ -303,10 +304,10 @@
 def _may_have_owned(
     name: str, key: bytes, start: float, lost: Mapping[str, Mapping[str, float]]
 ) -> bool:
-    """Tell whether ``name`` may have been the owner of ``key`` after ``start``.
+    """Return whether ``name`` may have owned ``key`` after ``start``.
 
-    It was not if a member that wasn't lost, and was ready all the time from
-    ``start`` to the loss of ``name``, is better for the key.
+    It can't have if a member that wasn't lost, and was ready from ``start`` to the
+    loss of ``name``, ranks higher for the key.
     """
     steady = [
         other
