--- a/packages/zinniahook-core/tests/core_clusters.py
+++ b/packages/zinniahook-core/tests/core_clusters.py
@@ -1,7 +1,7 @@
-"""Agents, entries and callers on one fake clock and a bad network.
+"""A simulated cluster of agents, entries and callers on an unreliable network.
 
-What the cluster saw is kept in lists; ``violated_promises`` judges them by the promises
-of the product.
+The cluster records what it observes; ``violated_promises`` checks the records
+against the guarantees of the product.
 """
 
 import heapq
@@ -52,7 +52,7 @@
         self.at(self.rng.uniform(0.001, 0.02), function, *arguments)
 
     def run(self, seconds):
-        """Let time pass, a tick at a time."""
+        """Advance the clock tick by tick."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             self.step(self.now + TICK)
@@ -82,7 +82,9 @@
         self.entries[number] = self.start_entry(number)
 
     def join(self, service, name=None):
-        """Start a process; under a former name it is its next life."""
+        """Start a process. Under a former name it is a restart with a new
+        incarnation.
+        """
         former = self.nodes.get(name)
         number = former.address.port if former else 7000 + len(self.nodes)
         name = name or f"{service}-{number}"
@@ -125,7 +127,7 @@
             self.violations.append(f"generation went down at entry {number}")
 
     def separate(self, *groups):
-        """Cut every message between nodes of different groups."""
+        """Cut all messages between nodes of different groups."""
         self.cut = {
             (one.name, other.name)
             for group in groups
@@ -141,7 +143,7 @@
             self.push_roster(service)
 
     def configure(self, **services):
-        """Put a new generation in force; old copies arrive late."""
+        """Install a new generation. Old copies may arrive late."""
         before = self.configurations[-1]
         by_name = {**before.services_by_name, **services}
         generation = before.generation + 1
@@ -155,7 +157,7 @@
                 self.at(self.rng.uniform(0.01, 2.0), self.feed_entry, number, event)
 
     def exclude(self, node):
-        """Let the operators take one agent out of its service's targets."""
+        """Remove one agent from the allowed targets of its service."""
         service = self.configurations[-1].services_by_name[node.service]
         names = [name for name in self.nodes if name != node.name]
         self.configure(**{node.service: service._replace(targets=tuple(names))})
@@ -175,7 +177,7 @@
                 self.at(delay, peer.feed, event)
 
     def route(self, service, caller, payload):
-        """Send a caller's datagram in by a random entry."""
+        """Send a datagram of a caller through a random entry."""
         entry = self.rng.choice(self.entries)
         event = events.CallerDatagram(service, caller, payload)
         for effect in entry.handle(self.now, event):
@@ -253,20 +255,20 @@
         since = node.leaving_since
         if since is not None and request.arrived - since > 3.0:
             self.violations.append(f"new request at leaving {node.name}")
-        # Copies of one request at one agent run as one, for the latest of
-        # them: an older copy may stand for a retry that waits here.
+        # Copies of one request at one agent run as one, on behalf of the latest. An
+        # older copy may stand for a retry that waits here.
         copies = (r.attempt for r in node.requests.values() if r.key == request.key)
         execution = Execution(request.key, max(copies), node.name)
         self.executions.append(execution)
 
     def stopped(self, node):
-        """Expect no more of the flows of a node that has drained."""
+        """Stop expecting the flows of a node that has drained."""
         owners = self.owner_by_flow.items()
         kept = {flow: owner for flow, owner in owners if owner[0] != node.name}
         self.owner_by_flow = kept
 
     def settle(self):
-        """Mend everything, and let time pass until all must be answered."""
+        """Repair everything and wait until every request must be answered."""
         self.set_store(down=False)
         self.store.losing = False
         self.separate()
@@ -283,7 +285,7 @@
                     self.violations.append(found)
 
     def violated_promises(self):
-        """Return every violated promise so far."""
+        """Return all violated guarantees so far."""
         found = list(self.violations)
         attempts_by_key = {}
         for execution in self.executions:
@@ -291,7 +293,8 @@
         found += [f"{key} ran twice" for key, ran in attempts_by_key.items() if ran[1:]]
         for outcome in self.reported:
             ran = attempts_by_key.get(outcome.key, ())
-            # Without a count a retry can't be told from a late copy.
+            # Without an attempt count a retry is indistinguishable from a late
+            # copy.
             counted = outcome.kind is OutcomeKind.NOT_RUN and outcome.attempt > 0
             if counted and any(attempt <= outcome.attempt for attempt in ran):
                 found.append(f"{outcome.key} ran, though told not")
--- a/packages/zinniahook-core/tests/core_rules.py
+++ b/packages/zinniahook-core/tests/core_rules.py
@@ -1,4 +1,4 @@
-"""Rules of the state machine: what callers, operators and chance may do."""
+"""Rules of the state machine: actions of callers and operators, and faults."""
 
 from core_clusters import Cluster
 from core_fakes import KEYLESS
@@ -69,7 +69,7 @@
 
 
 class Callers:
-    """What callers send, in time and late."""
+    """Requests and datagrams of callers, on time and late."""
 
     @rule(service=service)
     def connect(self, service):
@@ -154,7 +154,7 @@
 
 
 class Planned:
-    """What operators and the platform do on purpose."""
+    """Actions of operators and the platform."""
 
     @rule(service=any_service)
     def join(self, service):
@@ -188,7 +188,7 @@
 
 
 class Unplanned:
-    """What chance does to processes, paths and the store."""
+    """Failures of processes, paths and the store."""
 
     @rule(which=index, service=service, back=st.booleans())
     def crash(self, which, service, back):
--- a/packages/zinniahook-core/tests/flow_networks.py
+++ b/packages/zinniahook-core/tests/flow_networks.py
@@ -1,4 +1,4 @@
-"""Agents and entries that hold flows, and a network between them, for tests."""
+"""A simulated network of agents and entries with flows, for tests."""
 
 import heapq
 import random
@@ -51,7 +51,7 @@
 
 
 class Network:
-    """Several agents and entries, and messages that are lost, doubled, late."""
+    """Agents and entries whose messages may be lost, duplicated or late."""
 
     def __init__(self, seed, agents, loss=0.0, doubled=0.0, latency=0.02, entries=3):
         self.rng = random.Random(seed)
@@ -101,7 +101,7 @@
         self.publish(delay)
 
     def publish(self, delay=2.0):
-        """Let everybody learn the roster at a time of its own."""
+        """Deliver the current roster to each agent and entry at a random time."""
         self.revision += 1
         for name in self.flows_by_name:
             late = delay * self.rng.random()
@@ -121,7 +121,7 @@
                 self.post(self.latency * self.rng.random(), item)
 
     def send(self, number, payload=b"x"):
-        """Send one datagram of a caller by way of any entry."""
+        """Send a datagram of a caller through a random entry."""
         entry = self.rng.choice(self.entries)
         event = CallerDatagram("feed", caller(number), payload)
         for effect in entry.handle(self.now, event):
@@ -210,7 +210,7 @@
         return {number: self.delivered[number][0] for number in range(count)}
 
     def send_repeatedly(self, count, seconds=5.0, pause=0.5):
-        """Let every caller send now and then."""
+        """Let every caller send at regular intervals, and return how often."""
         sent = 0
         while seconds > 0:
             for number in range(count):
@@ -229,7 +229,7 @@
 
 
 class SingleAgent:
-    """One agent on its own, with peers that are only names."""
+    """A single agent whose peers exist only in the roster."""
 
     def __init__(self, names=("a-0", "a-1", "a-2"), load=None):
         self.load = load or Load(4, 0, 0, 0, 0)
--- a/packages/zinniahook-core/tests/test_flow_changes.py
+++ b/packages/zinniahook-core/tests/test_flow_changes.py
@@ -1,4 +1,4 @@
-"""Flows across planned and unplanned changes of the agents of a service."""
+"""Flows across planned and unplanned changes of a service's agents."""
 
 import pytest
 from flow_networks import Network, caller, member
@@ -11,12 +11,12 @@
 class TestPlannedChanges:
     @pytest.mark.parametrize("seed", range(3))
     def test_join_under_traffic(self, seed):
-        """A tally stream moved to another target when an agent joined.
+        """An established stream must not move when an agent joins.
 
-        Symptom: the target gets the middle of a stream it never saw begin.
-        Sequence: a new agent becomes the home of established flows; entries
-        and agents learn the roster up to two seconds apart; packets arrive.
-        Cause: the new home opens what it doesn't know.
+        The new agent becomes the home of established flows. Entries and agents
+        learn the roster up to two seconds apart while packets arrive. If the new
+        home opened flows that it doesn't know, its target would get the middle of a
+        stream.
         """
         network = Network(seed, 5, loss=0.1, doubled=0.1)
         owners = network.open(COUNT)
@@ -27,10 +27,10 @@
 
     @pytest.mark.parametrize("seed", range(3))
     def test_two_joins_at_once_and_every_entry_replaced(self, seed):
-        """As above, twice at the same moment and without owners' hints.
+        """Established streams must not move when two agents join at once.
 
-        Sequence: two agents join; the entries that know the owners die.
-        Cause: the former home is only the third in rank.
+        The entries that know the owners are replaced too, so there are no hints.
+        The former home is only third in rank.
         """
         network = Network(seed, 4, loss=0.1, doubled=0.1)
         owners = network.open(COUNT)
@@ -41,12 +41,11 @@
 
     @pytest.mark.parametrize("seed", range(3))
     def test_leave_and_join_in_turn(self, seed):
-        """A rolling replacement cut streams of an agent that was draining.
+        """A rolling replacement must not cut streams of a draining agent.
 
-        Symptom: streams restart during a planned roll.
-        Sequence: each agent leaves while a new one joins, its flows go on
-        until it is done; new flows open meanwhile.
-        Cause: routing known flows by who may take new ones.
+        Each agent leaves while a new one joins. Its flows continue until they end,
+        and new flows open meanwhile. Streams would restart if known flows were
+        routed by which agents accept new ones.
         """
         network = Network(seed, 4, loss=0.05, doubled=0.05)
         owners = network.open(COUNT)
@@ -59,12 +58,11 @@
         assert network.moved(owners) == []
 
     def test_handed_flows_stay_when_their_home_and_their_owner_s_peers_change(self):
-        """A flow that had been handed over moved at the next change.
+        """A flow that was handed over must not move at the next change.
 
-        Symptom: streams restart, but only those that live away from home.
-        Sequence: a home hands openings to less loaded peers; it leaves and
-        another agent joins in the same moment; entries are replaced.
-        Cause: the new home asks the former one, which is gone.
+        The home hands openings to less loaded peers. It leaves while another agent
+        joins, and entries are replaced. The new home can't ask the former one,
+        which is gone.
         """
         network = Network(8, 4, loss=0.1)
         network.run(1.0)
@@ -79,7 +77,7 @@
         assert network.moved(owners) == []
 
     def test_without_overlap_windows_the_check_fails(self, monkeypatch):
-        """The check above can fail: here a new home never asks."""
+        """The checks above must fail if a new home never asks."""
         monkeypatch.setattr(
             "zinniahook_core.homes.Homes.had_other_home", lambda *arguments: False
         )
@@ -103,12 +101,11 @@
         assert ["a-0"] not in opened
 
     def test_a_quiet_flow_keeps_its_owner_while_its_home_changes_twice(self):
-        """A stream that was silent during two changes was opened anew.
+        """A flow without packets must keep its owner through two changes of home.
 
-        Symptom: the first packet after a quiet time reaches a new target.
-        Sequence: the home of a handed flow is replaced, and replaced again,
-        with no packet in between; then new entries route by rank.
-        Cause: pointers made only when packets pass.
+        The home of a flow that was handed over is replaced twice with no packet in
+        between, then new entries route by rank. If pointers were made only when
+        packets pass, the next packet would reach a new target.
         """
         network = Network(2, 4, loss=0.1)
         owners = network.open(COUNT)
@@ -122,12 +119,11 @@
         assert network.moved(owners) == []
 
     def test_pointers_outlive_hours_of_direct_routing(self):
-        """A feed broke when the entry that remembered its owner died.
+        """A flow must not move when the entry that knows its owner is replaced.
 
-        Symptom: a flow moves long after the last change.
-        Sequence: the entry sends straight to the owner, so the home sees no
-        packet for longer than the idle time; then the entry is replaced.
-        Cause: a pointer that is renewed by packets only.
+        The entry sends directly to the owner, so the home sees no packet for longer
+        than the idle time. A pointer that is renewed only by packets would expire
+        before the entry is replaced.
         """
         network = Network(3, 4)
         owners = network.open(60)
@@ -142,10 +138,10 @@
 
 class TestUnplanned:
     def test_a_dead_home_keeps_no_new_flow_waiting(self):
-        """New flows of a dead home went nowhere until it was marked down.
+        """New flows of a dead home must be opened before it is marked down.
 
-        Sequence: the home dies; an entry that has suspended it sends the
-        opening to the next in rank, which asks the home in vain.
+        The home dies. An entry that has suspended it sends the opening to the next
+        agent in rank, whose query to the home is never answered.
         """
         network = Network(4, 4)
         home = network.flows_by_name["a-0"].homes
@@ -162,11 +158,11 @@
         assert len(numbers) > 50
 
     def test_flows_of_others_survive_a_dead_home(self):
-        """Handed flows were lost along with the agent that handed them.
+        """Flows that were handed over must survive the agent that handed them.
 
-        Sequence: the home hands flows to peers and dies; it is marked down;
-        the next home is asked for them by new entries.
-        Cause: the pointer was kept at the home only.
+        The home hands flows to peers, dies and is marked down. New entries then
+        send their packets to the next home. Pointers kept only at the first home
+        would be lost with it.
         """
         network = Network(5, 5, loss=0.05)
         owners = network.open(COUNT)
@@ -181,10 +177,10 @@
         assert all(len(network.delivered[n]) > 1 for n in owners)
 
     def test_a_restarted_home_learns_its_flows_again(self):
-        """A home that came back with a new incarnation opened flows twice.
+        """A home that restarts must not open flows a second time.
 
-        Sequence: an agent restarts at once under its name; the owners of
-        its flows still believe that it knows them.
+        It restarts at once under its name with a new incarnation. The owners of its
+        flows must not assume that it still has their pointers.
         """
         network = Network(6, 4, loss=0.05)
         owners = network.open(COUNT)
@@ -199,12 +195,12 @@
 
     @pytest.mark.parametrize("age", [3.0, 20.0])
     def test_two_owners_become_one(self, age):
-        """One caller's packets were spread over two targets for good.
+        """The packets of one caller must not stay spread over two targets.
 
-        Sequence: the home is paused when a peer asks it, so the peer opens
-        the flow that the home owns already; the home wakes up.
-        Cause: the peer claimed the flow, and a home whose own was young gave
-        way, although the other was younger still.
+        The home is paused when a peer asks it, so the peer opens a flow that the
+        home owns already. When the home resumes, the younger owner must yield. If
+        the peer sent the home a pointer instead of asking it, a home whose own flow
+        is young would yield although the other is younger.
         """
         network = Network(7, 3)
         owners = network.open(40)
--- a/packages/zinniahook-core/tests/test_flows.py
+++ b/packages/zinniahook-core/tests/test_flows.py
@@ -1,4 +1,4 @@
-"""One agent's flows: datagrams, openings and pointers."""
+"""Datagrams, openings and pointers of one agent."""
 
 from flow_networks import ENTRY, SingleAgent, caller, member
 from zinniahook_core.codes import Code
@@ -57,10 +57,10 @@
         assert agent.flows.peer(1.0, "a-1", FlowAnswer(99, flow, "a-1")) == []
 
     def test_hops_are_bounded(self):
-        """Two agents passed one packet to and fro for ever.
+        """Two agents must not forward a packet to each other forever.
 
-        Symptom: the traffic between two agents grows without any caller.
-        Cause: each holds a pointer to the other.
+        Each may hold a pointer to the other. Without a hop limit the traffic
+        between them grows without any caller.
         """
         agent = SingleAgent()
         number = agent.number_at("a-1")
--- a/packages/zinniahook-core/tests/test_lookups.py
+++ b/packages/zinniahook-core/tests/test_lookups.py
@@ -25,11 +25,11 @@
 
 
 class TestSilentMember:
-    """
-    Symptom: every ticket takes half a second more for as long as a dead agent
-    isn't marked down, and they pile up.
-    Sequence: an agent dies; new tickets are looked up at all members.
-    Cause: each lookup waited for the dead one as patiently as the first.
+    """Lookups must not all wait the full timeout for a dead member.
+
+    An agent dies, and new requests are looked up at all members. If each lookup
+    waited for the dead agent as long as the first, every request would take half a
+    second more until it is marked down, and requests would pile up.
     """
 
     def begin_lookup(self, lookups, number, at):
@@ -72,10 +72,10 @@
 
 class TestOwnDecision:
     def test_a_decision_that_does_not_stand_is_asked_for_later(self, monkeypatch):
-        """
-        Symptom: RecursionError at the agent that owns a key. Sequence: it is
-        about to refuse an attempt whose key it granted to a later one.
-        Cause: it asked itself again at once, and decided the same again.
+        """An owner must not ask itself again at once about its own decision.
+
+        It is about to refuse an attempt whose key it granted to a later one. Asking
+        itself immediately would repeat the same decision until a RecursionError.
         """
         monkeypatch.setattr(Claims, "_stands", lambda *_: False)
         names = ("a", "b", "c")
--- a/packages/zinniahook-core/tests/test_machine.py
+++ b/packages/zinniahook-core/tests/test_machine.py
@@ -1,7 +1,7 @@
-"""Random faults against real cores; the promises are checked at each step.
+"""Random faults against real cores, with the guarantees checked at each step.
 
-``TestPromises`` runs the cores as they are. ``TestChecksCanFail`` breaks one
-part at a time and shows that the check of that promise notices it.
+``TestPromises`` runs the cores unchanged. ``TestChecksCanFail`` breaks one part at
+a time and verifies that the check of that guarantee fails.
 """
 
 import pytest
@@ -31,7 +31,7 @@
 
 
 class Faults(Callers, Flows, Planned, Unplanned, ClusterMachine):
-    """Everything at once."""
+    """All rules together."""
 
     planned_only = False
 
@@ -41,7 +41,7 @@
 
 
 class Overload(Callers, ClusterMachine):
-    """More requests than the targets take."""
+    """More requests than the targets accept."""
 
 
 class Copies(ClusterMachine):
@@ -86,19 +86,19 @@
 
 
 def grant_always(self, now, request, key, attempt, intent, *rest):
-    """Settle a claim without asking anybody."""
+    """Settle a claim without asking any peer."""
     refuses = intent is ClaimIntent.REFUSE
     state = ClaimState.REFUSED if refuses else ClaimState.GRANTED
     self._settled.append(claims.Settled(request, state, self._name))
 
 
 def refuse_without_tombstone(self, now, item, refusal):
-    """Say "not run" while another copy may still run."""
+    """Report "not run" while another copy may still run."""
     self.conclude(item, Outcome(OutcomeKind.NOT_RUN, refusal.code, 1.0))
 
 
 def route_by_owner_alone(self, now, service, caller, payload):
-    """Route by the connection id, whatever service it was issued for."""
+    """Route by the connection id without checking its service."""
     destination = routing.destination_of(payload)
     if not isinstance(destination, Code):
         owner = self._connection_ids.decode(destination[1])
@@ -108,29 +108,29 @@
 
 
 def take_any_generation(self, now, event):
-    """Take whatever configuration arrives last."""
+    """Install the last configuration received, whatever its generation."""
     self.configuration = event.configuration
     return []
 
 
 def ignore(self, now, event):
-    """Do nothing on an event."""
+    """Ignore an event."""
     return []
 
 
 def lose_joins(self, now, event):
-    """Forget to give a copy that joined another its answer."""
+    """Never answer a copy that joined another."""
     found = original_handle(self, now, event)
     return [one for one in found if not isinstance(one, effects.JoinRequest)]
 
 
 def had_no_other_home(self, now, flow):
-    """Take every flow of this home for a new one."""
+    """Treat every flow of this home as new."""
     return False
 
 
 def send_no_pointers(self, now, incarnation):
-    """Leave the new home of a flow without a pointer to its owner."""
+    """Never send pointers to the new home of a flow."""
     return []
 
 
--- a/packages/zinniahook-core/tests/test_membership.py
+++ b/packages/zinniahook-core/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Announcing, heartbeats, marks, fences and leaving, on a fake clock."""
+"""Registration, heartbeats, down marks, fences and leaving, on a fake clock."""
 
 import itertools
 import random
@@ -41,7 +41,7 @@
 
 
 def announced(store, core, now=0.0):
-    """Drive ``core`` until it is ready in the roster of ``store``."""
+    """Run ``core`` until it is ready in the roster of ``store``."""
     answer = store.write(only(core.tick(now, False), effects.WriteRoster))
     core.written(now, answer)
     report = events.TargetReported(True, None)
@@ -69,10 +69,11 @@
 
     @pytest.mark.parametrize("stored", [True, False])
     def test_lost_answer_is_settled_by_reading(self, stored):
-        """Symptom: an agent never serves, or announces itself twice.
+        """An agent must be registered exactly once although an answer is lost.
 
-        Sequence: the announcement is stored or not, and its answer is lost.
-        Cause: a lost answer was taken for a failure, or for a success.
+        The write of its registration may or may not be stored. If the lost answer
+        were taken for a failure or a success, the agent would never serve or
+        register twice.
         """
         store, core = Store(), membership()
         write = only(core.tick(0.0, False), effects.WriteRoster)
@@ -86,10 +87,11 @@
         assert has(core.tick(2.0, False), effects.WriteRoster) is not stored
 
     def test_lost_answer_and_lost_read_are_settled_by_the_next_compare(self):
-        """Symptom: an agent whose read is lost as well never serves.
+        """An agent must not stay fenced if the read after a lost answer is lost
+        too.
 
-        Sequence: the write is stored, its answer and the read get lost.
-        Cause: only the read's answer could end the wait.
+        The write is stored, and its answer and the read get lost. If only the read
+        ended the wait, the agent would never serve.
         """
         store, core = Store(), membership()
         write = only(core.tick(0.0, False), effects.WriteRoster)
@@ -102,10 +104,10 @@
         assert store.writes == 2
 
     def test_outage_is_retried_with_growing_waits(self):
-        """Symptom: after an outage the store is hit by all agents at once.
+        """Agents must not all write at once when the store returns.
 
-        Sequence: the store is down while agents want to write.
-        Cause: retries without backoff and jitter.
+        The store is down while agents want to write. Without backoff and jitter
+        their retries would coincide.
         """
         store, core = Store(), membership()
         store.down = True
@@ -124,10 +126,10 @@
         assert not core.fenced
 
     def test_wrong_health_endpoint_delays_readiness_only(self):
-        """Symptom: a sound target never gets work.
+        """A working target must get work although its health endpoint is wrong.
 
-        Sequence: its port accepts, its health endpoint denies for ever.
-        Cause: the endpoint was trusted alone.
+        Its port accepts connections while the endpoint reports unhealthy forever.
+        An agent that trusted only the endpoint would never become ready.
         """
         core = membership()
         core.tick(0.0, False)
@@ -153,10 +155,10 @@
 
 class TestMarkDown:
     def test_crash_is_marked_by_one_write(self):
-        """Symptom: every peer of a dead agent writes to the store.
+        """Only one peer may write to the store when an agent dies.
 
-        Sequence: one of six agents dies; five notice at the same moment.
-        Cause: no choice of a marker.
+        One of six agents dies and five notice it at the same time. Unless one of
+        them is chosen as the marker, all five write.
         """
         cluster = Cluster(2, {"tally": 6})
         dead = cluster.live("tally")[0]
@@ -167,10 +169,10 @@
         assert cluster.store.writes == before + 1
 
     def test_next_in_rank_marks_when_the_first_cannot(self):
-        """Symptom: a dead agent stays in the roster.
+        """A dead agent must be marked although its first marker died with it.
 
-        Sequence: the agent and the peer that would mark it die together.
-        Cause: the marker alone was allowed to write.
+        If only the first marker were allowed to write, the agent would stay in the
+        roster.
         """
         cluster = Cluster(3, {"tally": 5})
         first, second = cluster.live("tally")[:2]
@@ -181,10 +183,10 @@
         assert marked == {first.name, second.name}
 
     def test_peer_heard_again_is_not_marked_on_a_retry(self):
-        """Symptom: an agent that is alive is marked down.
+        """An agent that is alive must not be marked down by a retry.
 
-        Sequence: it is silent, the mark meets a conflict, it is heard.
-        Cause: the retry repeated an old judgement.
+        The agent is silent, the write of its mark conflicts, and then it is heard
+        again. A retry that repeated the old plan would mark it.
         """
         store, core = Store(), membership("a")
         announced(store, core)
@@ -204,10 +206,10 @@
         assert not has(core.tick(now + 2.0, False), effects.WriteRoster)
 
     def test_cut_off_agent_does_not_mark_the_others(self):
-        """Symptom: one agent empties the roster of its service.
+        """An agent that is cut off must not mark all of its peers down.
 
-        Sequence: it hears nobody, while it still reaches the store.
-        Cause: silence was taken for the death of all others.
+        It hears no peer but still reaches the store. If silence alone proved a
+        failure, it would empty the roster of its service.
         """
         cluster = Cluster(4, {"tally": 5})
         alone, *others = cluster.live("tally")
@@ -219,10 +221,10 @@
             )
 
     def test_at_most_half_is_marked_in_a_window(self):
-        """Symptom: a fault of the network empties a service.
+        """A network failure must not empty the roster of a service.
 
-        Sequence: four of six agents fall silent at once.
-        Cause: no cap on the marks.
+        Four of six agents fall silent at once. Without a limit on marks, all four
+        would be marked together.
         """
         cluster = Cluster(5, {"tally": 6})
         for node in cluster.live("tally")[:4]:
@@ -235,11 +237,11 @@
         assert len(down) == 4
 
     def test_lossy_path_marks_no_agent(self):
-        """Symptom: agents that are alive lose their flows every few minutes.
+        """Agents that are alive must not be marked down on lossy paths.
 
-        Sequence: a service is large, so heartbeats are a second apart; the
-        paths lose every fourth, and now and then five in a row.
-        Cause: the same silence was taken for a death on every path.
+        In a large service heartbeats are a second apart. The paths lose every
+        fourth, and sometimes five in a row. With the same timeout on every path,
+        agents would lose their flows every few minutes.
         """
         cluster = Cluster(16, {"tally": 33}, loss=0.25)
         cluster.run(30.0)
@@ -280,10 +282,10 @@
 
 class TestFence:
     def test_pause_ends_the_incarnation(self):
-        """Symptom: a paused agent runs what its peers have taken over.
+        """A paused agent must not act on work that its peers have taken over.
 
-        Sequence: it is paused past the fence, wakes, and gets old input.
-        Cause: it went on as if no time had passed.
+        It is paused for longer than the fence, resumes and gets old input. Without
+        a fence it would continue as if no time had passed.
         """
         cluster = Cluster(8, {"tally": 3})
         node = cluster.live("tally")[0]
@@ -310,10 +312,10 @@
         assert not node.core.membership.fenced
 
     def test_paused_agent_marks_no_peer(self):
-        """Symptom: after a pause an agent marks all its peers down.
+        """An agent must not mark its peers down after its own pause.
 
-        Sequence: paused for a minute; to it they were silent so long.
-        Cause: its own pause was taken for their silence.
+        It is paused for a minute, in which it received nothing from them. Its own
+        pause must not be taken for their silence.
         """
         cluster = Cluster(10, {"tally": 3})
         node, *others = cluster.live("tally")
@@ -325,10 +327,10 @@
         assert [other.core.identity.incarnation for other in others] == [1, 1]
 
     def test_marked_agent_comes_back_under_a_new_incarnation(self):
-        """Symptom: two agents act as one after a cut path.
+        """An agent that was marked down must not continue its incarnation.
 
-        Sequence: peers don't hear an agent and mark it; it is alive.
-        Cause: it went on under the incarnation that was marked.
+        Peers can't hear the agent and mark it although it is alive. If it kept the
+        marked incarnation after the path is restored, two agents would act as one.
         """
         cluster = Cluster(11, {"tally": 4})
         alone, *others = cluster.live("tally")
@@ -342,10 +344,10 @@
         assert stored.incarnation == 2
 
     def test_marked_agent_learns_of_it_without_a_push(self):
-        """Symptom: a marked agent serves on under a dead incarnation.
+        """A marked agent must learn of its mark although no push reaches it.
 
-        Sequence: it is marked while no push reaches it.
-        Cause: a push was the only way to learn of the mark.
+        If a push were the only way, it would continue to serve under a dead
+        incarnation.
         """
         store, core = Store(), membership("a")
         announced(store, core)
@@ -359,10 +361,10 @@
         assert has(found, effects.ReadRoster)
 
     def test_of_two_processes_of_a_name_the_later_stays(self):
-        """Symptom: two processes of one name cut each other's flows for ever.
+        """Two processes of one name must not cut each other's flows forever.
 
-        Sequence: an instance is replaced while the old one still runs.
-        Cause: each announced itself again on seeing the other.
+        An instance is replaced while the old process still runs. If each registered
+        again on seeing the other, neither would stop.
         """
         store, old, new = Store(), membership("a", 10), membership("a", 20)
         announced(store, old)
@@ -392,10 +394,10 @@
         assert node.name not in states(cluster)
 
     def test_store_down_does_not_hold_up_the_leave(self):
-        """Symptom: a drain hangs, or peers go on handing work over.
+        """A drain must complete although the store is down throughout.
 
-        Sequence: the store is down from before the drain until after it.
-        Cause: the leave waited for the store.
+        If it waited for the store, the drain would hang and peers would continue to
+        hand work over.
         """
         cluster = Cluster(13, {"tally": 3})
         node, *others = cluster.live("tally")
--- a/packages/zinniahook-core/tests/test_placement.py
+++ b/packages/zinniahook-core/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement by own counts: two choices, ages, slots, warm-up and health."""
+"""Placement by reported load: random choices, age, slots, warm-up and health."""
 
 import random
 from collections import Counter
@@ -60,11 +60,10 @@
         assert chooser.choose_for_request(0.0, 1, Load(4, 3, 0, 0, 0)) is None
 
     def test_old_reports_are_not_used(self):
-        """A full agent handed work to a peer that had died.
+        """An agent must not hand work to a peer that has died.
 
-        Symptom: requests time out although other targets are free.
-        Sequence: the peer reports that it is idle, and dies.
-        Cause: the last report, however old, was taken for the present.
+        The peer reports that it is idle and then dies. If its last report were used
+        at any age, requests would time out although other targets are free.
         """
         chooser = placement(member("a"))
         report(chooser, 0.0, "a", IDLE)
@@ -79,11 +78,10 @@
         assert chooser.choose_for_request(4.0, 1, FULL) is None
 
     def test_what_was_handed_since_the_report_counts(self):
-        """A whole burst went to the one peer that had reported to be idle.
+        """A burst must not go entirely to the peer that reported to be idle.
 
-        Symptom: one target queues while the rest have free slots.
-        Sequence: a burst arrives between two heartbeats.
-        Cause: choosing by the report alone until the next one.
+        The burst arrives between two heartbeats. If agents chose by the last report
+        alone, one target would queue requests while others have free slots.
         """
         chooser = placement(member("a"), member("b"))
         report(chooser, 0.0, "a", IDLE)
@@ -140,11 +138,11 @@
 
 class TestFlows:
     def test_flows_even_out_between_two_agents(self):
-        """Openings of two heartbeats' time tipped the balance the other way.
+        """The flows of two agents must converge instead of oscillating.
 
-        Symptom: flows swing between two targets and never settle.
-        Sequence: thousands of openings arrive between two reports.
-        Cause: neither a margin nor a count of what was handed since.
+        Thousands of openings arrive between two reports. Without a margin and a
+        count of the work handed over since, they tip the balance the other way each
+        time.
         """
         flows = {"own": 400, "a": 100}
         chooser = placement(member("a"))
@@ -160,11 +158,10 @@
         assert abs(flows["own"] - flows["a"]) < 0.1 * flows["own"]
 
     def test_a_cold_target_gets_its_share_slowly(self):
-        """A target that had just joined was drowned in openings.
+        """A target that has just joined must not be overloaded by openings.
 
-        Symptom: the first minute of a new target is all timeouts.
-        Sequence: it joins with no flows, so every peer's openings go to it.
-        Cause: its slots counted in full while its caches were empty.
+        It joins without flows, so every peer prefers it. If its slots counted in
+        full while its caches are empty, its first minute would be all timeouts.
         """
         chooser = placement(member("a"))
         local = Load(4, 2, 0, 100, 0)
@@ -197,12 +194,11 @@
 
 class TestHealth:
     def test_a_fast_failing_target_is_avoided_whatever_it_claims(self):
-        """One failing target answered most of a service's requests.
+        """A failing target must not attract most requests of a service.
 
-        Symptom: most tickets fail while six of seven targets are well.
-        Sequence: a target fails each request at once and reports that it is
-        healthy and idle.
-        Cause: by its load alone it is the best place for everything.
+        The target fails each request at once and reports that it is healthy and
+        idle. By its load alone it is the best choice, and most requests would fail
+        although six of seven targets work.
         """
         failing = Placement("a", random.Random(2))
         for number in range(30):
@@ -224,12 +220,11 @@
         assert chooser.choose_for_request(3.0, 1, IDLE) == "a"
 
     def test_a_false_alarm_changes_nothing(self):
-        """A target that cried wolf never got work again.
+        """A target that wrongly reports unhealthy must still get work.
 
-        Symptom: a third of the targets idle while the others queue.
-        Sequence: a target without requests claims to be unhealthy; peers
-        keep their work from it, so no success ever refutes the claim.
-        Cause: the claim counted while no request succeeded.
+        If the report counted while no request succeeds, peers would keep their work
+        away and no success would ever refute it. A third of the targets would be
+        idle while others queue.
         """
         health = Health()
         for number in range(100):
--- a/packages/zinniahook-core/tests/test_routing.py
+++ b/packages/zinniahook-core/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Connection ids, headers, rendezvous ranks and the packet path of an entry."""
+"""Connection ids, headers, rendezvous ranks and routing at an entry."""
 
 import random
 
@@ -175,12 +175,11 @@
         return [member(service, index) for index in range(count)]
 
     def test_an_established_connection_goes_to_its_owner_in_any_state(self):
-        """A flow of a leaving agent broke at an entry with a newer roster.
+        """An established flow must not break when its agent leaves.
 
-        Symptom: a tally stream is cut by a planned stop.
-        Sequence: the agent announces that it leaves; the entry learns it;
-        the caller's next packet arrives.
-        Cause: routing packets of known flows by who may take new ones.
+        The agent announces that it leaves, the entry learns it, and the caller's
+        next packet arrives. Packets of known flows must not be routed by which
+        agents accept new ones.
         """
         owner = member(TALLY, 1, AgentState.LEAVING)
         core = entry(roster(TALLY, 1, [owner, member(TALLY, 2)]))
@@ -191,11 +190,10 @@
         assert core.route(0.0, TALLY, CALLER, short(drawn)) == owner.tunnel
 
     def test_a_packet_never_crosses_services(self):
-        """A tally packet reached the ledger service.
+        """A packet must not reach an agent of another service.
 
-        Symptom: a ledger target sees another service's bytes.
-        Sequence: a caller sends the id it got from tally to ledger's address.
-        Cause: an owner taken from the id without a look at its service.
+        A caller sends the connection id that it got from one service to the address
+        of another. The service in the id must be checked.
         """
         core = entry(roster(TALLY, 1, self.members(TALLY)))
         ids = ConnectionIds(KEYS, 1, random.Random(5))
@@ -235,11 +233,10 @@
         assert core.handle(0.0, event) == [Drop(Code.SERVICE_UNKNOWN)]
 
     def test_generation_and_revision_never_go_down(self):
-        """An accepted configuration reverted at one entry.
+        """An entry must not return to a configuration or roster that was replaced.
 
-        Symptom: an entry uses rules or members that were replaced.
-        Sequence: two pushes overtake each other on different paths.
-        Cause: the last message taken for the newest.
+        Two pushes may overtake each other on different paths, so the last message
+        received isn't always the newest.
         """
         core = entry(current=configuration(generation=5))
         core.handle(0.0, ConfigurationChanged(configuration(generation=4)))
@@ -261,7 +258,7 @@
 
 
 class TestViews:
-    """An entry holds only the services that lately got openings."""
+    """Rosters are kept unpacked only for services with recent openings."""
 
     def services(self, count):
         return [
@@ -270,11 +267,10 @@
         ]
 
     def test_held_ones_are_bounded_and_others_found_again(self, monkeypatch):
-        """Memory that grows with services and members.
+        """Memory must not grow with the number of services and members.
 
-        Symptom: an entry before thousands of services takes three times the
-        memory it may. Sequence: each roster is told once and kept unpacked.
-        Cause: nothing was ever given up, though few services get openings.
+        An entry for thousands of services would use three times its memory limit if
+        it kept every roster unpacked, although few services get openings.
         """
         monkeypatch.setattr("zinniahook_core.entries.VIEWS_LIMIT", 8)
         services = self.services(40)
@@ -334,12 +330,11 @@
         assert core.handle(1.0, event) == [ToAgent(home)]
 
     def test_hint_without_answers_is_dropped(self):
-        """A feed fell silent for as long as the store was down.
+        """A flow must not stay silent for as long as the store is down.
 
-        Symptom: packets of a plain UDP flow get no answer for minutes.
-        Sequence: its owner stops while the store is down, so that no roster
-        tells the entry.
-        Cause: the entry trusted the last answer for ever.
+        Its owner stops while the store is down, so no roster reports it. An entry
+        that trusted the last answer forever would leave the flow without answers
+        for minutes.
         """
         members = [member(FEED, index) for index in range(4)]
         core = entry(roster(FEED, 1, members))
--- a/packages/zinniahook-core/tests/test_suspensions.py
+++ b/packages/zinniahook-core/tests/test_suspensions.py
@@ -17,7 +17,7 @@
 
 
 class Entry:
-    """Sends openings; agents in ``dead`` never answer."""
+    """Sends openings. Agents in ``dead`` never answer."""
 
     def __init__(self, names=NAMES, dead=()):
         self.suspensions = Suspensions(random.Random(1))
@@ -28,7 +28,7 @@
         self.now = 0.0
 
     def open(self, count):
-        """Return how many openings each agent got."""
+        """Return the number of openings that each agent got."""
         taken = dict.fromkeys(NAMES, 0)
         for _ in range(count):
             self.port += 1
@@ -44,10 +44,10 @@
 
 class TestSuspension:
     def test_a_silent_agent_gets_probes_only(self):
-        """New flows kept going to a dead agent until its peers noticed.
+        """New flows must not go to a dead agent until its peers notice.
 
-        Symptom: a sixth of all new callers wait for a timeout.
-        Cause: the entry ranked agents by the roster alone.
+        An entry that ranked agents by the roster alone would make a sixth of all
+        new callers wait for a timeout.
         """
         entry = Entry(dead=["a-2"])
         entry.open(300)
@@ -55,11 +55,11 @@
         assert entry.open(2000)["a-2"] <= 4
 
     def test_two_callers_suffice_if_they_keep_failing(self):
-        """Flows that were dead for as long as the store was.
+        """Flows of a dead home must recover although the store is down.
 
-        Symptom: a plain UDP flow never comes back. Sequence: its home dies
-        while the store is down, so no roster says so; only two flows rank
-        that agent first. Cause: the entry waited for a third caller.
+        The home dies while the store is down, so no roster shows it, and only two
+        flows rank it first. If the entry waited for a third caller, they would
+        never recover.
         """
         suspensions = Suspensions(random.Random(1))
         suspensions.replace(NAMES)
@@ -90,11 +90,11 @@
         assert suspensions.expire(10.0) == []
 
     def test_never_more_than_half(self):
-        """An entry with a bad path sent all new flows to one agent.
+        """An entry with a broken path must not send all new flows to one agent.
 
-        Symptom: one target is overloaded, the others get nothing.
-        Sequence: the entry loses sight of five agents out of six.
-        Cause: suspending whoever is silent, without a bound.
+        The entry loses contact with five of six agents. If it suspended every
+        silent agent without a limit, one target would be overloaded and the others
+        would get nothing.
         """
         entry = Entry(dead=NAMES[1:])
         for _ in range(20):
