--- a/packages/zinniahook-core/src/zinniahook_core/flows.py
+++ b/packages/zinniahook-core/src/zinniahook_core/flows.py
@@ -334,8 +334,8 @@
         ):
             return self._yield(flow, pointer)
         if home and home.name == self.name:
-            claim = FlowPointers(self.name, self._incarnation, (flow,))
-            return [SendPeer(pointer.owner, claim)]
+            message = FlowPointers(self.name, self._incarnation, (flow,))
+            return [SendPeer(pointer.owner, message)]
         return []
 
     def _yield(self, flow: bytes, pointer: Pointer) -> Effects:
--- a/packages/zinniahook-core/src/zinniahook_core/membership.py
+++ b/packages/zinniahook-core/src/zinniahook_core/membership.py
@@ -32,7 +32,7 @@
 
 TARGET_GRACE_SECONDS = 10.0
 """Time after which an open port is enough for a target to be ready."""
-MINIMUM_LEAVE_SECONDS = 3.0
+MIN_LEAVE_SECONDS = 3.0
 """Shortest time between a drain request and the removal of an idle agent."""
 REMOVAL_GRACE_SECONDS = 1.0
 """How long past the drain deadline the agent waits for its removal."""
@@ -378,7 +378,7 @@
         late = now >= self._leave_deadline
         # Entries with a stale roster still send openings here. Stay for a while to
         # hand them over.
-        idle = not busy and now - self._leave_since >= MINIMUM_LEAVE_SECONDS
+        idle = not busy and now - self._leave_since >= MIN_LEAVE_SECONDS
         self._departing = self._departing or idle or late
         if not self._departing:
             return []
