--- a/packages/zinniahook-core/src/zinniahook_core/lookups.py
+++ b/packages/zinniahook-core/src/zinniahook_core/lookups.py
@@ -69,11 +69,11 @@
         """
         silent = len(self.waiting)
         answers = self.answers_by_name.values()
-        sure = [answer.losses + silent for answer in answers if answer.covers]
+        covering = [answer.losses + silent for answer in answers if answer.covers]
         if covers:
-            sure.append(own)
-        if sure:
-            return min(sure)
+            covering.append(own)
+        if covering:
+            return min(covering)
         return max([own, *(answer.losses + silent for answer in answers)])
 
     def add_answer(self, sender: str, answer: ClaimAnswer) -> None:
--- a/packages/zinniahook-core/src/zinniahook_core/placement.py
+++ b/packages/zinniahook-core/src/zinniahook_core/placement.py
@@ -274,13 +274,15 @@
         utilization = own.utilization + slots_needed / own.slots
         if utilization <= LOCAL_UTILIZATION_LIMIT and not forced:
             return None
-        works = self._peers_work(now)
-        if not works:
+        work_by_name = self._peers_work(now)
+        if not work_by_name:
             return self._any_ready() if forced else None
-        mean = sum(work.utilization for work in works.values()) / len(works)
+        mean = sum(work.utilization for work in work_by_name.values()) / len(
+            work_by_name
+        )
         scored = []
-        for name in self._sample_peers(works):
-            work = works[name]
+        for name in self._sample_peers(work_by_name):
+            work = work_by_name[name]
             # A report of short requests loses meaning with age and is pulled
             # towards the mean. Otherwise the last peer to report idle would attract
             # a burst of requests.
@@ -298,11 +300,11 @@
         count: Callable[[Work], float],
     ) -> str | None:
         """Choose by a count of long-lived items and, with less weight, by requests."""
-        works = self._peers_work(now)
-        if not works:
+        work_by_name = self._peers_work(now)
+        if not work_by_name:
             return self._any_ready() if forced else None
         own = self._own_work(now, local)
-        all_work = [own, *works.values()]
+        all_work = [own, *work_by_name.values()]
         total = sum(count(work) for work in all_work)
         mean = max(total, 1.0) / sum(work.slots for work in all_work)
 
@@ -310,12 +312,14 @@
             usable = max(MIN_SLOTS, work.slots * work.share)
             return count(work) / usable / mean + UTILIZATION_WEIGHT * work.utilization
 
-        best = min(self._sample_peers(works), key=lambda name: score(works[name]))
-        gains = score(works[best]) + FLOW_MARGIN < score(own)
+        best = min(
+            self._sample_peers(work_by_name), key=lambda name: score(work_by_name[name])
+        )
+        gains = score(work_by_name[best]) + FLOW_MARGIN < score(own)
         return best if forced or gains else None
 
-    def _sample_peers(self, works: Mapping[str, Work]) -> list[str]:
-        return self._rng.sample(list(works), min(CHOICES, len(works)))
+    def _sample_peers(self, work_by_name: Mapping[str, Work]) -> list[str]:
+        return self._rng.sample(list(work_by_name), min(CHOICES, len(work_by_name)))
 
     def _own_work(self, now: float, local: Load) -> Work:
         return Work(
