--- a/packages/zinniahook-core/src/zinniahook_core/flows.py
+++ b/packages/zinniahook-core/src/zinniahook_core/flows.py
@@ -217,7 +217,7 @@
     def _choose(self, now: float) -> str | None:
         forced = not self.accepts_new or self.count >= FLOWS_LIMIT
         peer = self._placement.choose_for_flow(now, self._load(now), forced)
-        # A peer that isn't in this agent's roster has no known address.
+        # Nothing can be sent to a peer that isn't in this agent's roster.
         known = peer is not None and self.homes.incarnation(peer) is not None
         return peer if known else None
 
--- a/packages/zinniahook-core/src/zinniahook_core/lookups.py
+++ b/packages/zinniahook-core/src/zinniahook_core/lookups.py
@@ -56,8 +56,8 @@
         """Count the lost and silent members that may hide a claim.
 
         A member that has seen every roster for long enough knows every loss, and
-        which of them are repaired. Other members know only some losses. The count
-        of a member that covers the time is therefore decisive. Without such a
+        which of them are repaired. Other members know only some losses. The lowest
+        count of a member that covers the time is therefore decisive. Without such a
         member, the highest count of any member is used.
 
         Parameters
--- a/packages/zinniahook-core/src/zinniahook_core/membership.py
+++ b/packages/zinniahook-core/src/zinniahook_core/membership.py
@@ -205,7 +205,7 @@
         return []
 
     def learn(self, now: float, roster: Roster) -> list[AgentEffect]:
-        """Adopt a roster from the store or a peer if it is newer."""
+        """Adopt a roster from the store or a peer unless it is older."""
         if roster.service != self.roster.service or self.drained:
             return []
         if roster.revision < self.roster.revision:
--- a/packages/zinniahook-core/src/zinniahook_core/suspensions.py
+++ b/packages/zinniahook-core/src/zinniahook_core/suspensions.py
@@ -19,9 +19,9 @@
 
 ANSWER_TIMEOUT_SECONDS = 1.0
 CALLERS_TO_SUSPEND = 3
-"""Number of callers without an answer that suspends an agent."""
+"""An agent is suspended after this many callers got no answer."""
 FAILURES_TO_SUSPEND = 8
-"""Number of failures that suspends an agent if fewer callers fail.
+"""An agent is suspended after this many failures, even of fewer callers.
 
 Few callers may rank the agent first, and they would wait forever for a third.
 """
--- a/packages/zinniahook-core/src/zinniahook_core/views.py
+++ b/packages/zinniahook-core/src/zinniahook_core/views.py
@@ -163,9 +163,9 @@
 
         Two members hold each claim, so a single loss hides none. A member that was
         alone held its claims by itself, so its loss counts twice. ``silent``
-        members count as lost. One of the two holders was the owner of ``key`` when
-        the claim was made. If no lost member can have been the owner, nothing is
-        hidden.
+        members count as lost. Of two holders, one was the owner of ``key`` when
+        they became its holders. If no lost member can have been the owner, nothing
+        is hidden.
         """
         lost = {
             loss.name: loss.ready_since_by_name
