--- a/packages/zinniahook-core/src/zinniahook_core/owners.py
+++ b/packages/zinniahook-core/src/zinniahook_core/owners.py
@@ -1,4 +1,4 @@
-"""The plain UDP flows that one agent owns, and which homes it told of them."""
+"""Plain UDP flows that an agent owns, and the homes that have pointers to them."""
 
 from __future__ import annotations
 
@@ -11,23 +11,27 @@
 
 __all__ = ["OwnedFlow", "OwnedFlows"]
 
-REFRESHES_PER_IDLE = 3
-SWEEP = 1000
+RENEWALS_PER_IDLE_TIME = 3
+"""How often a pointer is renewed within the idle time of a flow."""
+FLOWS_PER_SWEEP = 1000
 
 
 @dataclass(slots=True)
 class OwnedFlow:
-    """One flow; ``home`` is whom it was last told to, as of ``epoch``."""
+    """An owned flow.
+
+    ``home`` is the home that was last notified, as of ranking epoch ``epoch``.
+    """
 
     opened: float
     seen: float
     epoch: int = -1
     home: Home | None = None
-    told: float = 0.0
+    notified_at: float = 0.0
 
 
 class OwnedFlows:
-    """Owned flows by their key; sees to it that each one's home knows.
+    """Owned flows by key. Keeps the home of each flow informed.
 
     Parameters
     ----------
@@ -48,41 +52,41 @@
         return flow in self._by_flow
 
     def get(self, flow: bytes) -> OwnedFlow | None:
-        """Return the flow if it is owned here."""
+        """Return the flow if this agent owns it."""
         return self._by_flow.get(flow)
 
     def add(self, now: float, flow: bytes, known_by: str = "") -> None:
-        """Own ``flow``; its home is told, unless it is ``known_by``."""
+        """Own ``flow`` and notify its home, unless the home is ``known_by``."""
         owned = OwnedFlow(opened=now, seen=now)
         self._by_flow[flow] = owned
-        self._follow_home(now, flow, owned, known_by)
+        self._update_home(now, flow, owned, known_by)
 
-    def tell(self, flow: bytes) -> None:
-        """Tell the present home of an owned flow."""
+    def notify_home(self, flow: bytes) -> None:
+        """Send a pointer to the current home of an owned flow."""
         owned = self._by_flow.get(flow)
         if owned is not None and owned.home is not None:
-            self._sender.tell(owned.home, flow)
+            self._sender.enqueue(owned.home, flow)
 
     def forget(self, flow: bytes) -> None:
-        """Own ``flow`` no longer."""
+        """Stop owning ``flow``."""
         owned = self._by_flow.pop(flow, None)
         if owned is not None and owned.home is not None:
             self._sender.forget(owned.home, flow)
 
     def confirmed(self, sender: str, message: FlowAnswer) -> None:
-        """Take a home's confirmation of what it was told."""
+        """Handle the confirmation of a batch of pointers."""
         self._sender.confirmed(sender, message)
 
     def sweep(self, now: float, idle: float) -> list[bytes]:
-        """Look over the next SWEEP flows; return those that went idle.
+        """Check the next ``FLOWS_PER_SWEEP`` flows and return the idle ones.
 
-        A slice at a time, so that a change of roster with many flows does
-        not hold up the packets.
+        Checking a slice at a time keeps a roster change with many flows from
+        delaying packets.
         """
         if not self._to_sweep:
             self._to_sweep = list(self._by_flow)
         ended = []
-        for flow in self._to_sweep[-SWEEP:]:
+        for flow in self._to_sweep[-FLOWS_PER_SWEEP:]:
             owned = self._by_flow.get(flow)
             if owned is None:
                 continue
@@ -90,8 +94,8 @@
                 self.forget(flow)
                 ended.append(flow)
                 continue
-            self._keep_told(now, flow, owned, idle)
-        del self._to_sweep[-SWEEP:]
+            self._renew_pointer(now, flow, owned, idle)
+        del self._to_sweep[-FLOWS_PER_SWEEP:]
         return ended
 
     def messages(self, now: float, incarnation: int) -> list[SendPeer]:
@@ -99,11 +103,11 @@
         return self._sender.send(now, incarnation)
 
     def clear(self) -> None:
-        """Own nothing."""
+        """Forget all flows."""
         self._by_flow.clear()
         self._sender.clear()
 
-    def _follow_home(
+    def _update_home(
         self, now: float, flow: bytes, owned: OwnedFlow, known_by: str = ""
     ) -> None:
         home = self._homes.home(flow)
@@ -113,20 +117,20 @@
         if owned.home is not None:
             self._sender.forget(owned.home, flow)
         owned.home = home
-        owned.told = now
+        owned.notified_at = now
         if home is not None and home.name not in (self._homes.name, known_by):
-            self._sender.tell(home, flow)
+            self._sender.enqueue(home, flow)
 
-    def _keep_told(
+    def _renew_pointer(
         self, now: float, flow: bytes, owned: OwnedFlow, idle: float
     ) -> None:
         if owned.epoch != self._homes.epoch:
-            self._follow_home(now, flow, owned)
-        # Entries send straight to the owner while their hints last, so the
-        # home sees no packet for hours; without a renewal its pointer would
-        # run out, and the flow break when an entry is replaced.
+            self._update_home(now, flow, owned)
+        # Entries send directly to the owner while their hints last, so the home may
+        # see no packet for hours. Without a renewal its pointer would expire, and
+        # the flow would break when an entry is replaced.
         if owned.home is None or owned.home.name == self._homes.name:
             return
-        if now - owned.told >= idle / REFRESHES_PER_IDLE:
-            owned.told = now
-            self._sender.tell(owned.home, flow)
+        if now - owned.notified_at >= idle / RENEWALS_PER_IDLE_TIME:
+            owned.notified_at = now
+            self._sender.enqueue(owned.home, flow)
--- a/packages/zinniahook-core/src/zinniahook_core/pointers.py
+++ b/packages/zinniahook-core/src/zinniahook_core/pointers.py
@@ -1,8 +1,8 @@
-"""Pointers from the home of a flow to its owner, and how a home learns them.
+"""Pointers from the home of a flow to its owner.
 
-What goes wrong: an agent joins or leaves, the home of an established flow
-moves, and the new home would open the flow a second time at another target.
-One notices a stream that starts anew. So each owner tells the new home, in
+When an agent joins or leaves, the home of an established flow moves. Without
+pointers the new home would open the flow again at another target, and the caller's
+stream would restart. Each owner therefore sends pointers to the new home, in
 batches that are repeated until confirmed.
 """
 
@@ -22,16 +22,16 @@
 
 POINTERS_LIMIT = 65536
 BATCH_BYTES = 1000
-FLOW_OVERHEAD = 2
+FLOW_OVERHEAD_BYTES = 2
 BATCHES_PER_ROUND = 4
-ROUND = 0.5
+ROUND_SECONDS = 0.5
 
 
 class Pointer(NamedTuple):
-    """Who owns a flow; void after ``until``.
+    """The owner of a flow, valid until ``until``.
 
-    Until ``handed_until`` the opening itself may have been lost on its way,
-    so that forwarded datagrams are marked as handed over again.
+    The opening itself may have been lost before ``handed_until``, so until then
+    forwarded datagrams are marked as handed over again.
     """
 
     owner: str
@@ -41,7 +41,7 @@
 
 
 class Pointers:
-    """A bounded table of pointers; the one renewed longest ago goes first."""
+    """A bounded table of pointers that evicts the least recently renewed."""
 
     def __init__(self, limit: int = POINTERS_LIMIT) -> None:
         self._limit = limit
@@ -52,7 +52,7 @@
         return len(self._by_flow)
 
     def get(self, flow: bytes) -> Pointer | None:
-        """Return the pointer of ``flow``, if there is one."""
+        """Return the pointer of ``flow``, or None."""
         return self._by_flow.get(flow)
 
     def put(self, flow: bytes, pointer: Pointer) -> None:
@@ -64,24 +64,24 @@
             self.evicted += 1
 
     def drop(self, flow: bytes) -> None:
-        """Forget the pointer of ``flow``, if there is one."""
+        """Remove the pointer of ``flow``, if any."""
         self._by_flow.pop(flow, None)
 
-    def expire(self, now: float, most: int) -> None:
-        """Drop up to ``most`` pointers that ran out, oldest first."""
-        for _ in range(min(most, len(self._by_flow))):
+    def expire(self, now: float, limit: int) -> None:
+        """Remove up to ``limit`` expired pointers, oldest first."""
+        for _ in range(min(limit, len(self._by_flow))):
             flow, pointer = next(iter(self._by_flow.items()))
             if pointer.until > now:
                 return
             del self._by_flow[flow]
 
     def clear(self) -> None:
-        """Forget every pointer."""
+        """Remove every pointer."""
         self._by_flow.clear()
 
 
 def confirmation(message: FlowPointers) -> FlowAnswer:
-    """Return what confirms ``message``: an answer that names no flow."""
+    """Return the confirmation of ``message``: an answer that names no flow."""
     return FlowAnswer(_digest(message.flows), b"", message.owner)
 
 
@@ -90,15 +90,15 @@
 
 
 @dataclass(slots=True)
-class Untold:
-    """The flows that one home has not confirmed yet."""
+class UnconfirmedFlows:
+    """Flows whose pointers one home hasn't confirmed yet."""
 
     flows: dict[bytes, None] = field(default_factory=dict)
     batches_by_digest: dict[int, tuple[bytes, ...]] = field(default_factory=dict)
 
 
 class PointerSender:
-    """Tells homes of flows until they confirm.
+    """Sends pointers to homes until they are confirmed.
 
     Parameters
     ----------
@@ -108,59 +108,61 @@
 
     def __init__(self, owner: str) -> None:
         self._owner = owner
-        self._untold_by_home: dict[Home, Untold] = {}
+        self._unconfirmed_by_home: dict[Home, UnconfirmedFlows] = {}
         self._next_round = 0.0
 
-    def tell(self, home: Home, flow: bytes) -> None:
-        """Queue ``flow`` for ``home``."""
-        self._untold_by_home.setdefault(home, Untold()).flows[flow] = None
+    def enqueue(self, home: Home, flow: bytes) -> None:
+        """Queue a pointer of ``flow`` for ``home``."""
+        self._unconfirmed_by_home.setdefault(home, UnconfirmedFlows()).flows[flow] = (
+            None
+        )
 
     def forget(self, home: Home, flow: bytes) -> None:
-        """Take ``flow`` back: it ended, or its home has moved on."""
-        untold = self._untold_by_home.get(home)
-        if untold is None:
+        """Drop the pointer of a flow that ended or has another home now."""
+        unconfirmed = self._unconfirmed_by_home.get(home)
+        if unconfirmed is None:
             return
-        untold.flows.pop(flow, None)
-        if not untold.flows:
-            del self._untold_by_home[home]
+        unconfirmed.flows.pop(flow, None)
+        if not unconfirmed.flows:
+            del self._unconfirmed_by_home[home]
 
     def confirmed(self, sender: str, message: FlowAnswer) -> None:
-        """Take a home's confirmation."""
-        for home, untold in list(self._untold_by_home.items()):
+        """Handle the confirmation of a batch."""
+        for home, unconfirmed in list(self._unconfirmed_by_home.items()):
             if home.name != sender:
                 continue
-            for flow in untold.batches_by_digest.pop(message.number, ()):
-                untold.flows.pop(flow, None)
-            if not untold.flows:
-                del self._untold_by_home[home]
+            for flow in unconfirmed.batches_by_digest.pop(message.number, ()):
+                unconfirmed.flows.pop(flow, None)
+            if not unconfirmed.flows:
+                del self._unconfirmed_by_home[home]
 
     def send(self, now: float, incarnation: int) -> list[SendPeer]:
-        """Return the batches that are due; call it on every tick."""
-        if now < self._next_round or not self._untold_by_home:
+        """Return the batches that are due. Call this on every tick."""
+        if now < self._next_round or not self._unconfirmed_by_home:
             return []
-        self._next_round = now + ROUND
+        self._next_round = now + ROUND_SECONDS
         effects: list[SendPeer] = []
-        for home, untold in self._untold_by_home.items():
-            untold.batches_by_digest = {}
-            for flows in _batches(untold.flows)[:BATCHES_PER_ROUND]:
-                untold.batches_by_digest[_digest(flows)] = flows
+        for home, unconfirmed in self._unconfirmed_by_home.items():
+            unconfirmed.batches_by_digest = {}
+            for flows in _batches(unconfirmed.flows)[:BATCHES_PER_ROUND]:
+                unconfirmed.batches_by_digest[_digest(flows)] = flows
                 message = FlowPointers(self._owner, incarnation, flows)
                 effects.append(SendPeer(home.name, message))
         return effects
 
     def clear(self) -> None:
-        """Forget everything that is queued."""
-        self._untold_by_home.clear()
+        """Drop all queued pointers."""
+        self._unconfirmed_by_home.clear()
 
 
 def _batches(flows: dict[bytes, None]) -> list[tuple[bytes, ...]]:
     batches: list[list[bytes]] = []
-    room = 0
+    free_bytes = 0
     for flow in flows:
-        size = len(flow) + FLOW_OVERHEAD
-        if size > room:
+        size = len(flow) + FLOW_OVERHEAD_BYTES
+        if size > free_bytes:
             batches.append([])
-            room = BATCH_BYTES
+            free_bytes = BATCH_BYTES
         batches[-1].append(flow)
-        room -= size
+        free_bytes -= size
     return [tuple(batch) for batch in batches]
--- a/packages/zinniahook-core/src/zinniahook_core/custody.py
+++ b/packages/zinniahook-core/src/zinniahook_core/replication.py
@@ -1,7 +1,7 @@
-"""Keeping each record of a claim at two members.
+"""Replication of claim records, so that two members hold each of them.
 
-It takes copies from peers, copies again what was held together with a member
-that is lost, and tells the others once that is done.
+An agent takes copies from its peers, makes new copies of the records that it held
+together with a lost member, and declares to the others when that is done.
 """
 
 from __future__ import annotations
@@ -12,20 +12,21 @@
 from dataclasses import dataclass, field
 
 from .effects import AgentEffect, Count, SendPeer
-from .handovers import Handover
 from .messages import ClaimFinished, ClaimRecords, ClaimState
 from .records import KEY_LIFETIME, SMALL_ANSWER, Record, Records
-from .views import View
+from .transfers import RecordTransfer
+from .views import MembershipView
 
-__all__ = ["Custody"]
+__all__ = ["Replication"]
 
-ANNOUNCE_AGAIN = 1.0
-DECLARE_INTERVAL = 1.0
+ANNOUNCE_REPEAT_SECONDS = 1.0
+"""Delay of the second announcement of a finished request."""
+DECLARE_INTERVAL_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class Declaration:
-    """What the others are being told: nothing is held by this agent alone."""
+    """A declaration that this agent holds no record alone, sent to the others."""
 
     number: int
     revision: int
@@ -33,31 +34,31 @@
     acknowledged: set[str] = field(default_factory=set)
 
 
-class Custody:
-    """The records that this agent holds, and what it owes to other holders.
+class Replication:
+    """The records that this agent holds, and their copies at other members.
 
     Parameters
     ----------
-    view : View
+    view : MembershipView
         The members as this agent sees them.
     records : Records
-        What this agent remembers.
+        The records of this agent.
     effects : list of AgentEffect
-        Where messages and counts are put.
+        The list that messages and counts are appended to.
     next_number : callable
-        Returns a fresh number for a message.
+        Returns a new number for a message.
 
     Attributes
     ----------
     leaving : bool
-        Two others have to hold each record, for this agent will not.
+        Whether two others must hold each record because this agent leaves.
     remembers : int
-        The first incarnation of this process; it has forgotten nothing since.
+        The first incarnation since which this process has lost no records.
     """
 
     def __init__(
         self,
-        view: View,
+        view: MembershipView,
         records: Records,
         effects: list[AgentEffect],
         next_number: Callable[[], int],
@@ -67,40 +68,40 @@
         self._effects = effects
         self._next_number = next_number
         self._announcements: deque[tuple[float, bytes]] = deque()
-        self._handover: Handover | None = None
+        self._transfer: RecordTransfer | None = None
         self._declared: Declaration | None = None
         self.leaving = False
         self.remembers = 0
 
     @property
     def handed_over(self) -> bool:
-        """Whether others hold all that is held here."""
-        return self._handover is None or self._handover.done
+        """Whether other members hold all records of this agent."""
+        return self._transfer is None or self._transfer.done
 
     def finished(self, now: float, key: bytes, answer: bytes) -> None:
-        """Keep the answer of what ran here and tell the other holders."""
+        """Store the answer of a request that ran here and announce it."""
         self._end(now, key, ClaimState.FINISHED, answer)
         self._announce(now, key)
-        self._announcements.append((now + ANNOUNCE_AGAIN, key))
+        self._announcements.append((now + ANNOUNCE_REPEAT_SECONDS, key))
 
     def failed(self, now: float, key: bytes) -> None:
-        """Note that nobody can tell what became of what ran here."""
+        """Record that the outcome of a request that ran here is unknown."""
         self._end(now, key, ClaimState.UNKNOWN, b"")
 
     def acknowledged(self, now: float, sender: str, number: int) -> bool:
-        """Note an acknowledgement; False if it is of something else."""
+        """Handle an acknowledgement and return whether it was expected."""
         if self._declared is not None and number == self._declared.number:
             self._declared.acknowledged.add(sender)
             return True
-        handover = self._handover
-        return handover is not None and handover.acknowledged(now, sender, number)
+        transfer = self._transfer
+        return transfer is not None and transfer.acknowledged(now, sender, number)
 
     def tick(self, now: float) -> None:
-        """Send what is due."""
+        """Send the messages that are due."""
         while self._announcements and self._announcements[0][0] <= now:
             self._announce(now, self._announcements.popleft()[1])
-        if self._handover is not None:
-            self._effects += self._handover.send(now)
+        if self._transfer is not None:
+            self._effects += self._transfer.send(now)
         self._declare(now)
 
     def _end(self, now: float, key: bytes, state: ClaimState, answer: bytes) -> None:
@@ -127,8 +128,8 @@
             holders = holders[:1]
         self._effects += [SendPeer(name, message) for name in holders]
 
-    def told_finished(self, now: float, sender: str, message: ClaimFinished) -> None:
-        """Learn that a peer has finished a request, and keep its answer."""
+    def learn_finished(self, now: float, sender: str, message: ClaimFinished) -> None:
+        """Record the answer of a request that a peer has finished."""
         if message.runner != sender or not message.started:
             return
         record = Record(
@@ -140,19 +141,19 @@
             now + KEY_LIFETIME,
             message.answer,
         )
-        told = record.message(now, message.key)
-        self._records.absorb(now, told, sender, message.incarnation)
+        finished_record = record.message(now, message.key)
+        self._records.absorb(now, finished_record, sender, message.incarnation)
 
-    def told_records(self, now: float, sender: str, message: ClaimRecords) -> None:
-        """Take a peer's records or its declaration, and acknowledge them."""
+    def learn_records(self, now: float, sender: str, message: ClaimRecords) -> None:
+        """Handle records or a declaration of a peer and acknowledge them."""
         if not self._view.valid(sender, message.incarnation):
             return
         if not message.records:
             current = self._view.current(sender, message.incarnation)
             if not current or sender not in self._view.live:
-                # A new life of that name must not speak for the one whose
-                # death this agent hasn't heard of yet; and whoever isn't asked
-                # in lookups can't stand for what it holds.
+                # A new incarnation of that name must not declare for the one whose
+                # death this agent hasn't learned of yet. A member that isn't asked
+                # in lookups can't vouch for its records either.
                 return
             if message.remembers:
                 self._view.remember(sender, message.remembers)
@@ -165,10 +166,10 @@
         self._effects.append(SendPeer(sender, reply))
 
     def _take_records(self, now: float, sender: str, message: ClaimRecords) -> bool:
-        """Hold a peer's records; False if they must not count as held."""
+        """Store records of a peer and return whether they count as held."""
         if 0 < message.revision < self._view.revision:
-            # Ownership may have moved since, and this agent may have told the
-            # new owner that it knows of no claim.
+            # Ownership may have moved since, and this agent may have answered the
+            # new owner that it knows no claim.
             self._effects.append(Count("claims.view_stale"))
             return False
         taken = [
@@ -180,29 +181,31 @@
             return False
         return True
 
-    def hand_over(self) -> None:
-        """Start to copy whatever has too few holders."""
+    def start_transfer(self) -> None:
+        """Start to copy the records that have too few holders."""
         holders = 2 if self.leaving else 1
-        self._handover = Handover(self._view, self._records, self._next_number, holders)
+        self._transfer = RecordTransfer(
+            self._view, self._records, self._next_number, holders
+        )
 
     def _declare(self, now: float) -> None:
-        """Tell the others once a handover is complete.
+        """Declare to the others that a transfer is complete.
 
-        They may then disregard the losses that it made good.
+        They may then ignore the losses that it has repaired.
         """
-        handover = self._handover
-        if handover is not None and handover.done and handover.has_takers:
+        transfer = self._transfer
+        if transfer is not None and transfer.done and transfer.has_recipients:
             if self.remembers:
                 self._view.remember(self._view.name, self.remembers)
-            self._view.declare(self._view.name, handover.revision)
+            self._view.declare(self._view.name, transfer.revision)
             known = self._declared
-            if known is None or known.revision != handover.revision:
+            if known is None or known.revision != transfer.revision:
                 number = self._next_number()
-                self._declared = Declaration(number, handover.revision)
+                self._declared = Declaration(number, transfer.revision)
             if not self.leaving:
-                self._handover = None
+                self._transfer = None
         declared = self._declared
-        if declared is None or now - declared.sent_at < DECLARE_INTERVAL:
+        if declared is None or now - declared.sent_at < DECLARE_INTERVAL_SECONDS:
             return
         declared.sent_at = now
         message = ClaimRecords(
--- a/packages/zinniahook-core/src/zinniahook_core/handovers.py
+++ b/packages/zinniahook-core/src/zinniahook_core/transfers.py
@@ -1,9 +1,9 @@
-"""Records of claims on their way from one agent to its peers.
+"""Transfers of claim records from an agent to its peers.
 
-Two members have to hold each claim. When one of them is lost the other copies
-the record to a third, an agent that was alone does so once it has a peer, and
-a leaving agent first sees to it that two others hold what it holds. Batches
-are repeated until acknowledged.
+Each claim must be held by two members. When one of them is lost, the other copies
+the record to a third. An agent that was alone copies its records once it has a
+peer. A leaving agent first makes sure that two others hold its records. Batches are
+repeated until they are acknowledged.
 """
 
 from __future__ import annotations
@@ -15,46 +15,47 @@
 from .effects import SendPeer
 from .messages import ClaimRecords, ClaimState
 from .records import Record, Records
-from .views import View
+from .views import MembershipView
 
-__all__ = ["Handover"]
+__all__ = ["RecordTransfer"]
 
 BATCH_RECORDS = 8
 BATCH_BYTES = 1000
 BATCHES_IN_FLIGHT = 4
-"""Together with the tick, this bounds a handover to some 36 KB a second."""
+"""Limits a transfer, together with the tick, to about 36 KB per second."""
 
-SORTED_PER_TICK = 1000
-REPEAT_AFTER = 0.3
+ASSIGNED_PER_TICK = 1000
+REPEAT_AFTER_SECONDS = 0.3
 
 
 @dataclass(slots=True)
 class Batch:
-    """Records sent to one peer and not acknowledged yet."""
+    """Records that were sent to a peer and aren't acknowledged yet."""
 
     peer: str
     keys: tuple[bytes, ...]
     sent_at: float
 
 
-class Handover:
-    """One run through the records of an agent.
+class RecordTransfer:
+    """One pass over the records of an agent.
 
     Parameters
     ----------
-    view : View
-        Tells who is ready to take records.
+    view : MembershipView
+        Names the members that are ready to receive records.
     records : Records
-        What is handed over; a record that changes is sent as it is then.
+        The records to transfer. A record that changes is sent in its state at
+        that time.
     next_number : callable
-        Returns a fresh number for a batch.
+        Returns a new number for a batch.
     holders : int
-        How many members besides this agent have to hold each record.
+        How many members besides this agent must hold each record.
     """
 
     def __init__(
         self,
-        view: View,
+        view: MembershipView,
         records: Records,
         next_number: Callable[[], int],
         holders: int = 1,
@@ -70,18 +71,18 @@
 
     @property
     def done(self) -> bool:
-        """Whether every record has been acknowledged, or nobody can take one."""
-        if not self._takers():
+        """Whether all records are acknowledged or no member can receive them."""
+        if not self._recipients():
             return True
         return not (self._waiting or self._due_by_peer or self._batches_by_number)
 
     @property
-    def has_takers(self) -> bool:
-        """Whether there is a ready member besides this agent."""
-        return bool(self._takers())
+    def has_recipients(self) -> bool:
+        """Whether a member besides this agent is ready."""
+        return bool(self._recipients())
 
     def acknowledged(self, now: float, sender: str, number: int) -> bool:
-        """Note an acknowledgement; False if it isn't of this handover."""
+        """Record an acknowledgement and return whether it is for this transfer."""
         batch = self._batches_by_number.get(number)
         if batch is None or batch.peer != sender:
             return False
@@ -94,45 +95,45 @@
         return True
 
     def send(self, now: float) -> list[SendPeer]:
-        """Return what is to be sent now."""
-        self._retarget()
+        """Return the messages to send now."""
+        self._reassign()
         effects = []
         for number, batch in list(self._batches_by_number.items()):
-            if now - batch.sent_at >= REPEAT_AFTER:
+            if now - batch.sent_at >= REPEAT_AFTER_SECONDS:
                 effects += self._message(now, number, batch)
-        self._sort_out(now)
+        self._assign(now)
         for peer in list(self._due_by_peer):
             effects += self._send_to(now, peer)
         return effects
 
-    def _takers(self) -> list[str]:
+    def _recipients(self) -> list[str]:
         return [name for name in self._view.ready if name != self._view.name]
 
-    def _retarget(self) -> None:
-        takers = self._takers()
+    def _reassign(self) -> None:
+        recipients = self._recipients()
         for number, batch in list(self._batches_by_number.items()):
-            if batch.peer not in takers:
+            if batch.peer not in recipients:
                 self._waiting.extend(batch.keys)
                 del self._batches_by_number[number]
-        for peer in [peer for peer in self._due_by_peer if peer not in takers]:
+        for peer in [peer for peer in self._due_by_peer if peer not in recipients]:
             self._waiting.extend(self._due_by_peer.pop(peer))
 
-    def _sort_out(self, now: float) -> None:
-        for _ in range(min(len(self._waiting), SORTED_PER_TICK)):
+    def _assign(self, now: float) -> None:
+        for _ in range(min(len(self._waiting), ASSIGNED_PER_TICK)):
             key = self._waiting.popleft()
             record = self._records.get(now, key)
             if record is None or self._is_unused(record):
                 continue
-            for peer in self._targets(key, record):
+            for peer in self._missing_holders(key, record):
                 self._due_by_peer.setdefault(peer, []).append(key)
 
     def _is_unused(self, record: Record) -> bool:
-        # A grant to this agent that it never used says nothing to others.
+        # A grant to this agent that it never used has no meaning to other members.
         own = record.runner == self._view.name
         return own and record.state is ClaimState.GRANTED
 
-    def _targets(self, key: bytes, record: Record) -> Iterable[str]:
-        """Return who has to take a record, so that enough members hold it."""
+    def _missing_holders(self, key: bytes, record: Record) -> Iterable[str]:
+        """Return the members that must receive a record to give it enough holders."""
         view = self._view
         places = (
             (record.runner, record.incarnation),
@@ -168,7 +169,8 @@
         found = ((key, self._records.get(now, key)) for key in batch.keys)
         records = tuple(record.message(now, key) for key, record in found if record)
         if not records:
-            # An empty batch would say something else.
+            # A message without records has another meaning: it is an
+            # acknowledgement or a declaration.
             del self._batches_by_number[number]
             return []
         batch.sent_at = now
--- a/packages/zinniahook-core/tests/core_rules.py
+++ b/packages/zinniahook-core/tests/core_rules.py
@@ -1,4 +1,4 @@
-"""Rules of the state machine: what callers, operators and chance may do."""
+"""Rules of the state machine: actions of callers and operators, and faults."""
 
 from core_clusters import Cluster
 from core_fakes import KEYLESS
@@ -12,7 +12,7 @@
 )
 
 AGENTS = {"tally": 3, "ledger": 1, "feed": 3}
-MOST_AGENTS = 6
+MAX_AGENTS = 6
 FLOWS = 6
 REQUEST_SERVICES = ("tally", "ledger")
 TARGETS = ("sound", "refuses", "fails")
@@ -24,7 +24,7 @@
 any_service = st.sampled_from(tuple(AGENTS))
 
 
-class World(RuleBasedStateMachine):
+class ClusterMachine(RuleBasedStateMachine):
     """A cluster whose promises are checked after every step."""
 
     planned_only = True
@@ -38,7 +38,7 @@
 
     @invariant()
     def promises_hold(self):
-        broken = self.cluster.broken()
+        broken = self.cluster.violated_promises()
         assert not broken, broken
         cut = self.planned_only and self.cluster.restarts
         assert not cut, "a planned change cut every connection of an agent"
@@ -69,7 +69,7 @@
 
 
 class Callers:
-    """What callers send, in time and late."""
+    """Requests and datagrams of callers, on time and late."""
 
     @rule(service=service)
     def connect(self, service):
@@ -154,11 +154,11 @@
 
 
 class Planned:
-    """What operators and the platform do on purpose."""
+    """Actions of operators and the platform."""
 
     @rule(service=any_service)
     def join(self, service):
-        if len(self.cluster.live(service)) < MOST_AGENTS:
+        if len(self.cluster.live(service)) < MAX_AGENTS:
             self.cluster.join(service)
 
     @rule(which=index, service=any_service, seconds=st.sampled_from((4.0, 30.0)))
@@ -188,7 +188,7 @@
 
 
 class Unplanned:
-    """What chance does to processes, paths and the store."""
+    """Failures of processes, paths and the store."""
 
     @rule(which=index, service=service, back=st.booleans())
     def crash(self, which, service, back):
--- a/packages/zinniahook-core/tests/test_lookups.py
+++ b/packages/zinniahook-core/tests/test_lookups.py
@@ -3,7 +3,12 @@
 import itertools
 
 from zinniahook_core.claims import Claims
-from zinniahook_core.lookups import PATIENCE, SILENT_PATIENCE, Lookup, Lookups
+from zinniahook_core.lookups import (
+    LOOKUP_TIMEOUT_SECONDS,
+    SILENT_TIMEOUT_SECONDS,
+    Lookup,
+    Lookups,
+)
 from zinniahook_core.messages import ClaimAnswer, ClaimAsk, ClaimIntent, ClaimState
 from zinniahook_core.models import Address, AgentState, Member, Roster
 from zinniahook_core.records import refused
@@ -20,57 +25,57 @@
 
 
 class TestSilentMember:
-    """
-    Symptom: every ticket takes half a second more for as long as a dead agent
-    isn't marked down, and they pile up.
-    Sequence: an agent dies; new tickets are looked up at all members.
-    Cause: each lookup waited for the dead one as patiently as the first.
+    """Lookups must not all wait the full timeout for a dead member.
+
+    An agent dies, and new requests are looked up at all members. If each lookup
+    waited for the dead agent as long as the first, every request would take half a
+    second more until it is marked down, and requests would pile up.
     """
 
-    def look(self, lookups, number, at):
+    def begin_lookup(self, lookups, number, at):
         """Begin a lookup that only the live member answers."""
         key = b"key-%d" % number
         item = lookup(number, key, at)
         assert lookups.begin(item)
-        assert lookups.take("live", none(number, key)) is None
+        assert lookups.add_answer("live", none(number, key)) is None
         return item
 
     def test_only_the_first_lookup_waits_long(self):
         lookups = Lookups()
-        first = self.look(lookups, 1, 0.0)
-        assert lookups.overdue(SILENT_PATIENCE) == []
-        assert lookups.overdue(PATIENCE) == [first]
+        first = self.begin_lookup(lookups, 1, 0.0)
+        assert lookups.overdue(SILENT_TIMEOUT_SECONDS) == []
+        assert lookups.overdue(LOOKUP_TIMEOUT_SECONDS) == [first]
         lookups.end(first)
-        second = self.look(lookups, 2, 1.0)
-        assert lookups.overdue(1.0 + SILENT_PATIENCE / 2) == []
-        assert lookups.overdue(1.0 + SILENT_PATIENCE) == [second]
+        second = self.begin_lookup(lookups, 2, 1.0)
+        assert lookups.overdue(1.0 + SILENT_TIMEOUT_SECONDS / 2) == []
+        assert lookups.overdue(1.0 + SILENT_TIMEOUT_SECONDS) == [second]
 
-    def test_a_member_that_speaks_again_is_waited_for(self):
+    def test_a_member_that_answers_again_is_waited_for(self):
         lookups = Lookups()
-        first = self.look(lookups, 1, 0.0)
-        assert lookups.overdue(PATIENCE) == [first]
+        first = self.begin_lookup(lookups, 1, 0.0)
+        assert lookups.overdue(LOOKUP_TIMEOUT_SECONDS) == [first]
         lookups.end(first)
-        lookups.take("dead", none(1, b"key-1"))
-        second = self.look(lookups, 2, 1.0)
-        assert lookups.overdue(1.0 + SILENT_PATIENCE) == []
-        assert lookups.overdue(1.0 + PATIENCE) == [second]
+        lookups.add_answer("dead", none(1, b"key-1"))
+        second = self.begin_lookup(lookups, 2, 1.0)
+        assert lookups.overdue(1.0 + SILENT_TIMEOUT_SECONDS) == []
+        assert lookups.overdue(1.0 + LOOKUP_TIMEOUT_SECONDS) == [second]
 
     def test_another_member_is_still_waited_for(self):
         lookups = Lookups()
-        first = self.look(lookups, 1, 0.0)
-        assert lookups.overdue(PATIENCE) == [first]
+        first = self.begin_lookup(lookups, 1, 0.0)
+        assert lookups.overdue(LOOKUP_TIMEOUT_SECONDS) == [first]
         lookups.end(first)
         second = lookup(2, b"key-2", 1.0)
         lookups.begin(second)
-        assert lookups.overdue(1.0 + SILENT_PATIENCE) == []
+        assert lookups.overdue(1.0 + SILENT_TIMEOUT_SECONDS) == []
 
 
 class TestOwnDecision:
-    def test_one_that_does_not_stand_is_asked_for_later(self, monkeypatch):
-        """
-        Symptom: RecursionError at the agent that owns a key. Sequence: it is
-        about to refuse an attempt whose key it granted to a later one.
-        Cause: it asked itself again at once, and decided the same again.
+    def test_a_decision_that_does_not_stand_is_asked_for_later(self, monkeypatch):
+        """An owner must not ask itself again at once about its own decision.
+
+        It is about to refuse an attempt whose key it granted to a later one. Asking
+        itself immediately would repeat the same decision until a RecursionError.
         """
         monkeypatch.setattr(Claims, "_stands", lambda *_: False)
         names = ("a", "b", "c")
--- a/packages/zinniahook-core/tests/test_machine.py
+++ b/packages/zinniahook-core/tests/test_machine.py
@@ -1,11 +1,11 @@
-"""Random faults against real cores; the promises are checked at each step.
+"""Random faults against real cores, with the guarantees checked at each step.
 
-``TestPromises`` runs the cores as they are. ``TestChecksCanFail`` breaks one
-part at a time and shows that the check of that promise notices it.
+``TestPromises`` runs the cores unchanged. ``TestChecksCanFail`` breaks one part at
+a time and verifies that the check of that guarantee fails.
 """
 
 import pytest
-from core_rules import Callers, Flows, Planned, Unplanned, World
+from core_rules import Callers, ClusterMachine, Flows, Planned, Unplanned
 from hypothesis import HealthCheck, Phase, Verbosity, settings
 from hypothesis.stateful import run_state_machine_as_test
 from zinniahook_core import (
@@ -30,32 +30,32 @@
 )
 
 
-class Faults(Callers, Flows, Planned, Unplanned, World):
-    """Everything at once."""
+class Faults(Callers, Flows, Planned, Unplanned, ClusterMachine):
+    """All rules together."""
 
     planned_only = False
 
 
-class Requests(Callers, Planned, World):
+class Requests(Callers, Planned, ClusterMachine):
     """Requests under planned changes."""
 
 
-class Overload(Callers, World):
-    """More requests than the targets take."""
+class Overload(Callers, ClusterMachine):
+    """More requests than the targets accept."""
 
 
-class Copies(World):
+class Copies(ClusterMachine):
     """A few requests, each in several copies."""
 
     file_request = Callers.file_request
     retry = Callers.retry
 
 
-class FlowsUnderChange(Flows, Planned, World):
+class FlowsUnderChange(Flows, Planned, ClusterMachine):
     """Established flows under planned changes."""
 
 
-class FlowsUnderDrain(World):
+class FlowsUnderDrain(ClusterMachine):
     """Established flows while agents leave and entries are replaced."""
 
     send_on_flows = Flows.send_on_flows
@@ -86,63 +86,63 @@
 
 
 def grant_always(self, now, request, key, attempt, intent, *rest):
-    """Settle a claim without asking anybody."""
+    """Settle a claim without asking any peer."""
     refuses = intent is ClaimIntent.REFUSE
     state = ClaimState.REFUSED if refuses else ClaimState.GRANTED
     self._settled.append(claims.Settled(request, state, self._name))
 
 
 def refuse_without_tombstone(self, now, item, refusal):
-    """Say "not run" while another copy may still run."""
+    """Report "not run" while another copy may still run."""
     self.conclude(item, Outcome(OutcomeKind.NOT_RUN, refusal.code, 1.0))
 
 
 def route_by_owner_alone(self, now, service, caller, payload):
-    """Route by the connection id, whatever service it was issued for."""
+    """Route by the connection id without checking its service."""
     destination = routing.destination_of(payload)
     if not isinstance(destination, Code):
         owner = self._connection_ids.decode(destination[1])
         if isinstance(owner, routing.Owner):
             return owner.agent
-    return sound_route(self, now, service, caller, payload)
+    return original_route(self, now, service, caller, payload)
 
 
 def take_any_generation(self, now, event):
-    """Take whatever configuration arrives last."""
+    """Install the last configuration received, whatever its generation."""
     self.configuration = event.configuration
     return []
 
 
 def ignore(self, now, event):
-    """Do nothing on an event."""
+    """Ignore an event."""
     return []
 
 
 def lose_joins(self, now, event):
-    """Forget to give a copy that joined another its answer."""
-    found = sound_handle(self, now, event)
+    """Never answer a copy that joined another."""
+    found = original_handle(self, now, event)
     return [one for one in found if not isinstance(one, effects.JoinRequest)]
 
 
-def never(self, now, flow):
-    """Take every flow of this home for a new one."""
+def had_no_other_home(self, now, flow):
+    """Treat every flow of this home as new."""
     return False
 
 
-def tell_nobody(self, now, incarnation):
-    """Leave the new home of a flow without a pointer to its owner."""
+def send_no_pointers(self, now, incarnation):
+    """Never send pointers to the new home of a flow."""
     return []
 
 
 def stop_at_once(self, now, event):
     """Leave without letting flows finish."""
     self.flows.clear()
-    return sound_drain(self, now, event)
+    return original_drain(self, now, event)
 
 
-sound_drain = agents._HANDLERS_BY_EVENT[events.DrainRequested]
-sound_handle = agents.AgentCore.handle
-sound_route = entries.EntryCore.route
+original_drain = agents._HANDLERS_BY_EVENT[events.DrainRequested]
+original_handle = agents.AgentCore.handle
+original_route = entries.EntryCore.route
 
 
 class TestChecksCanFail:
@@ -177,8 +177,8 @@
         self.catches("generation went down")
 
     def test_flow_lost_to_a_planned_change(self, monkeypatch):
-        monkeypatch.setattr(homes.Homes, "was_elsewhere", never)
-        monkeypatch.setattr(owners.OwnedFlows, "messages", tell_nobody)
+        monkeypatch.setattr(homes.Homes, "had_other_home", had_no_other_home)
+        monkeypatch.setattr(owners.OwnedFlows, "messages", send_no_pointers)
         self.catches("flow moved", FlowsUnderChange)
 
     def test_flow_dropped_by_a_leaving_agent(self, monkeypatch):
