--- a/packages/zinniahook-core/setup.py
+++ b/packages/zinniahook-core/setup.py
@@ -16,7 +16,7 @@
 PACKAGE = ROOT / "src" / "zinniahook_core"
 
 
-def compiled() -> list[Extension]:
+def extension_modules() -> list[Extension]:
     """Return the extensions to build: none, unless they are wanted.
 
     The shared helpers of mypyc and all modules make one extension, so that
@@ -32,4 +32,4 @@
     return mypycify(["--strict", "--follow-imports=silent", *names], opt_level="3")
 
 
-setup(ext_modules=compiled())
+setup(ext_modules=extension_modules())
--- a/packages/zinniahook-core/src/zinniahook_core/admission.py
+++ b/packages/zinniahook-core/src/zinniahook_core/admission.py
@@ -14,18 +14,18 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from .budgets import RetryBudget, ReturnSchedule
+from .budgets import RetryBudget, RetrySchedule
 from .codes import Code
 from .models import RequestClass
 from .queues import DeadlineQueue
 
 __all__ = ["Admission", "Decision", "Verdict"]
 
-FIRST_MEAN = 0.05
-MEAN_WEIGHT = 0.1
-LONG_SERVICE = 1.0
-LEAST_WEIGHT = 0.05
-COLD_SHARE = 0.25
+INITIAL_MEAN_SECONDS = 0.05
+MEAN_SAMPLE_WEIGHT = 0.1
+LONG_SERVICE_SECONDS = 1.0
+MIN_CLASS_WEIGHT = 0.05
+COLD_SLOT_SHARE = 0.25
 
 
 class Verdict(enum.Enum):
@@ -50,35 +50,37 @@
     """The requests of one class that run or wait, and how long they take."""
 
     rule: RequestClass
-    returns: ReturnSchedule
+    retry_schedule: RetrySchedule
     budget: RetryBudget = field(default_factory=RetryBudget)
     queue: DeadlineQueue = field(default_factory=DeadlineQueue)
     started_by_request: dict[int, float] = field(default_factory=dict)
     weight: float = 1.0
     guaranteed: int = 0
-    virtual: float = 0.0
-    mean: float = FIRST_MEAN
+    virtual_time: float = 0.0
+    mean_seconds: float = INITIAL_MEAN_SECONDS
     sampled: bool = False
 
     @property
-    def need(self) -> int:
+    def slots_per_request(self) -> int:
         """Slots that one request holds."""
         return self.rule.slots
 
     @property
     def in_use(self) -> int:
         """Slots that this class holds now."""
-        return self.need * len(self.started_by_request)
+        return self.slots_per_request * len(self.started_by_request)
 
     @property
     def active(self) -> bool:
         """Whether the class competes for slots."""
-        return self.need > 0 and bool(self.started_by_request or len(self.queue))
+        return self.slots_per_request > 0 and bool(
+            self.started_by_request or len(self.queue)
+        )
 
     def sample(self, seconds: float) -> None:
         """Take one measured service time into the mean."""
-        weight = MEAN_WEIGHT if self.sampled else 1.0
-        self.mean += weight * (max(seconds, 1e-4) - self.mean)
+        weight = MEAN_SAMPLE_WEIGHT if self.sampled else 1.0
+        self.mean_seconds += weight * (max(seconds, 1e-4) - self.mean_seconds)
         self.sampled = True
 
 
@@ -112,7 +114,7 @@
     @property
     def slots(self) -> int:
         """Slots in use at most, fewer while the target is cold."""
-        share = 1.0 - self._cold * (1.0 - COLD_SHARE)
+        share = 1.0 - self._cold * (1.0 - COLD_SLOT_SHARE)
         return max(1, math.floor(self._slots * share + 1e-9))
 
     @property
@@ -131,7 +133,7 @@
         return sum(
             len(state.started_by_request)
             for state in self._classes_by_name.values()
-            if state.need == 0
+            if state.slots_per_request == 0
         )
 
     def configure(
@@ -147,7 +149,7 @@
         for name, rule in rules.items():
             state = self._classes_by_name.get(name)
             if state is None:
-                state = ClassState(rule, ReturnSchedule(self._rng))
+                state = ClassState(rule, RetrySchedule(self._rng))
                 self._classes_by_name[name] = state
             state.rule = rule
         for name in [name for name in self._classes_by_name if name not in rules]:
@@ -155,9 +157,9 @@
             if not state.started_by_request and not len(state.queue):
                 del self._classes_by_name[name]
         self._rules = rules
-        self._weigh()
+        self._update_weights()
 
-    def warm(self, cold: float) -> None:
+    def set_coldness(self, cold: float) -> None:
         """Set how cold the target is: 1 just after its start, 0 when warm."""
         self._cold = min(1.0, max(0.0, cold))
 
@@ -190,7 +192,7 @@
         if state is None:
             return Decision(Verdict.REFUSED, Code.CLASS_UNKNOWN)
         if attempt <= 1:
-            state.budget.attempted()
+            state.budget.credit_first_attempt()
         if deadline <= now:
             return self._refuse(now, state, Code.DEADLINE_EXPIRED)
         if not len(state.queue) and self._fits(state):
@@ -218,13 +220,13 @@
             started.append(request)
         return started
 
-    def hopeless(self, now: float) -> list[tuple[int, Decision]]:
+    def refuse_infeasible(self, now: float) -> list[tuple[int, Decision]]:
         """Remove queued requests that can't meet their deadline any more.
 
         They are told at once: waiting on would only cost the caller the time
         in which it could have come back.
         """
-        given_up = [
+        refused_requests = [
             (request, self._refuse(now, self._class_by_request[request]))
             for request in self._displaced
         ]
@@ -235,10 +237,10 @@
                     continue
                 state.queue.remove(waiting.request)
                 refusal = self._refuse(now, state, Code.DEADLINE_EXPIRED)
-                given_up.append((waiting.request, refusal))
-        for request, _ in given_up:
+                refused_requests.append((waiting.request, refusal))
+        for request, _ in refused_requests:
             self._class_by_request.pop(request, None)
-        return given_up
+        return refused_requests
 
     def refuse(self, now: float, kind: str, code: Code) -> Decision:
         """Return a refusal for another reason, with its Retry-After."""
@@ -262,10 +264,12 @@
         if started is None:
             return
         held = now - started
-        state.virtual += state.need * (held - state.mean) / state.weight
+        state.virtual_time += (
+            state.slots_per_request * (held - state.mean_seconds) / state.weight
+        )
         if answered:
             state.sample(held)
-            state.budget.succeeded()
+            state.budget.credit_success()
 
     def credit(self, kind: str) -> bool:
         """Draw one retry of the system's own from the budget of ``kind``."""
@@ -287,23 +291,23 @@
         name = kind if kind in self._rules else ""
         return self._classes_by_name.get(name) if name in self._rules else None
 
-    def _weigh(self) -> None:
-        states = [s for s in self._classes_by_name.values() if s.need > 0]
+    def _update_weights(self) -> None:
+        states = [s for s in self._classes_by_name.values() if s.slots_per_request > 0]
         shared = sum(state.rule.share for state in states)
         open_states = [state for state in states if state.rule.share <= 0]
         rest = max(0.0, 1.0 - shared) / max(1, len(open_states))
         left = self._slots
         for state in states:
-            state.weight = max(LEAST_WEIGHT, state.rule.share or rest)
+            state.weight = max(MIN_CLASS_WEIGHT, state.rule.share or rest)
             wanted = math.ceil(state.rule.share * self._slots - 1e-9)
             state.guaranteed = min(left, wanted)
             left -= state.guaranteed
 
     def _fits(self, state: ClassState) -> bool:
-        if state.need == 0:
+        if state.slots_per_request == 0:
             return len(state.started_by_request) < state.rule.limit
         busy = self.busy
-        if busy and busy + state.need > self.slots:
+        if busy and busy + state.slots_per_request > self.slots:
             return False
         return self._may_borrow(state)
 
@@ -311,28 +315,30 @@
         # What goes wrong: exports of minutes borrow every slot while no ticket
         # is there, and the next tickets wait for minutes. So only a class that
         # gives slots back soon may borrow what is guaranteed to others.
-        if state.sampled and state.mean < LONG_SERVICE:
+        if state.sampled and state.mean_seconds < LONG_SERVICE_SECONDS:
             return True
         others = sum(
             other.guaranteed
             for other in self._classes_by_name.values()
-            if other is not state and other.need > 0
+            if other is not state and other.slots_per_request > 0
         )
         own = max(state.guaranteed, self.slots - others)
-        return state.in_use == 0 or state.in_use + state.need <= own
+        return state.in_use == 0 or state.in_use + state.slots_per_request <= own
 
     def _start(self, now: float, state: ClassState, request: int) -> None:
         self._class_by_request[request] = state
-        if state.need > 0:
+        if state.slots_per_request > 0:
             self._charge(state)
         state.started_by_request[request] = now
 
     def _charge(self, state: ClassState) -> None:
         # An idle class gets no credit for the time in which it had no work.
-        active = [s.virtual for s in self._classes_by_name.values() if s.active]
+        active = [s.virtual_time for s in self._classes_by_name.values() if s.active]
         if not state.started_by_request and active:
-            state.virtual = max(state.virtual, min(active))
-        state.virtual += state.need * state.mean / state.weight
+            state.virtual_time = max(state.virtual_time, min(active))
+        state.virtual_time += (
+            state.slots_per_request * state.mean_seconds / state.weight
+        )
 
     def _next_class(self) -> ClassState | None:
         ready = [
@@ -340,7 +346,7 @@
             for state in self._classes_by_name.values()
             if len(state.queue) and self._fits(state)
         ]
-        return min(ready, key=lambda state: state.virtual, default=None)
+        return min(ready, key=lambda state: state.virtual_time, default=None)
 
     def _enqueue(
         self,
@@ -350,7 +356,7 @@
         attempt: int,
         deadline: float,
     ) -> Decision:
-        if state.need == 0:
+        if state.slots_per_request == 0:
             return self._refuse(now, state)
         ahead = state.queue.ahead(deadline)
         if not self._feasible(now, state, ahead, deadline):
@@ -371,7 +377,7 @@
         state.queue.remove(last)
         self._displaced.append(last)
 
-    def _parallel(self, state: ClassState) -> float:
+    def _fair_slots(self, state: ClassState) -> float:
         """Return the slots that the class can count on, as a float."""
         others = sum(
             other.weight
@@ -380,19 +386,23 @@
         )
         return self.slots * state.weight / (state.weight + others)
 
-    def _capacity(self, state: ClassState) -> float:
+    def _requests_per_second(self, state: ClassState) -> float:
         """Return the requests a second that the class can count on."""
-        return self._parallel(state) / (max(1, state.need) * state.mean)
+        return self._fair_slots(state) / (
+            max(1, state.slots_per_request) * state.mean_seconds
+        )
 
     def _feasible(
         self, now: float, state: ClassState, ahead: int, deadline: float
     ) -> bool:
-        wait = (ahead + 1) / self._capacity(state)
-        return now + wait + state.mean <= deadline
+        wait = (ahead + 1) / self._requests_per_second(state)
+        return now + wait + state.mean_seconds <= deadline
 
     def _refuse(
         self, now: float, state: ClassState, code: Code = Code.QUEUE_FULL
     ) -> Decision:
-        capacity = self._capacity(state)
+        capacity = self._requests_per_second(state)
         drain = (len(state.queue) + 1) / capacity
-        return Decision(Verdict.REFUSED, code, state.returns.book(now, drain, capacity))
+        return Decision(
+            Verdict.REFUSED, code, state.retry_schedule.reserve(now, drain, capacity)
+        )
--- a/packages/zinniahook-core/src/zinniahook_core/agents.py
+++ b/packages/zinniahook-core/src/zinniahook_core/agents.py
@@ -42,10 +42,10 @@
 
 __all__ = ["AgentCore"]
 
-RETRY_FENCED = 1.0
+FENCED_RETRY_AFTER_SECONDS = 1.0
 """Seconds after which a fenced agent tells callers to come back."""
 
-TARGET_FAULTS = frozenset({Code.TARGET_FAILED, Code.TARGET_SHED, Code.ANSWER_LOST})
+TARGET_FAULT_CODES = frozenset({Code.TARGET_FAILED, Code.TARGET_SHED, Code.ANSWER_LOST})
 """Ends of a request that speak against the target. One that sheds is idle by the
 agent's counts, and would draw in the work that it refuses."""
 
@@ -84,8 +84,8 @@
         self.flows = Flows(identity.name, self.placement, self.load)
         unknown = Service(service, 0, Address("0.0.0.0", 0))
         self.requests = Requests(identity.name, unknown, rng, self.placement)
-        self._known = self.membership.roster
-        self._believed = self.membership.believed
+        self._applied_roster = self.membership.roster
+        self._applied_believed = self.membership.believed
         self._ready_since: float | None = None
         self._running: set[int] = set()
 
@@ -120,9 +120,9 @@
         handler = _HANDLERS_BY_EVENT.get(type(event))
         if handler is None:
             raise TypeError(f"not an event of an agent: {event!r}")
-        effects = self._follow(now, self.membership.wake(now))
+        effects = self._apply_membership(now, self.membership.wake(now))
         effects += handler(self, now, event)
-        self._note_running(effects)
+        self._track_running(effects)
         return effects
 
     def load(self, now: float) -> Load:
@@ -141,7 +141,9 @@
     def _reported_load(self, now: float) -> Load:
         return self.placement.reported(now, self.load(now))
 
-    def _follow(self, now: float, effects: list[AgentEffect]) -> list[AgentEffect]:
+    def _apply_membership(
+        self, now: float, effects: list[AgentEffect]
+    ) -> list[AgentEffect]:
         """Carry what membership decided into the other parts."""
         followed: list[AgentEffect] = []
         for effect in effects:
@@ -150,13 +152,13 @@
                 self.flows.clear()
                 self._running.clear()
                 followed += self.requests.restart(now, effect.incarnation)
-        if self._believed is not self.membership.believed:
-            self._believed = self.membership.believed
-            self.flows.roster(now, self._believed)
-        if self._known is not self.membership.roster:
-            self._known = self.membership.roster
-            self.placement.roster(now, self._known)
-            followed += self.requests.handle(now, RosterChanged(self._known))
+        if self._applied_believed is not self.membership.believed:
+            self._applied_believed = self.membership.believed
+            self.flows.roster(now, self._applied_believed)
+        if self._applied_roster is not self.membership.roster:
+            self._applied_roster = self.membership.roster
+            self.placement.roster(now, self._applied_roster)
+            followed += self.requests.handle(now, RosterChanged(self._applied_roster))
         if not self.membership.fenced:
             self.requests.confirm(now, self.membership.incarnation)
         if self._ready_since is None and self.state is AgentState.READY:
@@ -166,15 +168,17 @@
         self.flows.leaving = self.membership.leaving or self.membership.fenced
         return followed
 
-    def _note_running(self, effects: list[AgentEffect]) -> None:
+    def _track_running(self, effects: list[AgentEffect]) -> None:
         self._running.update(e.request for e in effects if isinstance(e, Run))
 
-    def _busy(self) -> bool:
+    def _has_work(self) -> bool:
         return self.flows.count > 0 or not self.requests.idle
 
     @_handles(Tick)
     def _tick(self, now: float, event: Tick) -> Iterable[AgentEffect]:
-        effects = self._follow(now, self.membership.tick(now, self._busy()))
+        effects = self._apply_membership(
+            now, self.membership.tick(now, self._has_work())
+        )
         return [*effects, *self.flows.tick(now), *self.requests.handle(now, event)]
 
     @_handles(ConfigurationChanged)
@@ -194,20 +198,24 @@
 
     @_handles(RosterChanged)
     def _learn_roster(self, now: float, event: RosterChanged) -> Iterable[AgentEffect]:
-        return self._follow(now, self.membership.learn(now, event.roster))
+        return self._apply_membership(now, self.membership.learn(now, event.roster))
 
     @_handles(RosterWritten)
-    def _settle_roster(self, now: float, event: RosterWritten) -> Iterable[AgentEffect]:
-        return self._follow(now, self.membership.written(now, event))
+    def _receive_roster_write(
+        self, now: float, event: RosterWritten
+    ) -> Iterable[AgentEffect]:
+        return self._apply_membership(now, self.membership.written(now, event))
 
     @_handles(TargetReported)
-    def _take_report(self, now: float, event: TargetReported) -> Iterable[AgentEffect]:
+    def _receive_report(
+        self, now: float, event: TargetReported
+    ) -> Iterable[AgentEffect]:
         self.placement.health.reported(now, event)
-        return self._follow(now, self.membership.target_reported(now, event))
+        return self._apply_membership(now, self.membership.target_reported(now, event))
 
     @_handles(DrainRequested)
     def _drain(self, now: float, event: DrainRequested) -> Iterable[AgentEffect]:
-        effects = self._follow(now, self.membership.drain(now, event.seconds))
+        effects = self._apply_membership(now, self.membership.drain(now, event.seconds))
         return [*effects, *self.requests.handle(now, event)]
 
     @_handles(PeerDatagram)
@@ -215,7 +223,9 @@
         sender, message = event
         if isinstance(message, Heartbeat):
             self.placement.heartbeat(now, sender, message)
-            return self._follow(now, self.membership.hear(now, sender, message))
+            return self._apply_membership(
+                now, self.membership.hear(now, sender, message)
+            )
         flows = self.flows.peer(now, sender, message)
         return [*flows, *self.requests.handle(now, event)]
 
@@ -225,7 +235,7 @@
             return [Drop(Code.SERVICE_MISMATCH)]
         if not self.membership.fenced:
             return self.flows.opening(now, event)
-        peer = self._other(now)
+        peer = self._choose_peer(now)
         return [HandOver(event.flow, peer)] if peer else [Drop(Code.FENCED)]
 
     @_handles(FlowDatagram)
@@ -234,13 +244,13 @@
             return [Drop(Code.SERVICE_MISMATCH)]
         if not self.membership.fenced:
             return self.flows.datagram(now, event)
-        peer = self._other(now) if event.hops < HOP_LIMIT else None
+        peer = self._choose_peer(now) if event.hops < HOP_LIMIT else None
         if peer is None:
             return [Drop(Code.FENCED)]
         caller, entry, payload, hops = event[1:5]
         return [ForwardDatagram(peer, caller, entry, payload, hops + 1)]
 
-    def _other(self, now: float) -> str | None:
+    def _choose_peer(self, now: float) -> str | None:
         return self.placement.choose_for_flow(now, self.load(now), forced=True)
 
     @_handles(FlowClosed)
@@ -255,13 +265,17 @@
         # can't tell, and a relaying peer holds the claim and decides itself.
         certain = event.idempotent or not event.key or event.relayed_by
         kind = OutcomeKind.NOT_RUN if certain else OutcomeKind.UNKNOWN
-        return [FinishRequest(event.request, Outcome(kind, Code.FENCED, RETRY_FENCED))]
+        return [
+            FinishRequest(
+                event.request, Outcome(kind, Code.FENCED, FENCED_RETRY_AFTER_SECONDS)
+            )
+        ]
 
     @_handles(RequestFinished)
     def _finish(self, now: float, event: RequestFinished) -> Iterable[AgentEffect]:
         if event.request in self._running:
             self._running.discard(event.request)
-            failed = event.outcome.code in TARGET_FAULTS
+            failed = event.outcome.code in TARGET_FAULT_CODES
             self.placement.health.finished(now, failed)
         return self.requests.handle(now, event)
 
--- a/packages/zinniahook-core/src/zinniahook_core/arbiters.py
+++ b/packages/zinniahook-core/src/zinniahook_core/arbiters.py
@@ -13,9 +13,9 @@
 from .lookups import Finding, Lookup, Lookups
 from .messages import ClaimAnswer, ClaimAsk, ClaimIntent, ClaimState
 from .records import (
-    KEY_LIFETIME,
-    LATENESS,
-    SMALL_ANSWER,
+    KEY_LIFETIME_SECONDS,
+    MAX_LATENESS_SECONDS,
+    SMALL_ANSWER_BYTES,
     Record,
     Records,
     granted,
@@ -23,31 +23,33 @@
 )
 from .views import View
 
-__all__ = ["Arbiter", "tell"]
+__all__ = ["Arbiter", "answer_from_record"]
 
-TWO_LOSSES = 2
+UNPROVABLE_LOSSES = 2
 
 
-def tell(now: float, view: View, ask: ClaimAsk, record: Record) -> ClaimAnswer:
+def answer_from_record(
+    now: float, view: View, ask: ClaimAsk, record: Record
+) -> ClaimAnswer:
     """Return what a record says to an asker who isn't its runner."""
     state = record.state
     if state is ClaimState.GRANTED:
         state = ClaimState.RUNNING
-    answer = record.answer if len(record.answer) <= SMALL_ANSWER else b""
+    answer = record.answer if len(record.answer) <= SMALL_ANSWER_BYTES else b""
     needs_runner = state is ClaimState.RUNNING or (
         state is ClaimState.FINISHED and not answer
     )
     if needs_runner and not view.current(record.runner, record.incarnation):
         state = ClaimState.UNKNOWN
     code = Code.ANSWER_LOST if state is ClaimState.UNKNOWN else Code.OK
-    retry_after = record.until - now if state is ClaimState.REFUSED else 0.0
+    retry_after = record.expires_at - now if state is ClaimState.REFUSED else 0.0
     return ClaimAnswer(
         ask.number,
         ask.key,
         state,
         record.runner,
         answer,
-        min(retry_after, LATENESS),
+        min(retry_after, MAX_LATENESS_SECONDS),
         code,
         record.incarnation,
     )
@@ -96,7 +98,7 @@
             return None
         if self._needs_lookup(now, ask.key, record):
             return self._begin_lookup(now, sender, ask)
-        missing = self._forgotten(now, ask.attempt)
+        missing = self._count_evicted(now, ask.attempt)
         return self._decide(now, sender, ask, record, missing)
 
     def look(self, now: float, sender: str, ask: ClaimAsk) -> ClaimAnswer | None:
@@ -109,15 +111,15 @@
             self._effects.append(Count("claims.view_stale"))
             return None
         record = self._records.get(now, ask.key)
-        if self._is_word(ask, record):
-            answer = tell(now, self._view, ask, record)
+        if self._is_evidence(ask, record):
+            answer = answer_from_record(now, self._view, ask, record)
         else:
             answer = ClaimAnswer(ask.number, ask.key, ClaimState.NONE, "")
-        losses = self._losses(now, ask)
-        covers = self._view.covers(now, _window(ask.attempt))
+        losses = self._count_losses(now, ask)
+        covers = self._view.covers(now, _claim_window(ask.attempt))
         return answer._replace(losses=losses, covers=covers)
 
-    def looked(
+    def receive_look_answer(
         self, now: float, sender: str, answer: ClaimAnswer
     ) -> tuple[str, ClaimAnswer] | None:
         """Take the answer to a LOOK.
@@ -138,7 +140,7 @@
         """
         concluded = []
         for lookup in self._lookups.overdue(now):
-            if self._missing(now, lookup) >= TWO_LOSSES:
+            if self._count_missing(now, lookup) >= UNPROVABLE_LOSSES:
                 continue
             self._lookups.end(lookup)
             concluded.append(self._conclude(now, lookup))
@@ -150,7 +152,7 @@
         """Forget the lookups made under an older roster; askers ask again."""
         self._lookups.drop_all()
 
-    def _is_word(self, ask: ClaimAsk, record: Record | None) -> bool:
+    def _is_evidence(self, ask: ClaimAsk, record: Record | None) -> bool:
         """Tell whether a record says something in a lookup.
 
         A grant to this very agent that it hasn't used says nothing: it was
@@ -163,10 +165,10 @@
             return False
         return record.ran or _is_late(ask, record)
 
-    def _missing(self, now: float, lookup: Lookup) -> int:
+    def _count_missing(self, now: float, lookup: Lookup) -> int:
         """Count the losses and silent members that may hide a claim."""
-        own = self._losses(now, lookup.ask, lookup.waiting)
-        covers = self._view.covers(now, _window(lookup.ask.attempt))
+        own = self._count_losses(now, lookup.ask, lookup.waiting)
+        covers = self._view.covers(now, _claim_window(lookup.ask.attempt))
         return lookup.losses(own, covers)
 
     def _needs_lookup(self, now: float, key: bytes, record: Record | None) -> bool:
@@ -175,25 +177,25 @@
             return False
         # A refusal is never checked: others may know one of a later attempt.
         checked = record is not None and record.ran
-        if checked and record.checked == self._view.revision:
+        if checked and record.checked_revision == self._view.revision:
             return False
         return self._view.fresh(now, key)
 
     def _conclude(self, now: float, lookup: Lookup) -> tuple[str, ClaimAnswer]:
         ask = lookup.ask
-        missing = self._missing(now, lookup)
+        missing = self._count_missing(now, lookup)
         own = self._records.get(now, ask.key)
-        if self._is_word(ask, own):
-            told = tell(now, self._view, ask, own)
+        if self._is_evidence(ask, own):
+            own_answer = answer_from_record(now, self._view, ask, own)
         else:
-            told = ClaimAnswer(ask.number, ask.key, ClaimState.NONE, "")
-        lookup.answers_by_name[self._view.name] = told
+            own_answer = ClaimAnswer(ask.number, ask.key, ClaimState.NONE, "")
+        lookup.answers_by_name[self._view.name] = own_answer
         finding = lookup.finding()
         if finding is None:
             if own is not None and own.ran:
                 self._records.remove(ask.key)
         elif finding.name != self._view.name:
-            self._learn(now, ask, finding)
+            self._record_finding(now, ask, finding)
         record = self._records.get(now, ask.key)
         return lookup.sender, self._decide(now, lookup.sender, ask, record, missing)
 
@@ -214,19 +216,19 @@
     ) -> ClaimAnswer:
         own = (record.runner, record.incarnation) == (sender, ask.incarnation)
         runs = ask.intent is ClaimIntent.RUN
-        if own and runs and 0 < ask.attempt <= record.refused:
+        if own and runs and 0 < ask.attempt <= record.highest_refused_attempt:
             # A grant that was never used must not outlive a refusal of the
             # same attempt, which came after it.
             return ClaimAnswer(ask.number, ask.key, ClaimState.REFUSED, sender)
         if own and record.state in (ClaimState.GRANTED, ClaimState.RUNNING):
             # The runner knows best whether it ran: it asks only if it didn't.
             return self._grant(now, sender, ask)
-        return tell(now, self._view, ask, record)
+        return answer_from_record(now, self._view, ask, record)
 
     def _decide_unclaimed(
         self, now: float, sender: str, ask: ClaimAsk, losses: int
     ) -> ClaimAnswer:
-        if losses >= TWO_LOSSES:
+        if losses >= UNPROVABLE_LOSSES:
             self._effects.append(Count("claims.unprovable"))
             return ClaimAnswer(
                 ask.number, ask.key, ClaimState.UNKNOWN, "", code=Code.ANSWER_LOST
@@ -234,26 +236,32 @@
         record = self._records.get(now, ask.key)
         late = record is not None and _is_late(ask, record)
         if late and ask.intent is ClaimIntent.RUN:
-            return tell(now, self._view, ask, record)
+            return answer_from_record(now, self._view, ask, record)
         return self._grant(now, sender, ask)
 
     def _grant(self, now: float, sender: str, ask: ClaimAsk) -> ClaimAnswer:
         make = granted if ask.intent is ClaimIntent.RUN else refused
         record = make(now, sender, ask.incarnation, ask.attempt)
-        record.checked = self._view.revision
-        record.number = ask.number
+        record.checked_revision = self._view.revision
+        record.ask_number = ask.number
         self._records.put(now, ask.key, record)
         return ClaimAnswer(ask.number, ask.key, record.state, sender)
 
-    def _losses(self, now: float, ask: ClaimAsk, silent: Iterable[str] = ()) -> int:
+    def _count_losses(
+        self, now: float, ask: ClaimAsk, silent: Iterable[str] = ()
+    ) -> int:
         """Count the losses and ``silent`` members that may hide a claim."""
-        window = _window(ask.attempt)
+        window = _claim_window(ask.attempt)
         losses = self._view.losses(now, window, ask.key, silent)
-        return losses + self._forgotten(now, ask.attempt)
-
-    def _forgotten(self, now: float, attempt: int) -> int:
-        """Return TWO_LOSSES if a record had to make room that may matter."""
-        return TWO_LOSSES if self._records.horizon > now - _window(attempt) else 0
+        return losses + self._count_evicted(now, ask.attempt)
+
+    def _count_evicted(self, now: float, attempt: int) -> int:
+        """Return UNPROVABLE_LOSSES if a record had to make room that may matter."""
+        return (
+            UNPROVABLE_LOSSES
+            if self._records.eviction_horizon > now - _claim_window(attempt)
+            else 0
+        )
 
     def _begin_lookup(
         self, now: float, sender: str, ask: ClaimAsk
@@ -261,7 +269,7 @@
         waiting = {name for name in self._view.live if name != sender}
         if not waiting:
             record = self._records.get(now, ask.key)
-            return self._decide(now, sender, ask, record, self._losses(now, ask))
+            return self._decide(now, sender, ask, record, self._count_losses(now, ask))
         lookup = Lookup(
             self._next_number(), sender, ask, self._view.revision, waiting, now, now
         )
@@ -274,13 +282,13 @@
         message = self._lookups.message(lookup, view.name, view.incarnation)
         self._effects += [SendPeer(name, message) for name in sorted(lookup.waiting)]
 
-    def _learn(self, now: float, ask: ClaimAsk, finding: Finding) -> None:
+    def _record_finding(self, now: float, ask: ClaimAsk, finding: Finding) -> None:
         name, found = finding
         state = found.state
         if state is ClaimState.RUNNING:
             state = ClaimState.GRANTED
         refusal = state is ClaimState.REFUSED
-        lifetime = found.retry_after if refusal else KEY_LIFETIME
+        lifetime = found.retry_after if refusal else KEY_LIFETIME_SECONDS
         record = Record(
             state,
             found.runner,
@@ -296,13 +304,13 @@
         self._records.put(now, ask.key, record)
 
 
-def _window(attempt: int) -> float:
+def _claim_window(attempt: int) -> float:
     """Return for how long before an ask a run of its key may have begun.
 
-    A copy of a first attempt is at most LATENESS old, and so is whatever ran
-    under its key.
+    A copy of a first attempt is at most MAX_LATENESS_SECONDS old, and so is any
+    run under its key.
     """
-    return LATENESS if attempt == 1 else KEY_LIFETIME
+    return MAX_LATENESS_SECONDS if attempt == 1 else KEY_LIFETIME_SECONDS
 
 
 def _is_late(ask: ClaimAsk, record: Record) -> bool:
--- a/packages/zinniahook-core/src/zinniahook_core/budgets.py
+++ b/packages/zinniahook-core/src/zinniahook_core/budgets.py
@@ -10,15 +10,15 @@
 
 import random
 
-__all__ = ["RetryBudget", "ReturnSchedule"]
+__all__ = ["RetryBudget", "RetrySchedule"]
 
 FIRST_ATTEMPT_CREDIT = 0.2
 SUCCESS_CREDIT = 0.1
-BUDGET_LIMIT = 20.0
-RETRY_SHARE = 0.5
-SHORTEST_RETURN = 0.1
-LONGEST_RETURN = 30.0
-JITTER = 0.25
+MAX_BUDGET_TOKENS = 20.0
+RETRY_CAPACITY_SHARE = 0.5
+MIN_RETRY_AFTER_SECONDS = 0.1
+MAX_RETRY_AFTER_SECONDS = 30.0
+RETRY_AFTER_JITTER = 0.25
 
 
 class RetryBudget:
@@ -29,20 +29,20 @@
     """
 
     def __init__(self) -> None:
-        self._tokens = BUDGET_LIMIT
+        self._tokens = MAX_BUDGET_TOKENS
 
     @property
     def tokens(self) -> float:
         """Retries that may be queued right now."""
         return self._tokens
 
-    def attempted(self) -> None:
+    def credit_first_attempt(self) -> None:
         """Credit a first attempt."""
-        self._tokens = min(BUDGET_LIMIT, self._tokens + FIRST_ATTEMPT_CREDIT)
+        self._tokens = min(MAX_BUDGET_TOKENS, self._tokens + FIRST_ATTEMPT_CREDIT)
 
-    def succeeded(self) -> None:
+    def credit_success(self) -> None:
         """Credit a request that was answered."""
-        self._tokens = min(BUDGET_LIMIT, self._tokens + SUCCESS_CREDIT)
+        self._tokens = min(MAX_BUDGET_TOKENS, self._tokens + SUCCESS_CREDIT)
 
     def take(self) -> bool:
         """Draw one token; False if there is none."""
@@ -52,7 +52,7 @@
         return True
 
 
-class ReturnSchedule:
+class RetrySchedule:
     """Times for refused callers to come back, spaced by the capacity.
 
     Each refusal books the next free place in the future, so those that obey
@@ -67,9 +67,9 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._booked_until = 0.0
+        self._reserved_until = 0.0
 
-    def book(self, now: float, drain: float, capacity: float) -> float:
+    def reserve(self, now: float, drain: float, capacity: float) -> float:
         """Return the Retry-After of one refusal.
 
         Parameters
@@ -84,11 +84,11 @@
         Returns
         -------
         float
-            Seconds from now, between SHORTEST_RETURN and LONGEST_RETURN,
-            jitter aside.
+            Seconds from now, between MIN_RETRY_AFTER_SECONDS and
+            MAX_RETRY_AFTER_SECONDS before the jitter.
         """
-        step = 1.0 / max(RETRY_SHARE * capacity, 1e-3)
-        self._booked_until = max(self._booked_until, now + drain) + step
-        self._booked_until = min(self._booked_until, now + LONGEST_RETURN)
-        delay = max(SHORTEST_RETURN, self._booked_until - now)
-        return delay * (1.0 + JITTER * (2.0 * self._rng.random() - 1.0))
+        step = 1.0 / max(RETRY_CAPACITY_SHARE * capacity, 1e-3)
+        self._reserved_until = max(self._reserved_until, now + drain) + step
+        self._reserved_until = min(self._reserved_until, now + MAX_RETRY_AFTER_SECONDS)
+        delay = max(MIN_RETRY_AFTER_SECONDS, self._reserved_until - now)
+        return delay * (1.0 + RETRY_AFTER_JITTER * (2.0 * self._rng.random() - 1.0))
--- a/packages/zinniahook-core/src/zinniahook_core/claims.py
+++ b/packages/zinniahook-core/src/zinniahook_core/claims.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from .arbiters import Arbiter, tell
+from .arbiters import Arbiter, answer_from_record
 from .codes import Code
 from .custody import Custody
 from .effects import AgentEffect, SendPeer
@@ -31,10 +31,10 @@
 
 __all__ = ["Claims", "Settled"]
 
-GRANT_LIFETIME = 2.0
+GRANT_LIFETIME_SECONDS = 2.0
 """A grant older than this, counted from its ask, may have been taken over."""
 
-PARTNER_TRIES = 3
+TRIES_PER_PARTNER = 3
 
 Handler = Callable[[Any, float, str, Any], None]
 
@@ -61,7 +61,7 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class PendingAsk:
     """A claim that a local request waits for.
 
     ``partner`` is set while the owner, this agent, waits for a second member
@@ -95,8 +95,8 @@
         self._numbers = itertools.count(1)
         self._effects: list[AgentEffect] = []
         self._settled: list[Settled] = []
-        self._asks_by_request: dict[int, Ask] = {}
-        self._asks_by_number: dict[int, Ask] = {}
+        self._asks_by_request: dict[int, PendingAsk] = {}
+        self._asks_by_number: dict[int, PendingAsk] = {}
         self._confirmed = False
         self.view = View(name)
         self.records = Records()
@@ -116,7 +116,7 @@
         settled, self._settled = self._settled, []
         return effects, settled
 
-    def known(self, now: float, key: bytes) -> Settled | None:
+    def local_result(self, now: float, key: bytes) -> Settled | None:
         """Return what became of ``key`` if this very agent ran it."""
         record = self.records.get(now, key)
         if record is None or record.runner != self._name:
@@ -149,9 +149,9 @@
             RUN or REFUSE.
         """
         self.forget(request)
-        ask = Ask(request, key, attempt, intent, until)
+        ask = PendingAsk(request, key, attempt, intent, until)
         self._asks_by_request[request] = ask
-        self._ask_anew(now, ask)
+        self._restart_ask(now, ask)
 
     def forget(self, request: int) -> None:
         """Drop the ask of a request; a late grant to it is void."""
@@ -196,7 +196,7 @@
         self.view.incarnation = incarnation
         self._custody.hand_over()
         for ask in list(self._asks_by_request.values()):
-            self._ask_anew(now, ask)
+            self._restart_ask(now, ask)
 
     def restart(self, now: float) -> None:
         """Stop taking part until confirmed; what was waited for is void.
@@ -221,7 +221,7 @@
         self._arbiter.reset()
         self._custody.hand_over()
         for ask in list(self._asks_by_request.values()):
-            self._ask_anew(now, ask)
+            self._restart_ask(now, ask)
 
     def receive(self, now: float, sender: str, message: object) -> None:
         """Take a peer's message."""
@@ -242,17 +242,17 @@
         self.records.expire(now)
         if not self._confirmed:
             return
-        for asker, told in self._arbiter.tick(now):
-            self._reply(now, asker, told)
+        for asker, answer in self._arbiter.tick(now):
+            self._reply(now, asker, answer)
         self._custody.tick(now)
 
     # As asker and runner
 
-    def _ask_anew(self, now: float, ask: Ask) -> None:
-        self._renew(now, ask)
+    def _restart_ask(self, now: float, ask: PendingAsk) -> None:
+        self._renumber(now, ask)
         self._send(now, ask)
 
-    def _renew(self, now: float, ask: Ask) -> None:
+    def _renumber(self, now: float, ask: PendingAsk) -> None:
         self._asks_by_number.pop(ask.number, None)
         ask.number = self._next_number()
         ask.owner = self.view.owner(ask.key)
@@ -260,15 +260,15 @@
         ask.first_sent_at = ask.sent_at = now
         self._asks_by_number[ask.number] = ask
 
-    def _repeat(self, now: float, ask: Ask) -> None:
-        if now - ask.first_sent_at >= GRANT_LIFETIME:
-            self._ask_anew(now, ask)
+    def _repeat(self, now: float, ask: PendingAsk) -> None:
+        if now - ask.first_sent_at >= GRANT_LIFETIME_SECONDS:
+            self._restart_ask(now, ask)
         elif ask.partner:
             self._replicate(now, ask)
         else:
             self._send(now, ask)
 
-    def _send(self, now: float, ask: Ask) -> None:
+    def _send(self, now: float, ask: PendingAsk) -> None:
         ask.sent_at = now
         if ask.owner is None or not self._confirmed:
             return
@@ -278,9 +278,9 @@
             return
         answer = self._arbiter.decide(now, self._name, message)
         if answer is not None:
-            self._answered(now, self._name, answer)
+            self._receive_answer(now, self._name, answer)
 
-    def _message(self, ask: Ask) -> ClaimAsk:
+    def _message(self, ask: PendingAsk) -> ClaimAsk:
         return ClaimAsk(
             ask.number,
             ask.key,
@@ -292,33 +292,33 @@
         )
 
     @_receives(ClaimAnswer)
-    def _answered(self, now: float, sender: str, answer: ClaimAnswer) -> None:
+    def _receive_answer(self, now: float, sender: str, answer: ClaimAnswer) -> None:
         ask = self._asks_by_number.get(answer.number)
         if ask is None:
-            self._looked(now, sender, answer)
+            self._receive_look_answer(now, sender, answer)
             return
         if ask.key != answer.key or ask.owner != sender or ask.partner:
             return
-        if now - ask.first_sent_at >= GRANT_LIFETIME:
+        if now - ask.first_sent_at >= GRANT_LIFETIME_SECONDS:
             # What goes wrong: this process was paused and the grant waited in
             # its socket, while the key went to another member. It would show
             # as a doubled request. The owner has to say it again.
-            self._ask_anew(now, ask)
+            self._restart_ask(now, ask)
             return
         if answer.state not in (ClaimState.GRANTED, ClaimState.REFUSED):
-            self._settle(ask, self._settled_by(ask, answer))
+            self._settle(ask, self._settled_from(ask, answer))
             return
-        if self._contradicted(now, ask):
+        if self._settle_by_own_record(now, ask):
             return
         if answer.state is ClaimState.REFUSED and ask.intent is ClaimIntent.RUN:
-            self._settle(ask, self._settled_by(ask, answer))
+            self._settle(ask, self._settled_from(ask, answer))
         elif ask.owner == self._name:
             self._replicate(now, ask)
         else:
-            self._hold(now, ask)
+            self._record_decision(now, ask)
             self._conclude(now, ask)
 
-    def _contradicted(self, now: float, ask: Ask) -> bool:
+    def _settle_by_own_record(self, now: float, ask: PendingAsk) -> bool:
         """Settle an ask by a record that another agent left here.
 
         The owner doesn't look up at the asker, so the asker looks itself.
@@ -326,19 +326,19 @@
         record = self.records.get(now, ask.key)
         if record is None or not _forbids(record, ask, self._name):
             return False
-        answer = tell(now, self.view, self._message(ask), record)
-        self._settle(ask, self._settled_by(ask, answer))
+        answer = answer_from_record(now, self.view, self._message(ask), record)
+        self._settle(ask, self._settled_from(ask, answer))
         return True
 
-    def _hold(self, now: float, ask: Ask) -> None:
+    def _record_decision(self, now: float, ask: PendingAsk) -> None:
         """Record a grant or refusal at the asker."""
         make = granted if ask.intent is ClaimIntent.RUN else refused
         record = make(now, self._name, self.view.incarnation, ask.attempt)
-        record.other = ask.owner or ""
-        record.other_incarnation = self.view.incarnation_of(record.other)
+        record.other_holder = ask.owner or ""
+        record.other_holder_incarnation = self.view.incarnation_of(record.other_holder)
         self.records.put(now, ask.key, record)
 
-    def _replicate(self, now: float, ask: Ask) -> None:
+    def _replicate(self, now: float, ask: PendingAsk) -> None:
         """As owner and asker: let a second member hold the record first.
 
         What goes wrong: an agent that owns the claim of what it runs dies,
@@ -350,12 +350,12 @@
             self._conclude(now, ask)
             return
         record = self.records.get(now, ask.key)
-        if not self._stands(record, ask):
+        if not self._still_stored(record, ask):
             # Asked again at a later tick: at once, an owner that keeps
             # deciding what doesn't stand would ask itself without end.
-            self._renew(now, ask)
+            self._renumber(now, ask)
             return
-        ask.partner = partners[ask.tries // PARTNER_TRIES % len(partners)]
+        ask.partner = partners[ask.tries // TRIES_PER_PARTNER % len(partners)]
         ask.tries += 1
         ask.sent_at = now
         message = ClaimRecords(
@@ -368,7 +368,7 @@
         )
         self._effects.append(SendPeer(ask.partner, message))
 
-    def _stands(self, record: Record | None, ask: Ask) -> bool:
+    def _still_stored(self, record: Record | None, ask: PendingAsk) -> bool:
         """Tell whether what this agent decided as owner still holds.
 
         While a second member was awaited, a later attempt may have got the key.
@@ -377,7 +377,7 @@
             return False
         return record.ran == (ask.intent is ClaimIntent.RUN)
 
-    def _conclude(self, now: float, ask: Ask) -> None:
+    def _conclude(self, now: float, ask: PendingAsk) -> None:
         record = self.records.get(now, ask.key)
         if ask.intent is ClaimIntent.REFUSE:
             self._settle(ask, Settled(ask.request, ClaimState.REFUSED, ""))
@@ -386,7 +386,7 @@
             record.state = ClaimState.RUNNING
         self._settle(ask, Settled(ask.request, ClaimState.GRANTED, self._name))
 
-    def _settled_by(self, ask: Ask, answer: ClaimAnswer) -> Settled:
+    def _settled_from(self, ask: PendingAsk, answer: ClaimAnswer) -> Settled:
         return Settled(
             ask.request,
             answer.state,
@@ -396,14 +396,14 @@
             answer.code,
         )
 
-    def _settle(self, ask: Ask, settled: Settled) -> None:
+    def _settle(self, ask: PendingAsk, settled: Settled) -> None:
         self.forget(ask.request)
         self._settled.append(settled)
 
     # As owner
 
     @_receives(ClaimAsk)
-    def _asked(self, now: float, sender: str, ask: ClaimAsk) -> None:
+    def _receive_ask(self, now: float, sender: str, ask: ClaimAsk) -> None:
         if ask.runner != sender or not self.view.valid(sender, ask.incarnation):
             return
         look = ask.intent is ClaimIntent.LOOK
@@ -412,46 +412,50 @@
         if answer is not None:
             self._effects.append(SendPeer(sender, answer))
 
-    def _looked(self, now: float, sender: str, answer: ClaimAnswer) -> None:
-        reply = self._arbiter.looked(now, sender, answer)
+    def _receive_look_answer(
+        self, now: float, sender: str, answer: ClaimAnswer
+    ) -> None:
+        reply = self._arbiter.receive_look_answer(now, sender, answer)
         if reply is None:
             return
         self._reply(now, *reply)
 
-    def _reply(self, now: float, asker: str, told: ClaimAnswer) -> None:
+    def _reply(self, now: float, asker: str, answer: ClaimAnswer) -> None:
         if asker == self._name:
-            self._answered(now, self._name, told)
+            self._receive_answer(now, self._name, answer)
         else:
-            self._effects.append(SendPeer(asker, told))
+            self._effects.append(SendPeer(asker, answer))
 
     # As holder of a copy
 
     @_receives(ClaimFinished)
-    def _told_finished(self, now: float, sender: str, message: ClaimFinished) -> None:
+    def _receive_finished(
+        self, now: float, sender: str, message: ClaimFinished
+    ) -> None:
         self._custody.told_finished(now, sender, message)
 
     @_receives(ClaimRecords)
-    def _told_records(self, now: float, sender: str, message: ClaimRecords) -> None:
+    def _receive_records(self, now: float, sender: str, message: ClaimRecords) -> None:
         if message.acknowledge:
             self._custody.told_records(now, sender, message)
         elif not self._custody.acknowledged(now, sender, message.number):
-            self._acknowledged(now, sender, message.number)
+            self._receive_acknowledgement(now, sender, message.number)
 
-    def _acknowledged(self, now: float, sender: str, number: int) -> None:
+    def _receive_acknowledgement(self, now: float, sender: str, number: int) -> None:
         ask = self._asks_by_number.get(number)
         if ask is None or ask.partner != sender:
             return
-        if now - ask.first_sent_at >= GRANT_LIFETIME:
-            self._ask_anew(now, ask)
+        if now - ask.first_sent_at >= GRANT_LIFETIME_SECONDS:
+            self._restart_ask(now, ask)
             return
         record = self.records.get(now, ask.key)
-        if not self._stands(record, ask):
+        if not self._still_stored(record, ask):
             # Asked again at a later tick: at once, an owner that keeps
             # deciding what doesn't stand would ask itself without end.
-            self._renew(now, ask)
+            self._renumber(now, ask)
             return
-        record.other = sender
-        record.other_incarnation = self.view.incarnation_of(sender)
+        record.other_holder = sender
+        record.other_holder_incarnation = self.view.incarnation_of(sender)
         self._conclude(now, ask)
 
     def _next_number(self) -> int:
@@ -459,7 +463,7 @@
         return (self.view.incarnation & 0xFFFFFFFF) << 32 | next(self._numbers)
 
 
-def _forbids(record: Record, ask: Ask, name: str) -> bool:
+def _forbids(record: Record, ask: PendingAsk, name: str) -> bool:
     """Tell whether the asker's own record forbids what an owner allowed.
 
     What goes wrong: an agent refuses a request while it owns the claim, then
--- a/packages/zinniahook-core/src/zinniahook_core/configuration.py
+++ b/packages/zinniahook-core/src/zinniahook_core/configuration.py
@@ -44,10 +44,10 @@
     "validate",
 ]
 
-CLASSES_LIMIT = 16
+MAX_CLASSES = 16
 """Request classes a service may have; each costs a queue at every agent."""
 
-SHARED_CLASSES = 1024
+SHARED_CLASSES_CACHE_SIZE = 1024
 """Sets of classes of which services share one copy."""
 
 
@@ -263,8 +263,8 @@
     """Return the document with the numbers of removed services retired."""
     numbers = {**_numbers_by_name(previous), **document.retired_by_name}
     services = document.services_by_name
-    gone = {name: number for name, number in numbers.items() if name not in services}
-    return document._replace(retired_by_name=gone)
+    removed = {name: number for name, number in numbers.items() if name not in services}
+    return document._replace(retired_by_name=removed)
 
 
 def settings_by_key(document: Document) -> dict[str, Any]:
@@ -309,8 +309,8 @@
         for name in table.keys() - {"services", "operators", "rollout", "retired"}:
             self._fail(name, "unknown key")
         return Document(
-            self._named(table, "services", "", self._service),
-            self._named(table, "operators", "", self._operator),
+            self._read_tables(table, "services", "", self._service),
+            self._read_tables(table, "operators", "", self._operator),
             Rollout(
                 **self._fields(
                     self._table(table, "rollout", ""), ROLLOUT_FIELDS_BY_NAME, "rollout"
@@ -320,7 +320,7 @@
         )
 
     def _service(self, name: str, table: Mapping[str, Any], key: str) -> Service:
-        classes = self._named(table, "classes", f"{key}.", self._class)
+        classes = self._read_tables(table, "classes", f"{key}.", self._class)
         rest = {name: value for name, value in table.items() if name != "classes"}
         values = self._fields(rest, SERVICE_FIELDS_BY_NAME, key)
         values.setdefault("number", 0)
@@ -342,7 +342,7 @@
                 self._fail(f"retired.{name}", "must be a service number")
         return dict(table)
 
-    def _named(self, table, name, prefix, read) -> dict[str, Any]:
+    def _read_tables(self, table, name, prefix, read) -> dict[str, Any]:
         items = {}
         for item, value in self._table(table, name, prefix).items():
             key = f"{prefix}{name}.{item}"
@@ -381,7 +381,7 @@
         self.problems.append(Problem(key, reason))
 
 
-@functools.lru_cache(SHARED_CLASSES)
+@functools.lru_cache(SHARED_CLASSES_CACHE_SIZE)
 def _shared_classes(classes: tuple[RequestClass, ...]) -> Mapping[str, RequestClass]:
     """Return one mapping for all services with equal classes.
 
@@ -414,8 +414,8 @@
     classes = service.classes_by_name
     if classes and service.protocol is Protocol.UDP:
         yield Problem(f"{key}.classes", "a udp service has no requests to class")
-    if len(classes) > CLASSES_LIMIT:
-        yield Problem(f"{key}.classes", f"more than {CLASSES_LIMIT} classes")
+    if len(classes) > MAX_CLASSES:
+        yield Problem(f"{key}.classes", f"more than {MAX_CLASSES} classes")
     if sum(item.share for item in classes.values()) > 1.0 + 1e-9:
         yield Problem(f"{key}.classes", "the shares add up to more than 1")
     names_by_prefix: dict[str, str] = {}
--- a/packages/zinniahook-core/src/zinniahook_core/custody.py
+++ b/packages/zinniahook-core/src/zinniahook_core/custody.py
@@ -14,7 +14,7 @@
 from .effects import AgentEffect, Count, SendPeer
 from .handovers import Handover
 from .messages import ClaimFinished, ClaimRecords, ClaimState
-from .records import KEY_LIFETIME, SMALL_ANSWER, Record, Records
+from .records import KEY_LIFETIME_SECONDS, SMALL_ANSWER_BYTES, Record, Records
 from .views import View
 
 __all__ = ["Custody"]
@@ -107,18 +107,18 @@
         record = self._records.get(now, key)
         attempt = record.attempt if record else 0
         incarnation = record.incarnation if record else self._view.incarnation
-        until = now + KEY_LIFETIME
+        until = now + KEY_LIFETIME_SECONDS
         ended = Record(state, self._view.name, incarnation, attempt, now, until, answer)
         if record is not None:
-            ended.other = record.other
-            ended.other_incarnation = record.other_incarnation
+            ended.other_holder = record.other_holder
+            ended.other_holder_incarnation = record.other_holder_incarnation
         self._records.put(now, key, ended)
 
     def _announce(self, now: float, key: bytes) -> None:
         record = self._records.get(now, key)
         if record is None or record.state is not ClaimState.FINISHED:
             return
-        answer = record.answer if len(record.answer) <= SMALL_ANSWER else b""
+        answer = record.answer if len(record.answer) <= SMALL_ANSWER_BYTES else b""
         message = ClaimFinished(key, self._view.name, record.incarnation, True, answer)
         holders = self._view.partners(key)
         if self._view.owner(key) == self._view.name or self.leaving:
@@ -137,11 +137,11 @@
             message.incarnation,
             0,
             now,
-            now + KEY_LIFETIME,
+            now + KEY_LIFETIME_SECONDS,
             message.answer,
         )
         told = record.message(now, message.key)
-        self._records.absorb(now, told, sender, message.incarnation)
+        self._records.merge(now, told, sender, message.incarnation)
 
     def told_records(self, now: float, sender: str, message: ClaimRecords) -> None:
         """Take a peer's records or its declaration, and acknowledge them."""
@@ -172,7 +172,7 @@
             self._effects.append(Count("claims.view_stale"))
             return False
         taken = [
-            self._records.absorb(now, record, sender, message.incarnation)
+            self._records.merge(now, record, sender, message.incarnation)
             for record in message.records
         ]
         if message.revision and not all(taken):
--- a/packages/zinniahook-core/src/zinniahook_core/entries.py
+++ b/packages/zinniahook-core/src/zinniahook_core/entries.py
@@ -37,17 +37,17 @@
 
 __all__ = ["EntryCore"]
 
-OWNERS_LIMIT = 16384
-VIEWS_LIMIT = 1024
-HINT_PATIENCE = 3.0
+MAX_OWNER_HINTS = 16384
+MAX_SERVICE_VIEWS = 1024
+HINT_TIMEOUT_SECONDS = 3.0
 
 
 @dataclass(slots=True)
-class Hint:
-    """Who answered a flow last; ``waiting`` since the first packet after."""
+class OwnerHint:
+    """Who answered a flow last; ``waiting_since`` the first packet after."""
 
     agent: Address
-    waiting: float | None = None
+    waiting_since: float | None = None
 
 
 @dataclass(slots=True)
@@ -70,7 +70,7 @@
         The only source of randomness.
     find_roster : callable, optional
         Returns the newest roster of a service, None if there is none. With
-        it only VIEWS_LIMIT services are held at a time, the last to get
+        it only MAX_SERVICE_VIEWS services are held at a time, the last to get
         openings, and found again when needed; otherwise all that were told.
     """
 
@@ -87,7 +87,7 @@
         # Only these have openings that wait for an answer; a tick that looked
         # at thousands of services would cost more than the packets.
         self._waiting_by_service: dict[str, Suspensions] = {}
-        self._owners: OrderedDict[tuple[str, Address], Hint] = OrderedDict()
+        self._hints_by_flow: OrderedDict[tuple[str, Address], OwnerHint] = OrderedDict()
 
     @property
     def configuration(self) -> Configuration | None:
@@ -178,7 +178,7 @@
         if view is None or agent not in view.live:
             return []
         if self._is_udp(service):
-            self._remember(service, caller, agent)
+            self._store_hint(service, caller, agent)
         reinstated = view.suspensions.answered(now, caller)
         if reinstated is None:
             return []
@@ -196,14 +196,14 @@
         self, now: float, service: Service, caller: Address
     ) -> Address | Code:
         flow = (service.name, caller)
-        hint = self._owners.get(flow)
+        hint = self._hints_by_flow.get(flow)
         if hint is None:
             return self._route_opening(now, service, caller, flow_key(caller))
         view = self._view(service.name)
         if view is not None and hint.agent in view.live and _is_fresh(now, hint):
-            self._owners.move_to_end(flow)
+            self._hints_by_flow.move_to_end(flow)
             return hint.agent
-        del self._owners[flow]
+        del self._hints_by_flow[flow]
         return self._route_opening(now, service, caller, flow_key(caller))
 
     def _route_opening(
@@ -226,13 +226,13 @@
             return Code.NO_AGENT
         return view.address_by_name[rendezvous.best(key, view.fallback)]
 
-    def _remember(self, service: str, caller: Address, agent: Address) -> None:
-        owners = self._owners
+    def _store_hint(self, service: str, caller: Address, agent: Address) -> None:
+        hints = self._hints_by_flow
         flow = (service, caller)
-        owners[flow] = Hint(agent)
-        owners.move_to_end(flow)
-        if len(owners) > OWNERS_LIMIT:
-            owners.popitem(last=False)
+        hints[flow] = OwnerHint(agent)
+        hints.move_to_end(flow)
+        if len(hints) > MAX_OWNER_HINTS:
+            hints.popitem(last=False)
 
     def _is_udp(self, name: str) -> bool:
         if self._configuration is None:
@@ -287,7 +287,7 @@
         roster = self._find_roster(service) if self._find_roster else None
         if roster is None:
             return None
-        if len(self._views_by_service) >= VIEWS_LIMIT:
+        if len(self._views_by_service) >= MAX_SERVICE_VIEWS:
             self._views_by_service.popitem(last=False)
         return self._add_view(roster)
 
@@ -327,14 +327,14 @@
         return service is None or may_serve(service, member)
 
 
-def _is_fresh(now: float, hint: Hint) -> bool:
+def _is_fresh(now: float, hint: OwnerHint) -> bool:
     # What goes wrong: the owner stops while the store is down, no roster says
     # so, and the flow's packets go to nobody for as long as that lasts. One
     # notices it by the missing answers. The home then finds the owner, or
     # opens the flow anew if there is none.
-    if hint.waiting is None:
-        hint.waiting = now
-    return now - hint.waiting <= HINT_PATIENCE
+    if hint.waiting_since is None:
+        hint.waiting_since = now
+    return now - hint.waiting_since <= HINT_TIMEOUT_SECONDS
 
 
 def _log(event: str, service: str, agent: str) -> Log:
--- a/packages/zinniahook-core/src/zinniahook_core/handovers.py
+++ b/packages/zinniahook-core/src/zinniahook_core/handovers.py
@@ -89,8 +89,8 @@
         for key in batch.keys:
             record = self._records.get(now, key)
             if record is not None:
-                record.other = sender
-                record.other_incarnation = self._view.incarnation_of(sender)
+                record.other_holder = sender
+                record.other_holder_incarnation = self._view.incarnation_of(sender)
         return True
 
     def send(self, now: float) -> list[SendPeer]:
@@ -136,7 +136,7 @@
         view = self._view
         places = (
             (record.runner, record.incarnation),
-            (record.other, record.other_incarnation),
+            (record.other_holder, record.other_holder_incarnation),
         )
         holders = {name for name, number in places if view.current(name, number)}
         holders.discard(view.name)
--- a/packages/zinniahook-core/src/zinniahook_core/outcomes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/outcomes.py
@@ -6,16 +6,22 @@
 from .events import RequestFinished
 from .opens import Open, Stage
 
-__all__ = ["CANCEL_WAIT", "may_join", "may_try_again", "outcome_of", "overtime"]
+__all__ = [
+    "CANCEL_TIMEOUT_SECONDS",
+    "may_join",
+    "may_retry",
+    "outcome_of",
+    "grace_after_deadline",
+]
 
-OVERTIME = 10.0
+CLAIMED_GRACE_SECONDS = 10.0
 """How long a claimed request may run on past its deadline: its caller may come
 back for the answer, while a cancelled one stays unknown."""
 
-CANCEL_WAIT = 1.0
+CANCEL_TIMEOUT_SECONDS = 1.0
 """How long a cancelled request may take to end."""
 
-RETRIES_LIMIT = 1
+MAX_RETRIES = 1
 
 
 def outcome_of(item: Open, event: RequestFinished) -> Outcome:
@@ -29,13 +35,13 @@
     return outcome
 
 
-def may_try_again(now: float, item: Open, event: RequestFinished) -> bool:
+def may_retry(now: float, item: Open, event: RequestFinished) -> bool:
     """Tell whether a request that failed may be run once more."""
     if event.outcome.kind not in (OutcomeKind.NOT_RUN, OutcomeKind.UNKNOWN):
         return False
     if event.started and not item.event.idempotent:
         return False
-    return item.retries < RETRIES_LIMIT and now < item.deadline
+    return item.retries < MAX_RETRIES and now < item.deadline
 
 
 def may_join(item: Open, leader: Open) -> bool:
@@ -49,9 +55,11 @@
     return not (item.event.relayed_by and leader.stage is Stage.RELAYED)
 
 
-def overtime(item: Open) -> float:
+def grace_after_deadline(item: Open) -> float:
     """Return how long a request may run past its deadline, in seconds."""
     if not item.claimed:
         return 0.0
     # A peer to which the request was relayed gives up first.
-    return OVERTIME + (2 * CANCEL_WAIT if item.stage is Stage.RELAYED else 0.0)
+    return CLAIMED_GRACE_SECONDS + (
+        2 * CANCEL_TIMEOUT_SECONDS if item.stage is Stage.RELAYED else 0.0
+    )
--- a/packages/zinniahook-core/src/zinniahook_core/records.py
+++ b/packages/zinniahook-core/src/zinniahook_core/records.py
@@ -10,35 +10,35 @@
 from .messages import ClaimAsk, ClaimRecord, ClaimState
 
 __all__ = [
-    "KEY_LIFETIME",
-    "LATENESS",
+    "KEY_LIFETIME_SECONDS",
+    "MAX_LATENESS_SECONDS",
     "Record",
     "Records",
-    "SMALL_ANSWER",
-    "UNNUMBERED_LIFETIME",
+    "SMALL_ANSWER_BYTES",
+    "UNNUMBERED_TOMBSTONE_SECONDS",
     "granted",
     "refused",
 ]
 
-KEY_LIFETIME = 3600.0
+KEY_LIFETIME_SECONDS = 3600.0
 """A caller retries a key for at most this long after its first attempt."""
 
-LATENESS = 20.0
+MAX_LATENESS_SECONDS = 20.0
 """A copy of an attempt asks for its claim at most this long after it was sent.
 
 Half of it may be spent waiting at an agent, the rest on the way."""
 
-TOMBSTONE_LIFETIME = 60.0
+TOMBSTONE_LIFETIME_SECONDS = 60.0
 
-UNNUMBERED_LIFETIME = 5.0
+UNNUMBERED_TOMBSTONE_SECONDS = 5.0
 """Without attempt numbers the next attempt can't be told from a late copy of
 the refused one, so the tombstone lapses after this long and the caller is told
 to come back no earlier."""
 
-RECORDS_LIMIT = 20_000
-ANSWERS_LIMIT = 4 << 20
-SMALL_ANSWER = 900
-EXPIRED_PER_CALL = 256
+MAX_RECORDS = 20_000
+MAX_ANSWERS_BYTES = 4 << 20
+SMALL_ANSWER_BYTES = 900
+MAX_EXPIRED_PER_CALL = 256
 
 _PRECEDENCE = {
     ClaimState.REFUSED: 1,
@@ -53,26 +53,26 @@
 class Record:
     """What is known of one key.
 
-    ``at`` is when it was first recorded and ``until`` when it is forgotten,
-    in monotonic seconds. ``other`` is a member that holds the record too,
-    besides this agent and the runner. ``checked`` is the roster revision under
-    which this agent, as the owner, last made sure that it is right, and
-    ``number`` that of the ask that it granted then. ``refused`` is the highest
-    attempt that was refused before.
+    ``recorded_at`` is when it was first recorded and ``expires_at`` when it is
+    forgotten, in monotonic seconds. ``other_holder`` is a member that holds the
+    record too, besides this agent and the runner. ``checked_revision`` is the
+    roster revision under which this agent, as the owner, last made sure that it
+    is right, and ``ask_number`` the number of the ask that it granted then.
+    ``highest_refused_attempt`` is the highest attempt that was refused before.
     """
 
     state: ClaimState
     runner: str
     incarnation: int
     attempt: int
-    at: float
-    until: float
+    recorded_at: float
+    expires_at: float
     answer: bytes = b""
-    other: str = ""
-    other_incarnation: int = 0
-    checked: int = 0
-    number: int = 0
-    refused: int = 0
+    other_holder: str = ""
+    other_holder_incarnation: int = 0
+    checked_revision: int = 0
+    ask_number: int = 0
+    highest_refused_attempt: int = 0
 
     @property
     def ran(self) -> bool:
@@ -88,12 +88,12 @@
         """
         if (self.runner, self.incarnation) != (ask.runner, ask.incarnation):
             return False
-        return ask.number < self.number or ask.revision < self.checked
+        return ask.number < self.ask_number or ask.revision < self.checked_revision
 
     def message(self, now: float, key: bytes) -> ClaimRecord:
         """Return the record as it is sent to a peer."""
-        answer = self.answer if len(self.answer) <= SMALL_ANSWER else b""
-        age = max(0.0, now - self.at)
+        answer = self.answer if len(self.answer) <= SMALL_ANSWER_BYTES else b""
+        age = max(0.0, now - self.recorded_at)
         return ClaimRecord(
             key, self.state, self.runner, self.incarnation, self.attempt, age, answer
         )
@@ -101,39 +101,39 @@
 
 def granted(now: float, runner: str, incarnation: int, attempt: int) -> Record:
     """Return the record that ``runner`` may run a key."""
-    until = now + KEY_LIFETIME
+    until = now + KEY_LIFETIME_SECONDS
     return Record(ClaimState.GRANTED, runner, incarnation, attempt, now, until)
 
 
 def refused(now: float, refuser: str, incarnation: int, attempt: int) -> Record:
     """Return the tombstone of a refused attempt."""
-    until = now + _lifetime(ClaimState.REFUSED, attempt)
+    until = now + _lifetime_seconds(ClaimState.REFUSED, attempt)
     return Record(ClaimState.REFUSED, refuser, incarnation, attempt, now, until)
 
 
-def _lifetime(state: ClaimState, attempt: int) -> float:
+def _lifetime_seconds(state: ClaimState, attempt: int) -> float:
     if state is not ClaimState.REFUSED:
-        return KEY_LIFETIME
-    return TOMBSTONE_LIFETIME if attempt else UNNUMBERED_LIFETIME
+        return KEY_LIFETIME_SECONDS
+    return TOMBSTONE_LIFETIME_SECONDS if attempt else UNNUMBERED_TOMBSTONE_SECONDS
 
 
 class Records:
     """Records by key, the oldest forgotten first.
 
-    ``horizon`` is the creation time of the newest record that was forgotten
+    ``eviction_horizon`` is the creation time of the newest record that was forgotten
     before its time. It shows as ``evicted``: without it, a key whose record
     had to make room would look as if it had never run.
     """
 
     def __init__(
-        self, limit: int = RECORDS_LIMIT, answers_limit: int = ANSWERS_LIMIT
+        self, limit: int = MAX_RECORDS, answers_limit_bytes: int = MAX_ANSWERS_BYTES
     ) -> None:
         self._limit = limit
-        self._answers_limit = answers_limit
+        self._answers_limit_bytes = answers_limit_bytes
         self._by_key: OrderedDict[bytes, Record] = OrderedDict()
         self._answered: OrderedDict[bytes, None] = OrderedDict()
         self.answer_bytes = 0
-        self.horizon = -math.inf
+        self.eviction_horizon = -math.inf
         self.evicted = 0
         self.evicted_answers = 0
 
@@ -150,7 +150,7 @@
     def get(self, now: float, key: bytes) -> Record | None:
         """Return the record of a key unless its time is over."""
         record = self._by_key.get(key)
-        if record is None or record.until <= now:
+        if record is None or record.expires_at <= now:
             return None
         return record
 
@@ -158,17 +158,21 @@
         """Keep a record in place of any other of its key."""
         known = self._by_key.get(key)
         if known is not None:
-            told = 0 if known.ran else known.attempt
-            record.refused = max(record.refused, known.refused, told)
+            refused_attempt = 0 if known.ran else known.attempt
+            record.highest_refused_attempt = max(
+                record.highest_refused_attempt,
+                known.highest_refused_attempt,
+                refused_attempt,
+            )
         if known is not None and not (known.ran or record.ran):
             record.attempt = max(record.attempt, known.attempt)
-            record.until = max(record.until, known.until)
+            record.expires_at = max(record.expires_at, known.expires_at)
         self.remove(key)
         self._by_key[key] = record
         if record.answer:
             self._answered[key] = None
             self.answer_bytes += len(record.answer)
-        self._make_room(now)
+        self._evict(now)
 
     def remove(self, key: bytes) -> None:
         """Forget a key on purpose."""
@@ -177,7 +181,7 @@
             del self._answered[key]
             self.answer_bytes -= len(record.answer)
 
-    def absorb(
+    def merge(
         self, now: float, message: ClaimRecord, sender: str, incarnation: int
     ) -> bool:
         """Take a record from a peer; False if it contradicts one held here.
@@ -195,7 +199,7 @@
             message.incarnation,
             message.attempt,
             at,
-            at + _lifetime(message.state, message.attempt),
+            at + _lifetime_seconds(message.state, message.attempt),
             message.answer,
             sender,
             incarnation,
@@ -205,14 +209,14 @@
 
     def expire(self, now: float) -> None:
         """Forget some of the records whose time is over, the oldest first."""
-        for _ in range(EXPIRED_PER_CALL):
+        for _ in range(MAX_EXPIRED_PER_CALL):
             key = next(iter(self._by_key), None)
-            if key is None or self._by_key[key].until > now:
+            if key is None or self._by_key[key].expires_at > now:
                 return
             self.remove(key)
 
-    def _make_room(self, now: float) -> None:
-        while self.answer_bytes > self._answers_limit:
+    def _evict(self, now: float) -> None:
+        while self.answer_bytes > self._answers_limit_bytes:
             key, _ = self._answered.popitem(last=False)
             record = self._by_key[key]
             self.answer_bytes -= len(record.answer)
@@ -221,8 +225,8 @@
         while len(self._by_key) > self._limit:
             key = next(iter(self._by_key))
             record = self._by_key[key]
-            if record.until > now and record.ran:
-                self.horizon = max(self.horizon, record.at)
+            if record.expires_at > now and record.ran:
+                self.eviction_horizon = max(self.eviction_horizon, record.recorded_at)
                 self.evicted += 1
             self.remove(key)
 
--- a/packages/zinniahook-core/src/zinniahook_core/requests.py
+++ b/packages/zinniahook-core/src/zinniahook_core/requests.py
@@ -39,20 +39,26 @@
 from .messages import ClaimIntent
 from .models import AgentState, Load, Member, Service
 from .opens import Open, OpenRequests, RequestPlacement, Stage
-from .outcomes import CANCEL_WAIT, may_join, may_try_again, outcome_of, overtime
+from .outcomes import (
+    CANCEL_TIMEOUT_SECONDS,
+    grace_after_deadline,
+    may_join,
+    may_retry,
+    outcome_of,
+)
 from .placement import coldness
-from .records import LATENESS, UNNUMBERED_LIFETIME
+from .records import MAX_LATENESS_SECONDS, UNNUMBERED_TOMBSTONE_SECONDS
 
 __all__ = ["Requests"]
 
-KEY_LIMIT = 128
-REFUSE_WAIT = 8.0
+MAX_KEY_BYTES = 128
+REFUSE_TIMEOUT_SECONDS = 8.0
 """Longer than it takes to mark a dead claim owner down."""
 
-CLAIM_PATIENCE = LATENESS / 2
-"""How long a claimed request may wait here; see ``records.LATENESS``."""
+CLAIM_TIMEOUT_SECONDS = MAX_LATENESS_SECONDS / 2
+"""How long a claimed request may wait here; see ``records.MAX_LATENESS_SECONDS``."""
 
-PARK_AFTER = 0.05
+PARK_DELAY_SECONDS = 0.05
 """Seconds that a request keeps its slot while its claim is asked for; an answer
 takes a few milliseconds. Longer, and a dead member costs the live ones slots."""
 
@@ -130,7 +136,7 @@
         if handler is None:
             return []
         handler(self, now, event)
-        self._go_on(now)
+        self._process_pending(now)
         effects, self.effects = self.effects, []
         return effects
 
@@ -199,13 +205,13 @@
     @_handles(Tick)
     def _tick(self, now: float, event: Tick) -> None:
         if self._ready_since is not None:
-            self.admission.warm(coldness(now, self._ready_since))
+            self.admission.set_coldness(coldness(now, self._ready_since))
         self.claims.tick(now)
         for item in self._open:
-            if item.stage is Stage.CLAIMING and now - item.since > PARK_AFTER:
+            if item.stage is Stage.CLAIMING and now - item.since > PARK_DELAY_SECONDS:
                 self._park(now, item)
             elif item.stage in (Stage.RUNNING, Stage.RELAYED):
-                self._limit(now, item)
+                self._enforce_deadline(now, item)
 
     @_handles(RequestArrived)
     def _arrive(self, now: float, event: RequestArrived) -> None:
@@ -215,17 +221,17 @@
         if rule is None:
             self._answer(event.request, OutcomeKind.NOT_RUN, Code.CLASS_UNKNOWN)
             return
-        if len(event.key) > KEY_LIMIT:
+        if len(event.key) > MAX_KEY_BYTES:
             self._answer(event.request, OutcomeKind.NOT_RUN, Code.KEY_TOO_LONG)
             return
         deadline = now + rule.deadline
         if event.deadline > 0:
             deadline = min(deadline, event.deadline)
         if event.key and not event.idempotent:
-            deadline = min(deadline, now + CLAIM_PATIENCE)
+            deadline = min(deadline, now + CLAIM_TIMEOUT_SECONDS)
         item = Open(event, deadline, event.attempt, since=now)
         self._open.add(item)
-        if item.claimed and self._follow(now, item):
+        if item.claimed and self._join_copy(now, item):
             return
         self._place(now, item, rule.slots)
 
@@ -247,7 +253,7 @@
         if done:
             self._open.close(item)
             return
-        if self._try_again(now, item, event, was_relayed):
+        if self._retry(now, item, event, was_relayed):
             return
         self.conclude(item, outcome_of(item, event))
 
@@ -274,20 +280,20 @@
 
     def _place(self, now: float, item: Open, slots: int) -> None:
         if self.leaving:
-            peer = self._choose(now, item, slots, forced=True)
+            peer = self._choose_peer(now, item, slots, forced=True)
             if peer is None:
                 refusal = self.admission.refuse(now, item.event.kind, Code.LEAVING)
                 self.refuse(now, item, refusal)
                 return
             self.relay(now, item, peer)
             return
-        peer = self._choose(now, item, slots) if slots else None
+        peer = self._choose_peer(now, item, slots) if slots else None
         if peer is None:
             self._admit(now, item)
             return
         self.relay(now, item, peer)
 
-    def _choose(
+    def _choose_peer(
         self, now: float, item: Open, slots: int, forced: bool = False
     ) -> str | None:
         if self._placement is None or item.event.relayed_by or item.relays:
@@ -304,19 +310,21 @@
         self.effects.append(Relay(item.number, peer))
         self.join_followers(item)
 
-    def _limit(self, now: float, item: Open) -> None:
+    def _enforce_deadline(self, now: float, item: Open) -> None:
         """Cancel what runs past the deadline that its caller gave.
 
         What goes wrong otherwise: a target hangs, and its requests hold their
         slots for good. It shows as slots in use and nothing finished.
         """
-        if item.event.deadline <= 0 or now < item.event.deadline + overtime(item):
+        if item.event.deadline <= 0 or now < item.event.deadline + grace_after_deadline(
+            item
+        ):
             return
         if item.cancelled_at is None:
             item.cancelled_at = now
             self.count("requests.overdue")
             self.effects.append(CancelRequest(item.number))
-        elif now - item.cancelled_at >= CANCEL_WAIT:
+        elif now - item.cancelled_at >= CANCEL_TIMEOUT_SECONDS:
             lost = Outcome(OutcomeKind.UNKNOWN, Code.DEADLINE_EXPIRED)
             self._finish(now, RequestFinished(item.number, lost, started=True))
 
@@ -365,11 +373,11 @@
         # after its caller was told that it hasn't.
         item.stage = Stage.REFUSING
         if not item.attempt:
-            retry_after = max(refusal.retry_after, UNNUMBERED_LIFETIME)
+            retry_after = max(refusal.retry_after, UNNUMBERED_TOMBSTONE_SECONDS)
             item.refusal = replace(refusal, retry_after=retry_after)
-        self._claim(now, item, ClaimIntent.REFUSE, now + REFUSE_WAIT)
+        self._claim(now, item, ClaimIntent.REFUSE, now + REFUSE_TIMEOUT_SECONDS)
 
-    def _follow(self, now: float, item: Open) -> bool:
+    def _join_copy(self, now: float, item: Open) -> bool:
         """Join the copy of this request that is open here already."""
         key = item.event.key
         leader = self._open.leader(key)
@@ -380,7 +388,7 @@
                 self.effects.append(JoinRequest(item.number, leader.number))
             return True
         self._open.lead(item)
-        known = self.claims.known(now, key)
+        known = self.claims.local_result(now, key)
         if known is None:
             return False
         self._settle(now, known._replace(request=item.number))
@@ -398,7 +406,7 @@
         if leader.stage in (Stage.CLAIMING, Stage.PARKED):
             self._claim(now, leader, ClaimIntent.RUN, leader.deadline)
         elif leader.stage is Stage.REFUSING:
-            self._claim(now, leader, ClaimIntent.REFUSE, now + REFUSE_WAIT)
+            self._claim(now, leader, ClaimIntent.REFUSE, now + REFUSE_TIMEOUT_SECONDS)
 
     def _claim(self, now: float, item: Open, intent: ClaimIntent, until: float) -> None:
         key = item.event.key
@@ -411,10 +419,10 @@
         for item in items:
             self._arrive(now, item.event)
 
-    def _try_again(
+    def _retry(
         self, now: float, item: Open, event: RequestFinished, was_relayed: bool
     ) -> bool:
-        if not may_try_again(now, item, event):
+        if not may_retry(now, item, event):
             return False
         if not self.admission.credit(item.event.kind):
             return False
@@ -423,7 +431,7 @@
         peer = None
         rule = self.admission.rule(item.event.kind)
         if rule is not None and not was_relayed:
-            peer = self._choose(now, item, rule.slots, forced=True)
+            peer = self._choose_peer(now, item, rule.slots, forced=True)
         if peer is not None:
             self.relay(now, item, peer)
             return True
@@ -438,17 +446,17 @@
         if item is not None:
             settlements.settle(self, now, item, settled)
 
-    def _go_on(self, now: float) -> None:
+    def _process_pending(self, now: float) -> None:
         """Carry every consequence of an event through."""
-        while self._advance(now):
+        while self._process_once(now):
             continue
 
-    def _advance(self, now: float) -> bool:
+    def _process_once(self, now: float) -> bool:
         effects, settled = self.claims.take()
         self.effects += effects
         for answer in settled:
             self._settle(now, answer)
-        given_up = self.admission.hopeless(now)
+        given_up = self.admission.refuse_infeasible(now)
         for number, refusal in given_up:
             self.refuse(now, self._open.get(number), refusal)
         started = self.admission.start(now)
--- a/packages/zinniahook-core/src/zinniahook_core/schema.py
+++ b/packages/zinniahook-core/src/zinniahook_core/schema.py
@@ -28,7 +28,7 @@
 RISKY_NAMES = ("address", "data_centres", "drain", "idle", "protocol", "targets")
 
 
-def _same(value: Any) -> Any:
+def _identity(value: Any) -> Any:
     return value
 
 
@@ -50,7 +50,7 @@
             raise ValueError(f"must be from {low} to {high}")
         return value
 
-    return Field(read, _same, f"whole number, {low} to {high}", meaning, required)
+    return Field(read, _identity, f"whole number, {low} to {high}", meaning, required)
 
 
 def _number(low: float, high: float, meaning: str) -> Field:
@@ -61,10 +61,10 @@
             raise ValueError(f"must be from {low:g} to {high:g}")
         return float(value)
 
-    return Field(read, _same, f"number, {low:g} to {high:g}", meaning)
+    return Field(read, _identity, f"number, {low:g} to {high:g}", meaning)
 
 
-def _read_flag(value: Any) -> bool:
+def _read_boolean(value: Any) -> bool:
     if type(value) is not bool:
         raise ValueError("must be true or false")
     return value
@@ -93,7 +93,7 @@
     return value
 
 
-def _texts(meaning: str, allowed: tuple[str, ...] = ()) -> Field:
+def _strings(meaning: str, allowed: tuple[str, ...] = ()) -> Field:
     def read(value: Any) -> tuple[str, ...]:
         if not isinstance(value, list | tuple):
             raise ValueError("must be a list of texts")
@@ -109,7 +109,7 @@
 
 CLASS_FIELDS_BY_NAME: Mapping[str, Field] = {
     "prefix": Field(
-        _read_prefix, _same, "path", "requests whose path starts so", required=True
+        _read_prefix, _identity, "path", "requests whose path starts so", required=True
     ),
     "slots": _integer(0, 64, "slots of the target a request holds; 0: a stream"),
     "share": _number(0.0, 1.0, "part of the slots that others can't take for long"),
@@ -126,25 +126,28 @@
     "protocol": Field(_read_protocol, str, "'quic' or 'udp'", "what callers speak"),
     "drain": _number(0.1, 604800.0, "seconds a leaving target has to finish"),
     "idle": _number(1.0, 86400.0, "seconds without a packet that end a UDP flow"),
-    "targets": _texts("name patterns of the instances that may serve it"),
-    "data_centres": _texts("data centres that may serve it; none listed: all"),
+    "targets": _strings("name patterns of the instances that may serve it"),
+    "data_centres": _strings("data centres that may serve it; none listed: all"),
 }
 
 OPERATOR_FIELDS_BY_NAME: Mapping[str, Field] = {
-    "services": _texts(
+    "services": _strings(
         "name patterns of the services the operator may change and drain"
     ),
-    "keys": Field(_read_flag, _same, "true or false", "may rotate keys"),
+    "keys": Field(_read_boolean, _identity, "true or false", "may rotate keys"),
     "operators": Field(
-        _read_flag, _same, "true or false", "may change operators and rollout rules"
+        _read_boolean,
+        _identity,
+        "true or false",
+        "may change operators and rollout rules",
     ),
 }
 
 ROLLOUT_FIELDS_BY_NAME: Mapping[str, Field] = {
-    "stages": _texts("the order in which a risky change goes out", STAGES),
+    "stages": _strings("the order in which a risky change goes out", STAGES),
     "pause": _number(0.0, 3600.0, "seconds a stage is watched"),
     "broken_flows": _number(
         0.0, 1.0, "share of dropped datagrams or unknown outcomes that stops it"
     ),
-    "risky": _texts("settings whose change goes out in stages", RISKY_NAMES),
+    "risky": _strings("settings whose change goes out in stages", RISKY_NAMES),
 }
--- a/packages/zinniahook-core/src/zinniahook_core/settlements.py
+++ b/packages/zinniahook-core/src/zinniahook_core/settlements.py
@@ -20,7 +20,7 @@
 
 __all__ = ["RequestAgent", "finish", "settle"]
 
-RELAYS_LIMIT = 2
+MAX_RELAYS = 2
 """Times that a request is handed to a peer, after which its answer counts as lost."""
 
 
@@ -98,7 +98,9 @@
 
 
 @_settles(ClaimState.RUNNING, ClaimState.FINISHED)
-def _elsewhere(agent: RequestAgent, now: float, item: Open, settled: Settled) -> None:
+def _claimed_elsewhere(
+    agent: RequestAgent, now: float, item: Open, settled: Settled
+) -> None:
     agent.admission.release(now, item.number, answered=False)
     if settled.answer:
         agent.count("requests.replayed")
@@ -106,7 +108,7 @@
             agent.effects.append(Replay(number, settled.answer))
         agent.close_all(item)
         return
-    if settled.runner == agent.name or item.relays >= RELAYS_LIMIT:
+    if settled.runner == agent.name or item.relays >= MAX_RELAYS:
         agent.conclude(item, Outcome(OutcomeKind.UNKNOWN, Code.ANSWER_LOST))
         return
     agent.relay(now, item, settled.runner)
--- a/packages/zinniahook-core/src/zinniahook_core/views.py
+++ b/packages/zinniahook-core/src/zinniahook_core/views.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from .models import AgentState, Member, Roster
-from .records import KEY_LIFETIME
+from .records import KEY_LIFETIME_SECONDS
 from .rendezvous import best, rank
 
 __all__ = ["View"]
@@ -146,12 +146,12 @@
         Every member seen within the lifetime of a key counts, in whatever
         state: one that was ready only between two rosters seen here counts.
         """
-        if now - self._since < KEY_LIFETIME:
+        if now - self._since < KEY_LIFETIME_SECONDS:
             return True
         seen = [
             name
             for name, at in self._seen_by_name.items()
-            if now - at < KEY_LIFETIME or name in self.members_by_name
+            if now - at < KEY_LIFETIME_SECONDS or name in self.members_by_name
         ]
         return best(key, [*seen, self.name]) != self.name
 
@@ -288,7 +288,7 @@
         return new.state is AgentState.DOWN or new.incarnation != member.incarnation
 
     def _trim(self, now: float) -> None:
-        oldest = now - 2 * KEY_LIFETIME
+        oldest = now - 2 * KEY_LIFETIME_SECONDS
         self._losses = [loss for loss in self._losses if loss.at > oldest]
         self._seen_by_name = {
             name: at for name, at in self._seen_by_name.items() if at > oldest
--- a/packages/zinniahook-core/tests/core_fakes.py
+++ b/packages/zinniahook-core/tests/core_fakes.py
@@ -21,7 +21,7 @@
     Service,
 )
 
-KEYLESS = b" without a key"
+KEYLESS_SUFFIX = b" without a key"
 """Ends the name of a request that carries no idempotency key."""
 KEYS = {1: Key(1, bytes(range(32)))}
 TICKET = {"ticket": RequestClass("ticket", "/", slots=1, deadline=8.0)}
@@ -72,7 +72,7 @@
     node: str
 
 
-class Told(NamedTuple):
+class CallerReply(NamedTuple):
     key: bytes
     attempt: int
     kind: OutcomeKind
@@ -151,7 +151,7 @@
         request = self.requests.get(number)
         if request is None:
             return
-        key = b"" if request.key.endswith(KEYLESS) else request.key
+        key = b"" if request.key.endswith(KEYLESS_SUFFIX) else request.key
         until = self.cluster.now + 8.0
         attempt = request.attempt
         self.feed(
@@ -169,7 +169,7 @@
         if request.cancelled:
             return
         if request.origin is None:
-            told = Told(request.key, request.attempt, kind, answer)
+            told = CallerReply(request.key, request.attempt, kind, answer)
             self.cluster.told.append(told)
             return
         origin, at_origin = request.origin
--- a/packages/zinniahook-core/tests/core_rules.py
+++ b/packages/zinniahook-core/tests/core_rules.py
@@ -1,7 +1,7 @@
 """Rules of the state machine: what callers, operators and chance may do."""
 
 from core_clusters import Cluster
-from core_fakes import KEYLESS
+from core_fakes import KEYLESS_SUFFIX
 from hypothesis import strategies as st
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -96,7 +96,7 @@
     def file_without_key(self, which, service):
         """Send requests that the system must not try a second time."""
         for number in range(4):
-            name = self.new_key(service) + KEYLESS
+            name = self.new_key(service) + KEYLESS_SUFFIX
             self.send(which + number, name, 1, 0.0)
         self.cluster.run(0.1)
 
--- a/packages/zinniahook-core/tests/request_fakes.py
+++ b/packages/zinniahook-core/tests/request_fakes.py
@@ -23,9 +23,9 @@
 from zinniahook_core.rendezvous import rank
 from zinniahook_core.requests import Requests
 
-HERE = Address("127.0.0.1", 1)
+ADDRESS = Address("127.0.0.1", 1)
 CLASSES = {"ticket": RequestClass("ticket", "/tickets")}
-SERVICE = Service("tally", 1, HERE, classes_by_name=CLASSES)
+SERVICE = Service("tally", 1, ADDRESS, classes_by_name=CLASSES)
 DONE = Outcome(OutcomeKind.DONE, Code.OK)
 
 
@@ -38,45 +38,45 @@
         self.slots = slots
         self.members = {}
         self.cores = {}
-        self.seen = {}
+        self.effects_by_name = {}
         self.blocked = set()
         self.messages = deque()
         self.done = []
         for name in names:
-            self.join(name, tell=False)
-        self.tell()
+            self.join(name, announce=False)
+        self.announce()
         self.now += age
 
-    def join(self, name, incarnation=1, tell=True):
+    def join(self, name, incarnation=1, announce=True):
         core = Requests(name, SERVICE, random.Random(1))
         self.cores[name] = core
-        self.seen[name] = []
-        if tell and self.revision:
+        self.effects_by_name[name] = []
+        if announce and self.revision:
             core.handle(self.now, RosterChanged(self.roster()))
-        self.set(name, AgentState.READY, incarnation, tell)
+        self.set_state(name, AgentState.READY, incarnation, announce)
 
     def crash(self, name):
         del self.cores[name]
 
-    def set(self, name, state, incarnation=None, tell=True):
+    def set_state(self, name, state, incarnation=None, announce=True):
         known = self.members.get(name)
         number = incarnation or known.incarnation
         self.members[name] = Member(
-            name, HERE, HERE, HERE, "z", number, state, self.slots
+            name, ADDRESS, ADDRESS, ADDRESS, "z", number, state, self.slots
         )
         self.revision += 1
-        if tell:
-            self.tell()
+        if announce:
+            self.announce()
 
     def remove(self, name):
         del self.members[name]
         self.revision += 1
-        self.tell()
+        self.announce()
 
     def roster(self):
         return Roster("tally", self.revision, dict(self.members))
 
-    def tell(self, *names):
+    def announce(self, *names):
         for name in names or tuple(self.cores):
             self.feed(name, RosterChanged(self.roster()))
             member = self.members.get(name)
@@ -88,7 +88,7 @@
             if isinstance(effect, SendPeer):
                 self.messages.append((name, effect.peer, effect.message))
             else:
-                self.seen[name].append(effect)
+                self.effects_by_name[name].append(effect)
 
     def deliver(self):
         """Deliver messages until there are none."""
@@ -97,7 +97,7 @@
             if receiver in self.cores and (sender, receiver) not in self.blocked:
                 self.feed(receiver, PeerDatagram(sender, message))
 
-    def hold(self, name):
+    def intercept(self, name):
         """Deliver messages, but return those to ``name`` instead."""
         held = []
         while self.messages:
@@ -125,25 +125,25 @@
         self.feed(name, RequestFinished(number, outcome, started, answer))
         self.deliver()
 
-    def of(self, name, kind, number=None):
+    def effects_of(self, name, kind, number=None):
         return [
             effect
-            for effect in self.seen[name]
+            for effect in self.effects_by_name[name]
             if isinstance(effect, kind) and number in (None, effect.request)
         ]
 
     def ran(self, name):
-        return [effect.request for effect in self.of(name, Run)]
+        return [effect.request for effect in self.effects_of(name, Run)]
 
     def outcome(self, name, number):
-        found = self.of(name, FinishRequest, number)
+        found = self.effects_of(name, FinishRequest, number)
         return found[0].outcome if found else None
 
     def relayed(self, name, number):
-        return [effect.peer for effect in self.of(name, Relay, number)]
+        return [effect.peer for effect in self.effects_of(name, Relay, number)]
 
     def replayed(self, name, number):
-        return [effect.answer for effect in self.of(name, Replay, number)]
+        return [effect.answer for effect in self.effects_of(name, Replay, number)]
 
     def ranked(self, key=b"k"):
         return rank(key, self.members)
--- a/packages/zinniahook-core/tests/test_admission.py
+++ b/packages/zinniahook-core/tests/test_admission.py
@@ -4,7 +4,7 @@
 
 import pytest
 from zinniahook_core.admission import Admission, Verdict
-from zinniahook_core.budgets import LONGEST_RETURN, RetryBudget, ReturnSchedule
+from zinniahook_core.budgets import MAX_RETRY_AFTER_SECONDS, RetryBudget, RetrySchedule
 from zinniahook_core.codes import Code
 from zinniahook_core.models import RequestClass
 from zinniahook_testkit import overload
@@ -49,9 +49,9 @@
 
     def test_cold_target_gets_fewer(self):
         subject = admission()
-        subject.warm(1.0)
+        subject.set_coldness(1.0)
         assert subject.slots == 1
-        subject.warm(0.0)
+        subject.set_coldness(0.0)
         assert subject.slots == 4
 
     def test_streams_hold_no_slot_but_are_bounded(self):
@@ -73,7 +73,7 @@
 
 
 class TestClasses:
-    def test_long_exports_leave_room_for_tickets(self):
+    def test_long_exports_leave_slots_for_tickets(self):
         """
         Symptom: tickets wait for minutes behind exports.
         Sequence: no ticket is there, exports take every slot, tickets arrive.
@@ -128,7 +128,7 @@
 
 
 class TestDeadlines:
-    def test_hopeless_is_refused_on_arrival(self):
+    def test_infeasible_request_is_refused_on_arrival(self):
         subject = admission(1)
         served(subject, "ticket", 1.0)
         offer(subject, 1, now=50, deadline=60)
@@ -136,7 +136,7 @@
         assert refusal.verdict is Verdict.REFUSED
         assert refusal.retry_after > 0
 
-    def test_queued_that_became_hopeless_is_told_at_once(self):
+    def test_queued_request_that_becomes_infeasible_is_refused_at_once(self):
         """
         Symptom: a refused caller learns of it only when its time is up.
         Sequence: a request waits; the one before it takes longer than usual.
@@ -146,8 +146,8 @@
         served(subject, "ticket", 1.0)
         offer(subject, 1, now=50, deadline=60)
         assert offer(subject, 2, now=50, deadline=54).verdict is Verdict.QUEUED
-        assert subject.hopeless(50.5) == []
-        given_up = subject.hopeless(52.5)
+        assert subject.refuse_infeasible(50.5) == []
+        given_up = subject.refuse_infeasible(52.5)
         assert [(number, d.code) for number, d in given_up] == [
             (2, Code.DEADLINE_EXPIRED)
         ]
@@ -157,10 +157,10 @@
         for number in range(5):
             offer(subject, number, deadline=20.0 + number)
         assert offer(subject, 9, deadline=10.0).verdict is Verdict.QUEUED
-        assert [number for number, _ in subject.hopeless(0.0)] == [4]
+        assert [number for number, _ in subject.refuse_infeasible(0.0)] == [4]
 
 
-class TestComingBack:
+class TestRetries:
     def test_retries_may_not_fill_the_queue(self):
         """
         Symptom: an overload goes on after its cause has gone.
@@ -182,16 +182,16 @@
         while budget.take():
             continue
         for _ in range(11):
-            budget.attempted()
+            budget.credit_first_attempt()
         assert [budget.take() for _ in range(3)] == [True, True, False]
 
     def test_return_times_are_spaced_by_the_capacity(self):
-        schedule = ReturnSchedule(random.Random(1))
-        delays = [schedule.book(0.0, 0.5, 10.0) for _ in range(50)]
+        schedule = RetrySchedule(random.Random(1))
+        delays = [schedule.reserve(0.0, 0.5, 10.0) for _ in range(50)]
         assert delays[-1] > 4 * delays[0]
         assert sum(delays) / 50 == pytest.approx(0.5 + 25 * 0.2, rel=0.1)
-        assert max(schedule.book(0.0, 0.5, 0.1) for _ in range(99)) < (
-            1.3 * LONGEST_RETURN
+        assert max(schedule.reserve(0.0, 0.5, 0.1) for _ in range(99)) < (
+            1.3 * MAX_RETRY_AFTER_SECONDS
         )
 
 
--- a/packages/zinniahook-core/tests/test_agents.py
+++ b/packages/zinniahook-core/tests/test_agents.py
@@ -4,7 +4,7 @@
 
 import pytest
 from core_clusters import Cluster
-from core_fakes import KEYLESS, configuration
+from core_fakes import KEYLESS_SUFFIX, configuration
 from zinniahook_core import AgentCore, effects, events
 from zinniahook_core.codes import Code, OutcomeKind
 from zinniahook_core.models import Address, AgentState, Member
@@ -198,7 +198,7 @@
         cluster.run(4.0)
         for connection in cluster.connections:
             if connection[1] == leaving.name:
-                name = b"%d" % len(cluster.told) + KEYLESS
+                name = b"%d" % len(cluster.told) + KEYLESS_SUFFIX
                 cluster.request(connection, name, 1)
                 cluster.run(2.0)
         assert cluster.broken() == []
@@ -275,7 +275,7 @@
         assert Paths(random.Random(1)).for_flow(0.1, b"new") is None
         assert Paths(random.Random(1)).unanswered(0.1, b"new") is None
 
-    def test_entry_that_swallows_answers_is_left(self):
+    def test_entry_that_loses_answers_is_avoided(self):
         """Symptom: a caller's feed falls silent while its packets arrive.
 
         Sequence: answers by one entry get lost; the caller's datagrams go
--- a/packages/zinniahook-core/tests/test_claims.py
+++ b/packages/zinniahook-core/tests/test_claims.py
@@ -3,12 +3,12 @@
 import pytest
 from request_fakes import Group
 from zinniahook_core import records
-from zinniahook_core.claims import GRANT_LIFETIME
+from zinniahook_core.claims import GRANT_LIFETIME_SECONDS
 from zinniahook_core.codes import Code, OutcomeKind
 from zinniahook_core.events import RequestArrived, RequestCancelled
 from zinniahook_core.messages import ClaimRecord, ClaimState
 from zinniahook_core.models import AgentState
-from zinniahook_core.records import KEY_LIFETIME, Records, granted, refused
+from zinniahook_core.records import KEY_LIFETIME_SECONDS, Records, granted, refused
 from zinniahook_core.rendezvous import rank
 from zinniahook_core.requests import Requests
 from zinniahook_testkit import atmostonce
@@ -32,7 +32,7 @@
         group.request(first, 1)
         group.finish(first, 1)
         group.crash(first)
-        group.set(first, AgentState.DOWN)
+        group.set_state(first, AgentState.DOWN)
         group.request(second, 2, attempt=2)
         assert group.replayed(second, 2) == [b"filed"]
 
@@ -41,7 +41,7 @@
         _owner, first, second, _ = group.ranked()
         group.request(first, 1)
         group.crash(first)
-        group.set(first, AgentState.DOWN)
+        group.set_state(first, AgentState.DOWN)
         group.request(second, 2, attempt=2)
         assert group.outcome(second, 2).kind is UNKNOWN
         assert group.outcome(second, 2).code is Code.ANSWER_LOST
@@ -80,7 +80,7 @@
         group.run(0.5)
         assert group.ran(owner) == [1]
         group.crash(owner)
-        group.set(owner, AgentState.DOWN)
+        group.set_state(owner, AgentState.DOWN)
         group.request(third, 2, attempt=2)
         group.run(1)
         assert group.ran(third) == []
@@ -124,7 +124,7 @@
         _owner, first, second, _ = group.ranked()
         group.request(first, 1, attempt=0, deadline=group.now - 1)
         wait = group.outcome(first, 1).retry_after
-        assert wait >= records.UNNUMBERED_LIFETIME
+        assert wait >= records.UNNUMBERED_TOMBSTONE_SECONDS
         group.request(second, 2, attempt=0)
         assert group.outcome(second, 2).kind is NOT_RUN
         group.run(wait + 0.1)
@@ -142,7 +142,7 @@
         group.request(owner, 1, deadline=group.now - 1)
         assert group.outcome(owner, 1).kind is NOT_RUN
         group.crash(owner)
-        group.set(owner, AgentState.DOWN)
+        group.set_state(owner, AgentState.DOWN)
         group.request(third, 2, attempt=1)
         group.run(2)
         assert group.ran(third) == []
@@ -184,7 +184,7 @@
         assert group.ran(second) == []
         assert group.replayed(second, 2) == [b"filed"]
 
-    def test_denial_under_an_older_roster_counts_for_nothing(self):
+    def test_denial_under_an_older_roster_is_ignored(self):
         """
         Symptom: two agents run one request while a roster spreads.
         Sequence: a member joins and owns the key; it asks agents that don't
@@ -193,13 +193,13 @@
         """
         group, key = self.before_a_join()
         _, first, second = group.ranked(key)
-        group.join("d", tell=False)
-        group.tell("d", second)
+        group.join("d", announce=False)
+        group.announce("d", second)
         group.request(second, 2, key, attempt=2)
         group.run(0.3)
         group.request(first, 1, key)
         assert group.ran(first) == [1]
-        group.tell()
+        group.announce()
         group.run(2)
         assert group.ran(second) == []
 
@@ -212,12 +212,12 @@
         """
         group, key = self.before_a_join()
         owner, *others = group.ranked(key)
-        group.join("d", tell=False)
-        group.tell("d", *others)
+        group.join("d", announce=False)
+        group.announce("d", *others)
         group.request(owner, 1, key)
         group.run(1)
         assert group.ran(owner) == []
-        group.tell()
+        group.announce()
         group.run(1)
         assert group.ran(owner) == [1]
 
@@ -231,7 +231,7 @@
         group = Group()
         owner, first, *_ = group.ranked()
         group.crash(owner)
-        group.set(owner, AgentState.DOWN)
+        group.set_state(owner, AgentState.DOWN)
         group.request(first, 1, attempt=2)
         group.run(1)
         assert group.ran(first) == [1]
@@ -247,8 +247,8 @@
         group.request(first, 1)
         for name in (owner, first):
             group.crash(name)
-            group.set(name, AgentState.DOWN, tell=False)
-        group.tell()
+            group.set_state(name, AgentState.DOWN, announce=False)
+        group.announce()
         group.run(1)
         group.request(second, 2, attempt=2)
         group.run(2)
@@ -263,7 +263,7 @@
         group.run(2)
         for name in (owner, first):
             group.crash(name)
-            group.set(name, AgentState.DOWN)
+            group.set_state(name, AgentState.DOWN)
             group.run(3)
         group.request(third, 2, attempt=2)
         group.run(1)
@@ -281,14 +281,14 @@
         """
         group = Group()
         owner, first, second, _ = group.ranked()
-        group.set(owner, AgentState.DOWN, tell=False)
+        group.set_state(owner, AgentState.DOWN, announce=False)
         others = [name for name in group.cores if name not in (owner, second)]
-        group.tell(*others)
+        group.announce(*others)
         group.request(first, 1)
         group.request(second, 2)
         group.run(1)
         assert len(group.ran(first) + group.ran(second)) <= 1
-        group.tell(second)
+        group.announce(second)
         group.run(1)
         assert group.ran(first) + group.ran(second) in ([1], [2])
 
@@ -301,10 +301,10 @@
         group = Group()
         owner, first, *_ = group.ranked()
         group.feed(first, RequestArrived(1, "ticket", False, b"k", 1, 0.0))
-        grants = group.hold(first)
+        grants = group.intercept(first)
         assert [message.state for _, _, message in grants] == [ClaimState.GRANTED]
         group.crash(owner)
-        group.now += GRANT_LIFETIME + 0.1
+        group.now += GRANT_LIFETIME_SECONDS + 0.1
         group.messages.extend(grants)
         group.deliver()
         assert group.ran(first) == []
@@ -322,7 +322,7 @@
         group.request(owner, 1)
         group.feed(owner, RequestCancelled(1))
         group.blocked.clear()
-        group.set(owner, AgentState.LEAVING)
+        group.set_state(owner, AgentState.LEAVING)
         group.request(third, 2, deadline=group.now - 1)
         group.run(1)
         assert group.outcome(third, 2).kind is NOT_RUN
@@ -331,8 +331,8 @@
         group.run(1)
         assert group.ran(second) + group.ran(owner) == []
 
-    @pytest.mark.parametrize("told", [True, False])
-    def test_new_life_of_a_name_vouches_for_nothing(self, told):
+    @pytest.mark.parametrize("announced", [True, False])
+    def test_restarted_member_does_not_vouch_for_lost_records(self, announced):
         """
         Symptom: a doubled ticket after two members crashed and came back.
         Sequence: owner and runner crash; both start again under their names,
@@ -346,10 +346,10 @@
         group.crash(first)
         group.join(owner, incarnation=2)
         group.run(2)
-        group.join(first, incarnation=2, tell=told)
-        group.tell(first)
+        group.join(first, incarnation=2, announce=announced)
+        group.announce(first)
         group.run(2)
-        group.tell()
+        group.announce()
         group.run(2)
         group.request(second, 2, attempt=2)
         group.run(2)
@@ -364,7 +364,7 @@
         group.finish(first, 1)
         group.run(2)
         for name in (owner, first):
-            group.set(name, AgentState.LEAVING)
+            group.set_state(name, AgentState.LEAVING)
             group.run(2)
             assert group.cores[name].idle
             group.crash(name)
@@ -390,13 +390,13 @@
         held.put(group.now, b"newer", granted(group.now, "x", 1, 1))
         assert held.evicted == 1
         group.crash(other)
-        group.set(other, AgentState.DOWN)
+        group.set_state(other, AgentState.DOWN)
         group.request(owner, 2, attempt=2)
         assert group.ran(owner) == []
         assert group.outcome(owner, 2).kind is UNKNOWN
 
     def test_answers_are_bounded_by_bytes_and_the_tombstone_stays(self):
-        held = Records(answers_limit=100)
+        held = Records(answers_limit_bytes=100)
         for number in range(5):
             record = granted(0.0, "a", 1, 1)
             record.state, record.answer = ClaimState.FINISHED, bytes(40)
@@ -408,9 +408,9 @@
     def test_records_end_with_the_lifetime_of_their_key(self):
         held = Records()
         held.put(0.0, b"k", granted(0.0, "a", 1, 1))
-        assert held.get(KEY_LIFETIME - 1, b"k")
-        assert held.get(KEY_LIFETIME + 1, b"k") is None
-        held.expire(KEY_LIFETIME + 1)
+        assert held.get(KEY_LIFETIME_SECONDS - 1, b"k")
+        assert held.get(KEY_LIFETIME_SECONDS + 1, b"k") is None
+        held.expire(KEY_LIFETIME_SECONDS + 1)
         assert len(held) == 0
 
     @pytest.mark.parametrize("attempt", [1, 2])
@@ -418,7 +418,7 @@
         held = Records()
         held.put(0.0, b"k", granted(0.0, "a", 1, 2))
         late = ClaimRecord(b"k", ClaimState.REFUSED, "a", 1, attempt, 0.0)
-        held.absorb(0.0, late, "a", 1)
+        held.merge(0.0, late, "a", 1)
         state = held.get(0.0, b"k").state
         assert state is (ClaimState.REFUSED if attempt == 2 else ClaimState.GRANTED)
 
@@ -426,7 +426,7 @@
         held = Records()
         held.put(0.0, b"k", granted(0.0, "a", 1, 1))
         other = ClaimRecord(b"k", ClaimState.GRANTED, "b", 1, 1, 0.0)
-        assert not held.absorb(0.0, other, "b", 1)
+        assert not held.merge(0.0, other, "b", 1)
         assert held.get(0.0, b"k").runner == "a"
 
     def test_higher_refusal_is_kept(self):
--- a/packages/zinniahook-core/tests/test_lookups.py
+++ b/packages/zinniahook-core/tests/test_lookups.py
@@ -72,7 +72,7 @@
         about to refuse an attempt whose key it granted to a later one.
         Cause: it asked itself again at once, and decided the same again.
         """
-        monkeypatch.setattr(Claims, "_stands", lambda *_: False)
+        monkeypatch.setattr(Claims, "_still_stored", lambda *_: False)
         names = ("a", "b", "c")
         address = Address("10.0.0.1", 1)
         members = {
--- a/packages/zinniahook-core/tests/test_parking.py
+++ b/packages/zinniahook-core/tests/test_parking.py
@@ -7,7 +7,7 @@
 
 
 class TestLeaving:
-    def test_what_waited_for_a_claim_is_not_started(self):
+    def test_request_that_waited_for_a_claim_is_not_started(self):
         """
         Symptom: a leaving target gets new work 5 s after its drain began.
         Sequence: a claim owner is silent, a request waits for it at another
@@ -22,7 +22,7 @@
         group.run(0.5)
         group.feed(first, DrainRequested(30.0))
         group.run(3.0)
-        group.set(owner, AgentState.DOWN)
+        group.set_state(owner, AgentState.DOWN)
         group.run(3.0)
         assert group.ran(first) == []
         assert group.outcome(first, 1).kind is OutcomeKind.NOT_RUN
--- a/packages/zinniahook-core/tests/test_requests.py
+++ b/packages/zinniahook-core/tests/test_requests.py
@@ -12,7 +12,7 @@
 BROKEN = Outcome(OutcomeKind.UNKNOWN, Code.ANSWER_LOST)
 
 
-class Hands:
+class FixedPlacement:
     """A placement that hands to one peer, or only where it is forced."""
 
     def __init__(self, peer, always=False):
@@ -25,8 +25,8 @@
         pass
 
 
-def placed(group, name, **kwargs):
-    group.cores[name]._placement = Hands(**kwargs)
+def use_placement(group, name, **kwargs):
+    group.cores[name]._placement = FixedPlacement(**kwargs)
 
 
 class TestCopies:
@@ -34,7 +34,7 @@
         group = Group("a")
         group.request("a", 1)
         group.request("a", 2, attempt=2)
-        assert group.of("a", JoinRequest) == [JoinRequest(2, 1)]
+        assert group.effects_of("a", JoinRequest) == [JoinRequest(2, 1)]
 
     def test_copies_get_the_answer_of_a_run_that_failed(self):
         group = Group("a")
@@ -64,9 +64,9 @@
         group = Group("a")
         group.request("a", 1)
         group.feed("a", RequestCancelled(1))
-        assert group.of("a", CancelRequest) == []
+        assert group.effects_of("a", CancelRequest) == []
         group.request("a", 2, attempt=2)
-        assert group.of("a", JoinRequest) == [JoinRequest(2, 1)]
+        assert group.effects_of("a", JoinRequest) == [JoinRequest(2, 1)]
         group.finish("a", 1)
         group.request("a", 3, attempt=3)
         assert group.replayed("a", 3) == [b"filed"]
@@ -84,7 +84,7 @@
 class TestFailures:
     def test_idempotent_request_is_tried_at_a_peer_once(self):
         group = Group("ab")
-        placed(group, "a", peer="b")
+        use_placement(group, "a", peer="b")
         group.request("a", 1, b"", idempotent=True)
         group.finish("a", 1, b"", FAILED)
         assert group.relayed("a", 1) == ["b"]
@@ -94,7 +94,7 @@
     @pytest.mark.parametrize("key", [b"", b"k"])
     def test_post_that_may_have_run_is_never_tried_again(self, key):
         group = Group("ab")
-        placed(group, "a", peer="b")
+        use_placement(group, "a", peer="b")
         group.request("a", 1, key)
         group.finish("a", 1, b"", FAILED)
         assert group.relayed("a", 1) == []
@@ -117,7 +117,7 @@
         """
         group = Group("abc")
         _owner, first, second = group.ranked()
-        placed(group, first, peer=second, always=True)
+        use_placement(group, first, peer=second, always=True)
         group.request(first, 1)
         group.request(second, 7, relayed_by=first)
         group.finish(second, 7)
@@ -128,7 +128,7 @@
 
     def test_relayed_request_is_not_relayed_again(self):
         group = Group("ab")
-        placed(group, "b", peer="a", always=True)
+        use_placement(group, "b", peer="a", always=True)
         group.request("b", 1, b"", relayed_by="a")
         assert group.relayed("b", 1) == []
         assert group.ran("b") == [1]
@@ -140,8 +140,8 @@
         Cause: each relayed copy joins the copy that was relayed away.
         """
         group = Group("ab")
-        placed(group, "a", peer="b", always=True)
-        placed(group, "b", peer="a", always=True)
+        use_placement(group, "a", peer="b", always=True)
+        use_placement(group, "b", peer="a", always=True)
         group.request("a", 1)
         group.request("b", 2, attempt=2)
         group.request("b", 3, relayed_by="a")
@@ -156,13 +156,13 @@
         Cause: the follower was looked for at the new leader.
         """
         group = Group("ab")
-        placed(group, "a", peer="b", always=True)
+        use_placement(group, "a", peer="b", always=True)
         group.request("a", 1)
         group.request("a", 2, attempt=2)
         group.request("a", 3, relayed_by="b")
         group.feed("a", RequestCancelled(2))
         group.feed("a", RequestCancelled(1))
-        assert group.of("a", CancelRequest) == [CancelRequest(1)]
+        assert group.effects_of("a", CancelRequest) == [CancelRequest(1)]
         assert group.relayed("a", 2) == []
 
 
@@ -181,7 +181,7 @@
         group.request(first, 2, b"", idempotent=True)
         assert group.ran(first) == [2]
         group.finish(first, 2)
-        group.set(owner, AgentState.DOWN)
+        group.set_state(owner, AgentState.DOWN)
         group.run(1)
         assert group.ran(first) == [2, 1]
 
@@ -194,7 +194,7 @@
         group = Group("a", slots=1)
         group.request("a", 1, b"", deadline=group.now + 2, idempotent=True)
         group.run(2.2)
-        assert group.of("a", CancelRequest) == [CancelRequest(1)]
+        assert group.effects_of("a", CancelRequest) == [CancelRequest(1)]
         group.run(1.2)
         assert group.outcome("a", 1).code is Code.DEADLINE_EXPIRED
         assert group.cores["a"].busy == 0
@@ -203,7 +203,7 @@
         group = Group("a")
         group.request("a", 1, b"", idempotent=True)
         group.feed("a", RequestCancelled(1))
-        assert group.of("a", CancelRequest) == [CancelRequest(1)]
+        assert group.effects_of("a", CancelRequest) == [CancelRequest(1)]
         assert group.cores["a"].busy == 0
 
     def test_key_that_is_too_long_is_refused(self):
@@ -215,7 +215,7 @@
 class TestDrain:
     def test_new_work_goes_to_a_peer_and_old_work_finishes(self):
         group = Group("ab")
-        placed(group, "a", peer="b")
+        use_placement(group, "a", peer="b")
         group.request("a", 1, b"", idempotent=True)
         group.feed("a", DrainRequested(30.0))
         group.request("a", 2, b"", idempotent=True)
@@ -234,7 +234,7 @@
 
 
 class TestFence:
-    def test_nothing_from_before_runs_after_it(self):
+    def test_nothing_queued_before_the_fence_runs_after_it(self):
         """
         Symptom: a doubled ticket after a process was stopped for a while.
         Sequence: a request waits for its claim; the process is paused and
@@ -248,21 +248,21 @@
         core = group.cores[first]
         effects = core.restart(group.now, 2)
         assert CancelRequest(1) in effects
-        group.set(first, AgentState.READY, incarnation=2)
+        group.set_state(first, AgentState.READY, incarnation=2)
         group.finish(first, 1, b"", DONE)
         group.run(2)
         assert group.ran(first) == [1]
         assert core.busy == core.queued == 0
 
-    def test_what_ran_before_it_is_unknown(self):
+    def test_request_that_ran_before_the_fence_is_unknown(self):
         group = Group("ab")
         runner = group.ranked()[1]
         group.request(runner, 1)
         group.cores[runner].restart(group.now, 2)
-        group.set(runner, AgentState.READY, incarnation=2)
+        group.set_state(runner, AgentState.READY, incarnation=2)
         group.run(1)
         group.request(runner, 2, attempt=2)
         assert group.ran(runner) == [1]
-        finished = group.of(runner, FinishRequest, 2)
+        finished = group.effects_of(runner, FinishRequest, 2)
         assert [effect.outcome.kind for effect in finished] == [OutcomeKind.UNKNOWN]
-        assert group.of(runner, Relay) == []
+        assert group.effects_of(runner, Relay) == []
--- a/packages/zinniahook-core/tests/test_routing.py
+++ b/packages/zinniahook-core/tests/test_routing.py
@@ -276,7 +276,7 @@
         memory it may. Sequence: each roster is told once and kept unpacked.
         Cause: nothing was ever given up, though few services get openings.
         """
-        monkeypatch.setattr("zinniahook_core.entries.VIEWS_LIMIT", 8)
+        monkeypatch.setattr("zinniahook_core.entries.MAX_SERVICE_VIEWS", 8)
         services = self.services(40)
         rosters = {s.name: roster(s, 1, [member(s, 1)]) for s in services}
         core = EntryCore(random.Random(1), rosters.get)
@@ -356,9 +356,9 @@
         assert core.route(0.0, FEED, CALLER, b"x") == member(FEED, 1).tunnel
 
     def test_bounded(self, monkeypatch):
-        monkeypatch.setattr("zinniahook_core.entries.OWNERS_LIMIT", 10)
+        monkeypatch.setattr("zinniahook_core.entries.MAX_OWNER_HINTS", 10)
         one = member(FEED, 1)
         core = entry(roster(FEED, 1, [one]))
         for port in range(100):
             core.handle(0.0, AnswerSeen("feed", Address("192.0.2.1", port), one.tunnel))
-        assert len(core._owners) == 10
+        assert len(core._hints_by_flow) == 10
