--- a/packages/zinniahook-core/src/zinniahook_core/admission.py
+++ b/packages/zinniahook-core/src/zinniahook_core/admission.py
@@ -1,9 +1,8 @@
-"""Which requests get a slot of the target, wait, or are refused at once.
+"""Admission control: start, queue or refuse requests to one target.
 
-A request holds slots before any work is done for it. Classes share the slots
-by weight, so none starves; what a class leaves unused others may borrow.
-The variants that were weighed and their figures are in
-docs/design/admission.md.
+A request holds its slots before any work is done for it. Classes share the
+slots by weight, so that no class starves, and may borrow unused slots of other
+classes. docs/design/admission.md compares the alternatives with figures.
 """
 
 from __future__ import annotations
@@ -22,14 +21,23 @@
 __all__ = ["Admission", "Decision", "Verdict"]
 
 INITIAL_MEAN_SECONDS = 0.05
+"""Assumed service time of a class before its first sample."""
+
 MEAN_SAMPLE_WEIGHT = 0.1
+"""Weight of a new sample in the moving average of service times."""
+
 LONG_SERVICE_SECONDS = 1.0
+"""Classes with a mean service time from here on may not borrow guaranteed slots."""
+
 MIN_CLASS_WEIGHT = 0.05
+"""Lower bound of a class's weight."""
+
 COLD_SLOT_SHARE = 0.25
+"""Fraction of the slots that a target offers just after its start."""
 
 
 class Verdict(enum.Enum):
-    """What becomes of a request that asks for a slot."""
+    """The decision on a request that asks for a slot."""
 
     START = "start"
     QUEUED = "queued"
@@ -38,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """A verdict; a refusal says why and when to come back (seconds)."""
+    """A verdict; a refusal has a code and a retry delay in seconds."""
 
     verdict: Verdict
     code: Code = Code.OK
@@ -47,7 +55,13 @@
 
 @dataclass(slots=True)
 class ClassState:
-    """The requests of one class that run or wait, and how long they take."""
+    """Running and queued requests of one class, and their service time.
+
+    ``guaranteed`` is the number of slots reserved by the class's share.
+    ``virtual_time`` grows with the service received, divided by ``weight``; the
+    class with the lowest value starts next (weighted fair queueing).
+    ``mean_seconds`` is the moving average of the service time.
+    """
 
     rule: RequestClass
     retry_schedule: RetrySchedule
@@ -62,12 +76,12 @@
 
     @property
     def slots_per_request(self) -> int:
-        """Slots that one request holds."""
+        """Number of slots that one request holds."""
         return self.rule.slots
 
     @property
     def in_use(self) -> int:
-        """Slots that this class holds now."""
+        """Number of slots that this class holds."""
         return self.slots_per_request * len(self.started_by_request)
 
     @property
@@ -78,21 +92,21 @@
         )
 
     def sample(self, seconds: float) -> None:
-        """Take one measured service time into the mean."""
+        """Add one measured service time to the moving average."""
         weight = MEAN_SAMPLE_WEIGHT if self.sampled else 1.0
         self.mean_seconds += weight * (max(seconds, 1e-4) - self.mean_seconds)
         self.sampled = True
 
 
 class Admission:
-    """Slots of one target, shared by classes of requests.
+    """Shares the slots of one target between request classes.
 
     Parameters
     ----------
     slots : int
-        Requests that the target takes at once.
+        Number of slots of the target.
     classes_by_name : mapping of str to RequestClass
-        The classes of the service; if empty, every kind is one class.
+        The classes of the service; if empty, all requests form one class.
     rng : random.Random
         Draws the jitter of Retry-After.
     """
@@ -113,23 +127,23 @@
 
     @property
     def slots(self) -> int:
-        """Slots in use at most, fewer while the target is cold."""
+        """Upper limit of slots in use, lower while the target is cold."""
         share = 1.0 - self._cold * (1.0 - COLD_SLOT_SHARE)
         return max(1, math.floor(self._slots * share + 1e-9))
 
     @property
     def busy(self) -> int:
-        """Slots held now."""
+        """Number of slots in use."""
         return sum(state.in_use for state in self._classes_by_name.values())
 
     @property
     def queued(self) -> int:
-        """Requests that wait for a slot."""
+        """Number of requests that wait for a slot."""
         return sum(len(state.queue) for state in self._classes_by_name.values())
 
     @property
     def streams(self) -> int:
-        """Long-lived streams in progress."""
+        """Number of long-lived streams in progress."""
         return sum(
             len(state.started_by_request)
             for state in self._classes_by_name.values()
@@ -139,10 +153,10 @@
     def configure(
         self, slots: int, classes_by_name: Mapping[str, RequestClass]
     ) -> None:
-        """Take new rules; what runs or waits goes on under them.
+        """Apply new rules, also to running and queued requests.
 
-        A class that is gone keeps its requests until they end, and takes no
-        new ones.
+        A removed class keeps its requests until they end and admits no new
+        ones.
         """
         self._slots = slots
         rules = classes_by_name or {"": RequestClass("", "")}
@@ -160,15 +174,15 @@
         self._update_weights()
 
     def set_coldness(self, cold: float) -> None:
-        """Set how cold the target is: 1 just after its start, 0 when warm."""
+        """Set the coldness of the target: 1 just after its start, 0 when warm."""
         self._cold = min(1.0, max(0.0, cold))
 
     def rule(self, kind: str) -> RequestClass | None:
-        """Return the rule of a kind of request, None if there is none."""
+        """Return the rule for a class of requests, or None if there is none."""
         return self._rules.get(kind, self._rules.get(""))
 
     def free(self, kind: str) -> bool:
-        """Tell whether a request of this kind would start at once."""
+        """Return whether a request of this class would start at once."""
         state = self._state(kind)
         return state is not None and self._fits(state)
 
@@ -180,13 +194,13 @@
         Parameters
         ----------
         now, deadline : float
-            Monotonic seconds; past ``deadline`` the answer is of no use.
+            Monotonic seconds; after ``deadline`` an answer is useless.
         request : int
-            The caller's name for it in later calls.
+            The number that identifies the request in later calls.
         kind : str
             The name of its class.
         attempt : int
-            The count of attempts from 1, or 0 if it isn't known.
+            The attempt number from 1, or 0 if it is unknown.
         """
         state = self._state(kind)
         if state is None:
@@ -201,9 +215,9 @@
         return self._enqueue(now, state, request, attempt, deadline)
 
     def requeue(self, now: float, request: int, kind: str, deadline: float) -> None:
-        """Queue a request that gave its slot back, past the queue's bound.
+        """Queue a request that gave its slot back, even if the queue is full.
 
-        It was admitted before, so refusing it now would only waste work.
+        It was admitted before, so refusing it now would waste the work done.
         """
         state = self._state(kind)
         if state is None:
@@ -212,7 +226,7 @@
         state.queue.push(deadline, request)
 
     def start(self, now: float) -> list[int]:
-        """Return the queued requests that hold a slot from now on."""
+        """Give free slots to queued requests and return these requests."""
         started = []
         while state := self._next_class():
             request = state.queue.pop().request
@@ -221,10 +235,10 @@
         return started
 
     def refuse_infeasible(self, now: float) -> list[tuple[int, Decision]]:
-        """Remove queued requests that can't meet their deadline any more.
+        """Remove displaced requests and those that can't meet their deadline.
 
-        They are told at once: waiting on would only cost the caller the time
-        in which it could have come back.
+        They are refused at once, so that the caller can use the remaining time
+        for a retry. Return pairs of request and refusal.
         """
         refused_requests = [
             (request, self._refuse(now, self._class_by_request[request]))
@@ -243,17 +257,17 @@
         return refused_requests
 
     def refuse(self, now: float, kind: str, code: Code) -> Decision:
-        """Return a refusal for another reason, with its Retry-After."""
+        """Return a refusal with the given code and a Retry-After."""
         state = self._state(kind)
         if state is None:
             return Decision(Verdict.REFUSED, code)
         return self._refuse(now, state, code)
 
     def release(self, now: float, request: int, answered: bool) -> None:
-        """Free what a request holds or waits for.
+        """Free the slots or the queue entry of a request.
 
-        ``answered`` tells that it ran to its end: then its time counts for
-        the mean and feeds the retry budget.
+        ``answered`` means that it ran to its end. Only then its time is added
+        to the mean and its success to the retry budget.
         """
         state = self._class_by_request.pop(request, None)
         if state is None:
@@ -272,12 +286,12 @@
             state.budget.credit_success()
 
     def credit(self, kind: str) -> bool:
-        """Draw one retry of the system's own from the budget of ``kind``."""
+        """Take a token for an agent's own retry from the budget of ``kind``."""
         state = self._state(kind)
         return state is not None and state.budget.take()
 
     def drop_queue(self) -> list[int]:
-        """Remove and return everything that waits."""
+        """Remove and return all queued and displaced requests."""
         dropped = list(self._displaced)
         self._displaced.clear()
         for state in self._classes_by_name.values():
@@ -312,9 +326,9 @@
         return self._may_borrow(state)
 
     def _may_borrow(self, state: ClassState) -> bool:
-        # What goes wrong: exports of minutes borrow every slot while no ticket
-        # is there, and the next tickets wait for minutes. So only a class that
-        # gives slots back soon may borrow what is guaranteed to others.
+        # Otherwise exports that take minutes would borrow every slot while no
+        # ticket is open, and the next tickets would wait for minutes. So only
+        # a class with short requests may borrow slots guaranteed to others.
         if state.sampled and state.mean_seconds < LONG_SERVICE_SECONDS:
             return True
         others = sum(
@@ -332,7 +346,7 @@
         state.started_by_request[request] = now
 
     def _charge(self, state: ClassState) -> None:
-        # An idle class gets no credit for the time in which it had no work.
+        # An idle class earns no credit for the time in which it had no work.
         active = [s.virtual_time for s in self._classes_by_name.values() if s.active]
         if not state.started_by_request and active:
             state.virtual_time = max(state.virtual_time, min(active))
@@ -378,7 +392,7 @@
         self._displaced.append(last)
 
     def _fair_slots(self, state: ClassState) -> float:
-        """Return the slots that the class can count on, as a float."""
+        """Return the class's weighted share of the slots, as a float."""
         others = sum(
             other.weight
             for other in self._classes_by_name.values()
@@ -387,7 +401,7 @@
         return self.slots * state.weight / (state.weight + others)
 
     def _requests_per_second(self, state: ClassState) -> float:
-        """Return the requests a second that the class can count on."""
+        """Return the requests per second that the class's share can serve."""
         return self._fair_slots(state) / (
             max(1, state.slots_per_request) * state.mean_seconds
         )
--- a/packages/zinniahook-core/src/zinniahook_core/agents.py
+++ b/packages/zinniahook-core/src/zinniahook_core/agents.py
@@ -1,4 +1,4 @@
-"""The core of one agent: routes each event to the part that decides it."""
+"""The core of one agent: dispatches each event to the part that handles it."""
 
 from __future__ import annotations
 
@@ -43,11 +43,13 @@
 __all__ = ["AgentCore"]
 
 FENCED_RETRY_AFTER_SECONDS = 1.0
-"""Seconds after which a fenced agent tells callers to come back."""
+"""Retry-After that a fenced agent sends."""
 
 TARGET_FAULT_CODES = frozenset({Code.TARGET_FAILED, Code.TARGET_SHED, Code.ANSWER_LOST})
-"""Ends of a request that speak against the target. One that sheds is idle by the
-agent's counts, and would draw in the work that it refuses."""
+"""Codes of finished requests that count as failures of the target.
+
+A target that sheds has few requests in progress by the agent's counts, so it
+would attract the work that it refuses."""
 
 Handler = Callable[[Any, float, Any], Iterable[AgentEffect]]
 
@@ -63,13 +65,13 @@
 
 
 class AgentCore:
-    """The decisions of the agent beside one target.
+    """State machine of the agent beside one target.
 
     Parameters
     ----------
     identity : Member
-        What the agent announces about itself. ``incarnation`` has to grow
-        from one start of the process to the next; ``state`` is set here.
+        The entry that the agent announces. ``incarnation`` has to grow with
+        each start of the process; ``state`` is set here.
     service : str
         The service that the target serves.
     rng : random.Random
@@ -91,26 +93,26 @@
 
     @property
     def identity(self) -> Member:
-        """The agent as it announces itself now."""
+        """The entry that the agent currently announces."""
         return self.membership.identity
 
     @property
     def state(self) -> AgentState:
-        """What this agent says of itself."""
+        """The state that this agent announces."""
         return self.membership.state
 
     @property
     def roster(self) -> Roster:
-        """The newest roster learned."""
+        """The newest roster received."""
         return self.membership.roster
 
     @property
     def generation(self) -> int:
-        """The generation in force here; 0 before the first."""
+        """The generation in force at this agent; 0 before the first."""
         return self.configuration.generation if self.configuration else 0
 
     def handle(self, now: float, event: AgentEvent) -> list[AgentEffect]:
-        """Decide on one event; the driver executes the effects in order.
+        """Handle one event and return the effects, to be executed in order.
 
         Raises
         ------
@@ -126,7 +128,7 @@
         return effects
 
     def load(self, now: float) -> Load:
-        """Count what is in progress at this agent."""
+        """Return the load of this agent: slots, requests, flows and streams."""
         requests = self.requests
         cold = 1.0 if self._ready_since is None else coldness(now, self._ready_since)
         return Load(
@@ -144,7 +146,7 @@
     def _apply_membership(
         self, now: float, effects: list[AgentEffect]
     ) -> list[AgentEffect]:
-        """Carry what membership decided into the other parts."""
+        """Apply the effects of membership to the other parts of the agent."""
         followed: list[AgentEffect] = []
         for effect in effects:
             followed.append(effect)
@@ -163,8 +165,8 @@
             self.requests.confirm(now, self.membership.incarnation)
         if self._ready_since is None and self.state is AgentState.READY:
             self._ready_since = now
-        # Nothing new is begun by an agent that leaves, or whose work peers
-        # may have taken over; what it handed on already still goes there.
+        # An agent that leaves, or whose work peers may have taken over, starts
+        # no new work. Flows that it handed over are still forwarded.
         self.flows.leaving = self.membership.leaving or self.membership.fenced
         return followed
 
@@ -185,7 +187,7 @@
     def _configure(
         self, now: float, event: ConfigurationChanged
     ) -> Iterable[AgentEffect]:
-        # Pushes overtake each other: an accepted change must never revert.
+        # Pushes may arrive out of order; an accepted change must never revert.
         if event.configuration.generation <= self.generation:
             return [Count("agent.configuration_ignored")]
         self.configuration = event.configuration
@@ -261,8 +263,9 @@
     def _arrive(self, now: float, event: RequestArrived) -> Iterable[AgentEffect]:
         if not self.membership.fenced:
             return self.requests.handle(now, event)
-        # This copy isn't run here; whether another copy ran, a fenced agent
-        # can't tell, and a relaying peer holds the claim and decides itself.
+        # This copy doesn't run here, but a fenced agent can't know whether
+        # another copy ran. For a relayed request NOT_RUN is safe: the relaying
+        # peer holds the claim and decides.
         certain = event.idempotent or not event.key or event.relayed_by
         kind = OutcomeKind.NOT_RUN if certain else OutcomeKind.UNKNOWN
         return [
--- a/packages/zinniahook-core/src/zinniahook_core/arbiters.py
+++ b/packages/zinniahook-core/src/zinniahook_core/arbiters.py
@@ -1,6 +1,6 @@
-"""The owner's part in claims: who may run or refuse a key.
+"""The claim owner's decisions: which agent may run or refuse a key.
 
-An owner answers from its records. One that may have become the owner lately
+An owner answers from its records. If it may have become the owner recently, it
 looks the key up at every other live member before it grants it.
 """
 
@@ -26,12 +26,15 @@
 __all__ = ["Arbiter", "answer_from_record"]
 
 UNPROVABLE_LOSSES = 2
+"""Losses of records after which a missing claim proves nothing.
+
+Two members hold each claim, so a single loss leaves one record."""
 
 
 def answer_from_record(
     now: float, view: View, ask: ClaimAsk, record: Record
 ) -> ClaimAnswer:
-    """Return what a record says to an asker who isn't its runner."""
+    """Return the answer from a record to an asker that isn't its runner."""
     state = record.state
     if state is ClaimState.GRANTED:
         state = ClaimState.RUNNING
@@ -56,16 +59,16 @@
 
 
 class Arbiter:
-    """Decides on asks, and looks up what was claimed before.
+    """Decides on asks and looks up earlier claims at other members.
 
     Parameters
     ----------
     view : View
         The members as this agent sees them.
     records : Records
-        What this agent remembers.
+        The claim records that this agent holds.
     effects : list of AgentEffect
-        Where messages and counts are put.
+        The list to which messages and counts are added.
     next_number : callable
         Returns a fresh number for a lookup.
     """
@@ -84,7 +87,7 @@
         self._lookups = Lookups()
 
     def decide(self, now: float, sender: str, ask: ClaimAsk) -> ClaimAnswer | None:
-        """Answer an ask; None if it has to wait or isn't for this agent."""
+        """Answer an ask; return None if it has to wait or isn't for this agent."""
         if ask.revision > self._view.revision:
             self._effects.append(Count("claims.view_stale"))
             return None
@@ -102,10 +105,10 @@
         return self._decide(now, sender, ask, record, missing)
 
     def look(self, now: float, sender: str, ask: ClaimAsk) -> ClaimAnswer | None:
-        """Answer a new owner's LOOK; None if the rosters differ.
+        """Answer a new owner's LOOK; return None if the rosters differ.
 
-        Under an older roster this agent might still grant or run the key
-        after it denied it; under a newer one it never does.
+        Under an older roster than the owner's, this agent could still grant or
+        run the key after it reported no claim. Under a newer one it never does.
         """
         if ask.revision != self._view.revision:
             self._effects.append(Count("claims.view_stale"))
@@ -122,21 +125,21 @@
     def receive_look_answer(
         self, now: float, sender: str, answer: ClaimAnswer
     ) -> tuple[str, ClaimAnswer] | None:
-        """Take the answer to a LOOK.
+        """Handle the answer to a LOOK.
 
         Returns
         -------
         (str, ClaimAnswer) or None
-            The asker and what it is told, once that is known.
+            The asker and the answer to its ask, once that is decided.
         """
         lookup = self._lookups.take(sender, answer)
         return self._conclude(now, lookup) if lookup else None
 
     def tick(self, now: float) -> list[tuple[str, ClaimAnswer]]:
-        """Repeat the lookups that are unanswered, or do without an answer.
+        """Repeat unanswered lookups and conclude overdue ones.
 
-        A silent member counts as lost: of the two holders of a claim the
-        other one has answered. Returns askers with what they are told.
+        A silent member counts as one loss: of the two holders of a claim, the
+        other one has answered. Return pairs of asker and answer.
         """
         concluded = []
         for lookup in self._lookups.overdue(now):
@@ -149,15 +152,14 @@
         return concluded
 
     def reset(self) -> None:
-        """Forget the lookups made under an older roster; askers ask again."""
+        """Drop the lookups made under an older roster; the askers ask again."""
         self._lookups.drop_all()
 
     def _is_evidence(self, ask: ClaimAsk, record: Record | None) -> bool:
-        """Tell whether a record says something in a lookup.
+        """Return whether a record is evidence of a claim in a lookup.
 
-        A grant to this very agent that it hasn't used says nothing: it was
-        asked for under an older roster and is void. Taken for a run, it would
-        outdo a refusal that came after it.
+        An unused grant to this agent is none: it was asked for under an older
+        roster and is void. Counted as a run, it would override a later refusal.
         """
         if record is None:
             return False
@@ -172,10 +174,11 @@
         return lookup.losses(own, covers)
 
     def _needs_lookup(self, now: float, key: bytes, record: Record | None) -> bool:
-        """Tell whether others may know more of a key than this owner."""
+        """Return whether other members may know more of a key than this owner."""
         if record is not None and record.state is ClaimState.FINISHED:
             return False
-        # A refusal is never checked: others may know one of a later attempt.
+        # A refusal never counts as checked: another member may know one of a
+        # later attempt.
         checked = record is not None and record.ran
         if checked and record.checked_revision == self._view.revision:
             return False
@@ -217,11 +220,10 @@
         own = (record.runner, record.incarnation) == (sender, ask.incarnation)
         runs = ask.intent is ClaimIntent.RUN
         if own and runs and 0 < ask.attempt <= record.highest_refused_attempt:
-            # A grant that was never used must not outlive a refusal of the
-            # same attempt, which came after it.
+            # An unused grant is void after a later refusal of the same attempt.
             return ClaimAnswer(ask.number, ask.key, ClaimState.REFUSED, sender)
         if own and record.state in (ClaimState.GRANTED, ClaimState.RUNNING):
-            # The runner knows best whether it ran: it asks only if it didn't.
+            # The runner asks again only if it hasn't run the request.
             return self._grant(now, sender, ask)
         return answer_from_record(now, self._view, ask, record)
 
@@ -256,7 +258,7 @@
         return losses + self._count_evicted(now, ask.attempt)
 
     def _count_evicted(self, now: float, attempt: int) -> int:
-        """Return UNPROVABLE_LOSSES if a record had to make room that may matter."""
+        """Return UNPROVABLE_LOSSES if a relevant record may have been evicted."""
         return (
             UNPROVABLE_LOSSES
             if self._records.eviction_horizon > now - _claim_window(attempt)
@@ -305,7 +307,7 @@
 
 
 def _claim_window(attempt: int) -> float:
-    """Return for how long before an ask a run of its key may have begun.
+    """Return how long before an ask a run of its key may have begun, in seconds.
 
     A copy of a first attempt is at most MAX_LATENESS_SECONDS old, and so is any
     run under its key.
@@ -314,7 +316,7 @@
 
 
 def _is_late(ask: ClaimAsk, record: Record) -> bool:
-    """Tell whether an ask is for a copy of what was refused already."""
+    """Return whether an ask is for a copy of an attempt that was refused."""
     if not record.attempt or not ask.attempt:
         return True
     return ask.attempt <= record.attempt
--- a/packages/zinniahook-core/src/zinniahook_core/budgets.py
+++ b/packages/zinniahook-core/src/zinniahook_core/budgets.py
@@ -1,9 +1,8 @@
-"""Limits on callers that come back: a retry budget and a return schedule.
+"""Limits on retries: a retry budget and a schedule of Retry-After times.
 
-What goes wrong without them: callers that never give up retry what was
-refused, the retries keep the queues full, and the overload goes on after its
-cause has gone (a metastable failure). It shows as a rate of arrivals that
-stays high while few requests are first attempts.
+Without them, callers that never give up keep the queues full with retries, and
+an overload continues after its cause has ended (a metastable failure). The rate
+of arrivals then stays high while few requests are first attempts.
 """
 
 from __future__ import annotations
@@ -13,19 +12,28 @@
 __all__ = ["RetryBudget", "RetrySchedule"]
 
 FIRST_ATTEMPT_CREDIT = 0.2
+"""Tokens added for each first attempt."""
+
 SUCCESS_CREDIT = 0.1
+"""Tokens added for each answered request."""
+
 MAX_BUDGET_TOKENS = 20.0
+
 RETRY_CAPACITY_SHARE = 0.5
+"""Fraction of the service rate that scheduled retries may use."""
+
 MIN_RETRY_AFTER_SECONDS = 0.1
 MAX_RETRY_AFTER_SECONDS = 30.0
+
 RETRY_AFTER_JITTER = 0.25
+"""Largest relative change of a Retry-After, up or down."""
 
 
 class RetryBudget:
-    """A token bucket that retries draw on while there is no free slot.
+    """A token bucket for retries that have to wait for a slot.
 
-    First attempts and successes fill it, so retries in the queue stay a
-    bounded part of useful work whatever the callers do.
+    First attempts and successes fill it, so queued retries stay a bounded
+    fraction of useful work, however callers behave.
     """
 
     def __init__(self) -> None:
@@ -33,19 +41,19 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that may be queued right now."""
+        """Number of retries that may be queued now."""
         return self._tokens
 
     def credit_first_attempt(self) -> None:
-        """Credit a first attempt."""
+        """Add the credit of a first attempt."""
         self._tokens = min(MAX_BUDGET_TOKENS, self._tokens + FIRST_ATTEMPT_CREDIT)
 
     def credit_success(self) -> None:
-        """Credit a request that was answered."""
+        """Add the credit of an answered request."""
         self._tokens = min(MAX_BUDGET_TOKENS, self._tokens + SUCCESS_CREDIT)
 
     def take(self) -> bool:
-        """Draw one token; False if there is none."""
+        """Take one token; return False if there is none."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -53,11 +61,11 @@
 
 
 class RetrySchedule:
-    """Times for refused callers to come back, spaced by the capacity.
+    """Retry times for refused callers, spaced according to the service rate.
 
-    Each refusal books the next free place in the future, so those that obey
-    arrive at a rate that can be served beside new work, and Retry-After grows
-    with the pressure of refusals by itself.
+    Each refusal reserves the next free time. Callers that follow Retry-After
+    then arrive at a rate that can be served beside new work, and Retry-After
+    grows with the number of refusals.
 
     Parameters
     ----------
@@ -77,9 +85,9 @@
         now : float
             Monotonic seconds.
         drain : float
-            Expected seconds until what is queued has been served.
+            Expected seconds until the queue has been served.
         capacity : float
-            Requests a second that the class can serve.
+            Requests per second that the class can serve.
 
         Returns
         -------
--- a/packages/zinniahook-core/src/zinniahook_core/claims.py
+++ b/packages/zinniahook-core/src/zinniahook_core/claims.py
@@ -1,8 +1,9 @@
 """Claims: which agent runs a non-idempotent request, at most once.
 
-The claim owner of a key is the best ready member for it. Whoever wants to run
-or refuse the key asks the owner first; two members hold the record before
-anything runs. The reasoning is in docs/design/requests.md.
+The claim owner of a key is the ready member that ranks first for it. An agent
+asks the owner before it runs or refuses a request with that key, and two
+members hold the record before the request runs. docs/design/requests.md gives
+the reasoning.
 """
 
 from __future__ import annotations
@@ -32,9 +33,10 @@
 __all__ = ["Claims", "Settled"]
 
 GRANT_LIFETIME_SECONDS = 2.0
-"""A grant older than this, counted from its ask, may have been taken over."""
+"""Validity of a grant, counted from its ask; later, another member may hold it."""
 
 TRIES_PER_PARTNER = 3
+"""Attempts to replicate a record to one partner before the next one is used."""
 
 Handler = Callable[[Any, float, str, Any], None]
 
@@ -50,7 +52,7 @@
 
 
 class Settled(NamedTuple):
-    """The answer to one claim of a local request."""
+    """The result of the claim of one local request."""
 
     request: int
     state: ClaimState
@@ -64,8 +66,8 @@
 class PendingAsk:
     """A claim that a local request waits for.
 
-    ``partner`` is set while the owner, this agent, waits for a second member
-    to hold the record.
+    ``until`` is when the ask is given up. ``partner`` is set only if this agent
+    is the owner: it names the second member that has to store the record first.
     """
 
     request: int
@@ -82,7 +84,7 @@
 
 
 class Claims:
-    """The claims of one agent: as asker, as runner, as owner and as holder.
+    """Claims of one agent, in the roles of asker, runner, owner and record holder.
 
     Parameters
     ----------
@@ -106,18 +108,18 @@
 
     @property
     def handed_over(self) -> bool:
-        """Whether, after ``leave``, others hold all that is held here."""
+        """Whether, after ``leave``, other members hold all records held here."""
         return self._custody.leaving and self._custody.handed_over
 
     def take(self) -> tuple[list[AgentEffect], list[Settled]]:
-        """Return the effects and settled asks since the last call."""
+        """Return and clear the effects and results since the last call."""
         effects = list(self._effects)
         self._effects.clear()
         settled, self._settled = self._settled, []
         return effects, settled
 
     def local_result(self, now: float, key: bytes) -> Settled | None:
-        """Return what became of ``key`` if this very agent ran it."""
+        """Return the result of ``key`` if this agent ran it, else None."""
         record = self.records.get(now, key)
         if record is None or record.runner != self._name:
             return None
@@ -135,14 +137,17 @@
         intent: ClaimIntent,
         until: float,
     ) -> None:
-        """Ask for a key; the answer is returned by ``take``.
+        """Ask the owner for a key; ``take`` returns the result.
 
         Parameters
         ----------
         now, until : float
-            Monotonic seconds; without an answer by ``until`` it is UNKNOWN.
-        request, attempt : int
-            The driver's name for the request; its caller's count.
+            Monotonic seconds; without an answer by ``until``, the result is
+            UNKNOWN.
+        request : int
+            The driver's number of the request.
+        attempt : int
+            The caller's attempt number, or 0 if it gave none.
         key : bytes
             The idempotency key.
         intent : ClaimIntent
@@ -154,40 +159,39 @@
         self._restart_ask(now, ask)
 
     def forget(self, request: int) -> None:
-        """Drop the ask of a request; a late grant to it is void."""
+        """Drop the ask of a request; a grant that arrives later is ignored."""
         ask = self._asks_by_request.pop(request, None)
         if ask is not None:
             self._asks_by_number.pop(ask.number, None)
 
     def finished(self, now: float, key: bytes, answer: bytes) -> None:
-        """Keep the answer of what ran here and tell the other holders."""
+        """Store the answer of a request that ran here and notify other holders."""
         self._custody.finished(now, key, answer)
 
     def failed(self, now: float, key: bytes) -> None:
-        """Note that nobody can tell what became of what ran here."""
+        """Record that the result of a request that ran here is unknown."""
         self._custody.failed(now, key)
 
     def unstarted(self, now: float, key: bytes) -> None:
-        """Note that the target never saw what was granted to this agent."""
+        """Record that the target never received a request granted to this agent."""
         record = self.records.get(now, key)
         if record is not None and record.runner == self._name:
             record.state = ClaimState.GRANTED
 
     def leave(self) -> None:
-        """Hand everything over; see ``handed_over``.
+        """Hand all records over; see ``handed_over``.
 
-        To be called again once the roster shows that this agent leaves: until
-        then it may still have granted claims as their owner.
+        Call it again once the roster lists this agent as leaving: until then
+        it may still have granted claims as their owner.
         """
         self._custody.leaving = True
         self._custody.hand_over()
 
     def confirm(self, now: float, incarnation: int) -> None:
-        """Take part: the roster holds this very process under ``incarnation``.
+        """Start to take part: the roster lists this process as ``incarnation``.
 
-        What goes wrong otherwise: a process starts under the name of one that
-        has crashed, finds the entry of its former life in the roster, and
-        vouches for records that are lost.
+        Otherwise a process restarted under the name of a crashed one would take
+        the old roster entry for its own and vouch for records that are lost.
         """
         if self._confirmed:
             return
@@ -199,9 +203,9 @@
             self._restart_ask(now, ask)
 
     def restart(self, now: float) -> None:
-        """Stop taking part until confirmed; what was waited for is void.
+        """Drop all asks and take no part until confirmed again.
 
-        Records are facts of the past and stay.
+        Records are kept: they describe what already happened.
         """
         self._confirmed = False
         self._asks_by_request.clear()
@@ -210,11 +214,11 @@
         self.view.restart(now)
 
     def learn(self, now: float, roster: Roster) -> None:
-        """Take a newer roster.
+        """Apply a newer roster.
 
-        Every ask starts again, under a new number. Otherwise a late grant of
-        a former owner could meet a grant of its successor, which was told
-        that nothing runs here.
+        Every ask restarts under a new number. Otherwise a late grant of the
+        former owner could be used beside a grant of the new owner, which has
+        looked here and found no run.
         """
         if not self.view.learn(now, roster):
             return
@@ -224,13 +228,13 @@
             self._restart_ask(now, ask)
 
     def receive(self, now: float, sender: str, message: object) -> None:
-        """Take a peer's message."""
+        """Handle a message from a peer."""
         handler = _HANDLERS_BY_MESSAGE.get(type(message))
         if handler is not None and self._confirmed:
             handler(self, now, sender, message)
 
     def tick(self, now: float) -> None:
-        """Repeat what is unanswered and give up what is overdue."""
+        """Repeat unanswered asks and give up overdue ones."""
         for ask in list(self._asks_by_request.values()):
             if now >= ask.until:
                 self.forget(ask.request)
@@ -300,9 +304,9 @@
         if ask.key != answer.key or ask.owner != sender or ask.partner:
             return
         if now - ask.first_sent_at >= GRANT_LIFETIME_SECONDS:
-            # What goes wrong: this process was paused and the grant waited in
-            # its socket, while the key went to another member. It would show
-            # as a doubled request. The owner has to say it again.
+            # This process may have been paused while the grant waited in its
+            # socket, and the key may belong to another member by now. Using
+            # the grant would run the request twice, so the owner is asked again.
             self._restart_ask(now, ask)
             return
         if answer.state not in (ClaimState.GRANTED, ClaimState.REFUSED):
@@ -319,9 +323,10 @@
             self._conclude(now, ask)
 
     def _settle_by_own_record(self, now: float, ask: PendingAsk) -> bool:
-        """Settle an ask by a record that another agent left here.
+        """Settle an ask by a contradicting record held here, if there is one.
 
-        The owner doesn't look up at the asker, so the asker looks itself.
+        The owner's lookup leaves the asker out, so the asker checks itself.
+        Return whether the ask was settled.
         """
         record = self.records.get(now, ask.key)
         if record is None or not _forbids(record, ask, self._name):
@@ -331,7 +336,7 @@
         return True
 
     def _record_decision(self, now: float, ask: PendingAsk) -> None:
-        """Record a grant or refusal at the asker."""
+        """Store a grant or refusal at the asker."""
         make = granted if ask.intent is ClaimIntent.RUN else refused
         record = make(now, self._name, self.view.incarnation, ask.attempt)
         record.other_holder = ask.owner or ""
@@ -339,11 +344,11 @@
         self.records.put(now, ask.key, record)
 
     def _replicate(self, now: float, ask: PendingAsk) -> None:
-        """As owner and asker: let a second member hold the record first.
+        """Replicate a record to a second member before this owner uses it.
 
-        What goes wrong: an agent that owns the claim of what it runs dies,
-        and with it the only record. It would show as a doubled request at
-        the next owner, after a single death.
+        Otherwise the only record would be lost if an agent that both owns the
+        claim and runs the request dies. After this single failure the next
+        owner would run the request again.
         """
         partners = self.view.partners(ask.key)
         if not partners:
@@ -351,8 +356,8 @@
             return
         record = self.records.get(now, ask.key)
         if not self._still_stored(record, ask):
-            # Asked again at a later tick: at once, an owner that keeps
-            # deciding what doesn't stand would ask itself without end.
+            # Ask again at a later tick. Asking at once would loop for ever
+            # while this owner keeps making decisions that aren't stored.
             self._renumber(now, ask)
             return
         ask.partner = partners[ask.tries // TRIES_PER_PARTNER % len(partners)]
@@ -369,9 +374,10 @@
         self._effects.append(SendPeer(ask.partner, message))
 
     def _still_stored(self, record: Record | None, ask: PendingAsk) -> bool:
-        """Tell whether what this agent decided as owner still holds.
+        """Return whether the decision of this owner is still on record.
 
-        While a second member was awaited, a later attempt may have got the key.
+        A later attempt may have been granted the key while this agent waited
+        for the second member.
         """
         if record is None or record.runner != self._name:
             return False
@@ -450,8 +456,8 @@
             return
         record = self.records.get(now, ask.key)
         if not self._still_stored(record, ask):
-            # Asked again at a later tick: at once, an owner that keeps
-            # deciding what doesn't stand would ask itself without end.
+            # Ask again at a later tick. Asking at once would loop for ever
+            # while this owner keeps making decisions that aren't stored.
             self._renumber(now, ask)
             return
         record.other_holder = sender
@@ -459,17 +465,17 @@
         self._conclude(now, ask)
 
     def _next_number(self) -> int:
-        # Numbers of an earlier life must not match: its answers may be late.
+        # Late answers to an earlier incarnation must not match a current ask.
         return (self.view.incarnation & 0xFFFFFFFF) << 32 | next(self._numbers)
 
 
 def _forbids(record: Record, ask: PendingAsk, name: str) -> bool:
-    """Tell whether the asker's own record forbids what an owner allowed.
+    """Return whether the asker's own record forbids what the owner allowed.
 
-    What goes wrong: an agent refuses a request while it owns the claim, then
-    ownership moves, and a late copy of the refused attempt arrives. The new
-    owner knows of no tombstone. It would show as a request that runs after
-    its caller was told that it doesn't.
+    An agent may refuse a request as the claim owner, after which ownership
+    moves and a late copy of the refused attempt arrives. The new owner knows no
+    tombstone. Without this check the request would run after its caller was
+    answered "not run".
     """
     if record.ran:
         return record.runner != name
--- a/packages/zinniahook-core/src/zinniahook_core/codes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/codes.py
@@ -1,7 +1,7 @@
-"""Result codes: numbers that operators, logs and counters share.
+"""Result codes: numbers used by operators, logs and counters.
 
-Every refusal, drop and failure has one number. docs/result-codes.md is kept
-in step with this module by a test.
+Every refusal, drop and failure has one number. A test keeps
+docs/result-codes.md consistent with this module.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Code(enum.IntEnum):
-    """A numbered result; the hundreds tell the area."""
+    """A numbered result; the hundreds digit gives the area."""
 
     OK = 0
     # 1xx: datagrams at an entry or agent
@@ -77,7 +77,7 @@
 
 
 class OutcomeKind(enum.Enum):
-    """The closed set of what a caller may be told of a request."""
+    """All outcomes of a request that may be reported to its caller."""
 
     DONE = "done"
     NOT_RUN = "not-run"
@@ -89,10 +89,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The final word on a request, tagged by ``kind``.
+    """The final result of a request.
 
-    ``retry_after`` is in seconds and tells the caller when to come back;
-    0 means there is no use in coming back.
+    ``retry_after`` is the time in seconds after which the caller may retry;
+    0 means that a retry is useless.
     """
 
     kind: OutcomeKind
@@ -102,14 +102,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A tagged failure of an operation that is not a request."""
+    """A failure of an operation that isn't a request, with its result code."""
 
     code: Code
     reason: str
 
 
 class ZinniahookError(Exception):
-    """Base of every error of zinniahook; carries its result code."""
+    """Base class of all errors of zinniahook; carries a result code."""
 
     code: Code = Code.CONFIGURATION_INVALID
 
@@ -120,5 +120,5 @@
 
     @property
     def failure(self) -> Failure:
-        """The error as a tagged value."""
+        """The error as a `Failure`."""
         return Failure(self.code, str(self))
--- a/packages/zinniahook-core/src/zinniahook_core/effects.py
+++ b/packages/zinniahook-core/src/zinniahook_core/effects.py
@@ -1,4 +1,4 @@
-"""What a core asks its driver to do, as plain named tuples."""
+"""Effects: named tuples that tell the driver of a core what to do."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 
 
 class ToAgent(NamedTuple):
-    """At an entry: send the caller's datagram through the tunnel."""
+    """At an entry: send the caller's datagram to an agent through the tunnel."""
 
     agent: Address
 
 
 class Drop(NamedTuple):
-    """Drop what the event carried and count it under ``code``."""
+    """Drop the datagram or opening of the event and count it under ``code``."""
 
     code: Code
 
@@ -54,7 +54,7 @@
 
 
 class Log(NamedTuple):
-    """One line on a change of state; ``fields`` are sorted by the driver."""
+    """Log a change of state in one line; the driver sorts ``fields``."""
 
     event: str
     fields: tuple[tuple[str, str | int | float], ...] = ()
@@ -68,7 +68,7 @@
 
 
 class AcceptFlow(NamedTuple):
-    """Own the new flow: create its connection or socket."""
+    """Accept a new flow as its owner: create its connection or socket."""
 
     flow: bytes
 
@@ -81,7 +81,7 @@
 
 
 class Deliver(NamedTuple):
-    """Give a plain UDP payload to this agent's target."""
+    """Deliver a plain UDP payload to this agent's target."""
 
     flow: bytes
     caller: Address
@@ -90,9 +90,9 @@
 
 
 class ForwardDatagram(NamedTuple):
-    """Pass a plain UDP payload on to ``peer`` with a hop count.
+    """Forward a plain UDP payload to ``peer`` with a hop count.
 
-    ``handed`` tells the peer that it owns the flow from now on.
+    If ``handed`` is true, the peer owns the flow from now on.
     """
 
     peer: str
@@ -104,7 +104,7 @@
 
 
 class EndFlow(NamedTuple):
-    """Release what the driver holds for a flow."""
+    """Release the resources that the driver holds for a flow."""
 
     flow: bytes
 
@@ -112,7 +112,8 @@
 class WriteRoster(NamedTuple):
     """Compare-and-swap a roster value; answer with ``RosterWritten``.
 
-    ``roster.revision`` is the revision it replaces (0: it must not exist).
+    ``roster.revision`` is the revision to replace; 0 means that no value may
+    exist.
     """
 
     operation: str
@@ -132,21 +133,21 @@
 
 
 class Relay(NamedTuple):
-    """Pass the request to ``peer`` and stream its answer back."""
+    """Relay the request to ``peer`` and stream its answer back."""
 
     request: int
     peer: str
 
 
 class JoinRequest(NamedTuple):
-    """Give ``request`` a whole copy of the answer of ``running``."""
+    """Send ``request`` a full copy of the answer of ``running``."""
 
     request: int
     running: int
 
 
 class Replay(NamedTuple):
-    """Answer the request with the kept answer."""
+    """Answer the request with a stored answer."""
 
     request: int
     answer: bytes
@@ -160,23 +161,23 @@
 
 
 class CancelRequest(NamedTuple):
-    """Cancel the request at the target or the relaying peer."""
+    """Cancel the request at the target or at the peer it was relayed to."""
 
     request: int
 
 
 class Restart(NamedTuple):
-    """The core fenced itself: drop every connection and queued input.
+    """Drop every connection and all queued input: the core fenced itself.
 
-    The next incarnation is ``incarnation``; nothing queued from before may
-    be fed to the core.
+    ``incarnation`` is the next incarnation. No event queued before this effect
+    may reach the core.
     """
 
     incarnation: int
 
 
 class Drained(NamedTuple):
-    """Nothing is in progress any more; the process may stop."""
+    """Stop the process: the drain is over and no work is in progress."""
 
     state: AgentState
 
--- a/packages/zinniahook-core/src/zinniahook_core/entries.py
+++ b/packages/zinniahook-core/src/zinniahook_core/entries.py
@@ -1,8 +1,9 @@
-"""The decisions of an entry: to which agent a caller's datagram goes.
+"""Routing decisions of an entry: which agent gets a caller's datagram.
 
-An entry holds no per-flow truth. A connection id names its owner; a plain UDP
-flow is routed by its rank, and the cache of owners is a hint that may be lost
-at any time. The agent that gets the datagram has the last word.
+An entry holds no authoritative state per flow. A connection id names its owner.
+A plain UDP flow is routed by the rank of the agents for its key; the cache of
+owners only holds hints and may be lost at any time. The agent that receives the
+datagram makes the final decision.
 """
 
 from __future__ import annotations
@@ -38,13 +39,21 @@
 __all__ = ["EntryCore"]
 
 MAX_OWNER_HINTS = 16384
+"""UDP flows whose last answering agent is remembered."""
+
 MAX_SERVICE_VIEWS = 1024
+"""Services held at a time if rosters can be read again."""
+
 HINT_TIMEOUT_SECONDS = 3.0
+"""How long a hint is used while its agent doesn't answer."""
 
 
 @dataclass(slots=True)
 class OwnerHint:
-    """Who answered a flow last; ``waiting_since`` the first packet after."""
+    """The agent that answered a flow last.
+
+    ``waiting_since`` is the time of the first packet after that answer.
+    """
 
     agent: Address
     waiting_since: float | None = None
@@ -52,7 +61,7 @@
 
 @dataclass(slots=True)
 class ServiceView:
-    """What an entry knows of one service's agents."""
+    """The agents of one service as an entry sees them."""
 
     suspensions: Suspensions
     roster: Roster
@@ -69,9 +78,9 @@
     rng : random.Random
         The only source of randomness.
     find_roster : callable, optional
-        Returns the newest roster of a service, None if there is none. With
-        it only MAX_SERVICE_VIEWS services are held at a time, the last to get
-        openings, and found again when needed; otherwise all that were told.
+        Returns the newest roster of a service, or None if there is none. If
+        given, only the MAX_SERVICE_VIEWS most recently used services are held;
+        others are read again when needed. Otherwise all received are held.
     """
 
     def __init__(
@@ -84,33 +93,33 @@
         self._configuration: Configuration | None = None
         self._connection_ids: ConnectionIds | None = None
         self._views_by_service: OrderedDict[str, ServiceView] = OrderedDict()
-        # Only these have openings that wait for an answer; a tick that looked
-        # at thousands of services would cost more than the packets.
+        # Services with openings that wait for an answer. A tick over thousands
+        # of services would cost more than the packets.
         self._waiting_by_service: dict[str, Suspensions] = {}
         self._hints_by_flow: OrderedDict[tuple[str, Address], OwnerHint] = OrderedDict()
 
     @property
     def configuration(self) -> Configuration | None:
-        """The highest generation learned so far."""
+        """The configuration of the highest generation received."""
         return self._configuration
 
     @property
     def generation(self) -> int:
-        """The generation in force here; 0 before the first."""
+        """The generation in force at this entry; 0 before the first."""
         return self._configuration.generation if self._configuration else 0
 
     def roster(self, service: str) -> Roster | None:
-        """Return the newest roster learned of ``service``."""
+        """Return the newest roster received for ``service``."""
         view = self._view(service)
         return view.roster if view else None
 
     def suspended(self, service: str) -> tuple[str, ...]:
-        """Return the agents that get no new flows from this entry now."""
+        """Return the agents that get no new flows from this entry for now."""
         view = self._views_by_service.get(service)
         return view.suspensions.suspended if view else ()
 
     def handle(self, now: float, event: EntryEvent) -> list[EntryEffect]:
-        """Apply one event; return what the driver must do, in order."""
+        """Handle one event and return the effects, to be executed in order."""
         if isinstance(event, CallerDatagram):
             return self._datagram(now, event)
         if isinstance(event, AnswerSeen):
@@ -126,14 +135,14 @@
     def route(
         self, now: float, service: Service, caller: Address, payload: bytes
     ) -> Address | Code:
-        """Choose the agent for a datagram; the packet path.
+        """Choose the agent for a datagram; called for each datagram.
 
         Returns
         -------
         Address
             The tunnel address of the agent.
         Code
-            Why the datagram is dropped.
+            The reason why the datagram is dropped.
         """
         if service.protocol is Protocol.UDP:
             return self._route_udp(now, service, caller)
@@ -149,23 +158,23 @@
     def route_established(
         self, service: Service, connection_id: bytes
     ) -> Address | Code:
-        """Return the agent that drew a connection id, by the id alone.
+        """Return the agent that issued a connection id, from the id alone.
 
         Returns
         -------
         Address
             The tunnel address of the agent.
         Code
-            Why the datagram is dropped, or CONNECTION_ID_UNKNOWN if no agent
-            drew the id.
+            The reason why the datagram is dropped; CONNECTION_ID_UNKNOWN if no
+            agent issued the id.
         """
         if self._connection_ids is None:
             return Code.SERVICE_UNKNOWN
         owner = self._connection_ids.decode(connection_id)
         if not isinstance(owner, Owner):
             return owner
-        # A packet of one service must never reach another's target, so an id
-        # that was issued under another address goes no further.
+        # A packet of one service must never reach a target of another, so an
+        # id that was issued for another service is dropped.
         if owner.service != service.number:
             return Code.SERVICE_MISMATCH
         return owner.agent
@@ -173,7 +182,7 @@
     def answered(
         self, now: float, service: str, caller: Address, agent: Address
     ) -> list[EntryEffect]:
-        """Learn from an answer of ``agent`` to ``caller``."""
+        """Record an answer of ``agent`` to ``caller``; reinstate the agent if due."""
         view = self._views_by_service.get(service)
         if view is None or agent not in view.live:
             return []
@@ -220,8 +229,8 @@
         return view.address_by_name[name]
 
     def _fallback(self, view: ServiceView, key: bytes) -> Address | Code:
-        # Nobody is ready, but a leaving agent may still own this UDP flow,
-        # or answer a new one with a refusal that tells the caller when.
+        # No agent is ready, but a leaving one may still own this UDP flow, or
+        # refuse a new one with a Retry-After.
         if not view.fallback:
             return Code.NO_AGENT
         return view.address_by_name[rendezvous.best(key, view.fallback)]
@@ -251,8 +260,8 @@
         return effects
 
     def _configure(self, configuration: Configuration) -> list[EntryEffect]:
-        # Messages overtake each other: without this check a late copy of an
-        # old generation would silently undo an accepted change.
+        # Messages may arrive out of order. Without this check a late copy of
+        # an old generation would silently revert an accepted change.
         if configuration.generation <= self.generation:
             return [Count("entry.configuration_ignored")]
         before = self._configuration.services_by_name if self._configuration else {}
@@ -328,10 +337,9 @@
 
 
 def _is_fresh(now: float, hint: OwnerHint) -> bool:
-    # What goes wrong: the owner stops while the store is down, no roster says
-    # so, and the flow's packets go to nobody for as long as that lasts. One
-    # notices it by the missing answers. The home then finds the owner, or
-    # opens the flow anew if there is none.
+    # If the owner stops while the store is down, no roster reports it, and the
+    # flow's packets would be lost until the store is back. Missing answers
+    # reveal it. The flow's home then finds the owner or opens the flow again.
     if hint.waiting_since is None:
         hint.waiting_since = now
     return now - hint.waiting_since <= HINT_TIMEOUT_SECONDS
--- a/packages/zinniahook-core/src/zinniahook_core/events.py
+++ b/packages/zinniahook-core/src/zinniahook_core/events.py
@@ -1,7 +1,7 @@
-"""What can happen to a core. A core is driven by ``handle(now, event)``.
+"""Events: the inputs of a core, passed to ``handle(now, event)``.
 
-Events and effects are plain named tuples, free of sockets, QUIC and tornado,
-so that a daemon, a test or a foreign bench can drive the same decisions.
+Events and effects are plain named tuples without sockets, QUIC or tornado, so
+that daemons, tests and external benchmarks can drive the same decisions.
 """
 
 from __future__ import annotations
@@ -38,13 +38,13 @@
 
 
 class ConfigurationChanged(NamedTuple):
-    """A generation was learned, from the store or from another process."""
+    """A configuration arrived from the store or from another process."""
 
     configuration: Configuration
 
 
 class RosterChanged(NamedTuple):
-    """A roster value was learned, from the store or from another process."""
+    """A roster value arrived from the store or from another process."""
 
     roster: Roster
 
@@ -58,7 +58,7 @@
 
 
 class AnswerSeen(NamedTuple):
-    """At an entry: an agent answered a caller; a hint on who owns the flow."""
+    """At an entry: an agent answered a caller, which hints at the flow's owner."""
 
     service: str
     caller: Address
@@ -79,7 +79,7 @@
 
 
 class FlowDatagram(NamedTuple):
-    """At an agent: a datagram of a plain UDP flow, by way of ``entry``."""
+    """At an agent: a datagram of a plain UDP flow, received through ``entry``."""
 
     service: str
     caller: Address
@@ -90,13 +90,13 @@
 
 
 class FlowClosed(NamedTuple):
-    """At an agent: a flow ended (closed, or idle too long)."""
+    """At an agent: a flow ended by close or idle timeout."""
 
     flow: bytes
 
 
 class PeerDatagram(NamedTuple):
-    """At an agent: an authenticated message of a peer of the same service."""
+    """At an agent: an authenticated message from a peer of the same service."""
 
     sender: str
     message: PeerMessage
@@ -105,8 +105,8 @@
 class RosterWritten(NamedTuple):
     """The answer to a ``WriteRoster`` effect.
 
-    ``code`` is OK, CONFLICT (``roster`` is what is stored), STORE_DOWN
-    (certainly not written) or STORE_ANSWER_LOST (settle by reading).
+    ``code`` is OK, CONFLICT (``roster`` is the stored value), STORE_DOWN
+    (certainly not written) or STORE_ANSWER_LOST (read the roster to find out).
     """
 
     operation: str
@@ -115,7 +115,7 @@
 
 
 class DrainRequested(NamedTuple):
-    """Stop taking new work; finish what runs within ``seconds``."""
+    """Accept no new work and finish running work within ``seconds``."""
 
     seconds: float
 
@@ -123,10 +123,10 @@
 class RequestArrived(NamedTuple):
     """At an agent: the header of a request is complete.
 
-    ``key`` is the Idempotency-Key or empty, ``attempt`` the caller's count
-    from 1 or 0, ``deadline`` an absolute monotonic time. ``idempotent``
-    follows HTTP's definition of the method. ``relayed_by`` is the peer
-    agent that passed the request on, or empty.
+    ``key`` is the Idempotency-Key or empty. ``attempt`` is the caller's attempt
+    number from 1, or 0 if it gave none. ``deadline`` is an absolute monotonic
+    time. ``idempotent`` follows HTTP's definition of the method. ``relayed_by``
+    is the peer agent that relayed the request, or empty.
     """
 
     request: int
@@ -139,10 +139,10 @@
 
 
 class RequestFinished(NamedTuple):
-    """At an agent: the target or the relaying peer has ended a request.
+    """At an agent: a request ended at the target or at the peer that ran it.
 
-    ``answer`` is the encoded answer if it is small enough to keep, else
-    empty. ``started`` is false if the target certainly never saw it.
+    ``answer`` is the encoded answer if it is small enough to store, else empty.
+    ``started`` is false if the target certainly never received the request.
     """
 
     request: int
@@ -158,9 +158,9 @@
 
 
 class TargetReported(NamedTuple):
-    """At an agent: the target's own health and load endpoint answered.
+    """At an agent: a report from the target's own health and load endpoint.
 
-    It may lag or mislead, so it is evidence with an age, never the truth.
+    It may be late or wrong, so it only counts as evidence with an age.
     ``healthy`` is None if there was no answer, ``accepts`` tells whether the
     target's port accepted a connection.
     """
--- a/packages/zinniahook-core/src/zinniahook_core/outcomes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/outcomes.py
@@ -1,4 +1,4 @@
-"""What may be done with, and said of, a request that didn't end well."""
+"""Rules for requests that failed: retries, joins and reported outcomes."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 ]
 
 CLAIMED_GRACE_SECONDS = 10.0
-"""How long a claimed request may run on past its deadline: its caller may come
-back for the answer, while a cancelled one stays unknown."""
+"""How long a claimed request may run past its deadline.
+
+Its caller may retry and get the answer; a cancelled request stays unknown."""
 
 CANCEL_TIMEOUT_SECONDS = 1.0
-"""How long a cancelled request may take to end."""
+"""Longest time that a cancelled request may take to end."""
 
 MAX_RETRIES = 1
 
 
 def outcome_of(item: Open, event: RequestFinished) -> Outcome:
-    """Return what the caller may be told of a request that failed."""
+    """Return the outcome to report to the caller of a failed request."""
     outcome = event.outcome
     if item.cancelled_at is not None:
         kind = OutcomeKind.UNKNOWN if event.started else OutcomeKind.NOT_RUN
@@ -36,7 +37,7 @@
 
 
 def may_retry(now: float, item: Open, event: RequestFinished) -> bool:
-    """Tell whether a request that failed may be run once more."""
+    """Return whether a failed request may run again."""
     if event.outcome.kind not in (OutcomeKind.NOT_RUN, OutcomeKind.UNKNOWN):
         return False
     if event.started and not item.event.idempotent:
@@ -45,12 +46,11 @@
 
 
 def may_join(item: Open, leader: Open) -> bool:
-    """Tell whether a copy may wait for the answer of ``leader``.
+    """Return whether a copy may wait for the answer of ``leader``.
 
-    What goes wrong: two agents each relay their copy of one request to the
-    other, each copy joins the one that was relayed away, and all of them
-    wait for ever. So a relayed copy never joins a relayed one; the claim
-    decides which of the copies runs.
+    A relayed copy never joins a relayed request; the claim decides which copy
+    runs. Otherwise, if two agents relay their copies of a request to each
+    other, each copy joins the one that was relayed away and all wait for ever.
     """
     return not (item.event.relayed_by and leader.stage is Stage.RELAYED)
 
@@ -59,7 +59,7 @@
     """Return how long a request may run past its deadline, in seconds."""
     if not item.claimed:
         return 0.0
-    # A peer to which the request was relayed gives up first.
+    # A peer that runs the relayed request gives up before this agent does.
     return CLAIMED_GRACE_SECONDS + (
         2 * CANCEL_TIMEOUT_SECONDS if item.stage is Stage.RELAYED else 0.0
     )
--- a/packages/zinniahook-core/src/zinniahook_core/records.py
+++ b/packages/zinniahook-core/src/zinniahook_core/records.py
@@ -1,4 +1,4 @@
-"""What one agent remembers of claims, bounded by count, bytes and age."""
+"""Claim records of one agent, bounded by count, bytes and age."""
 
 from __future__ import annotations
 
@@ -21,24 +21,31 @@
 ]
 
 KEY_LIFETIME_SECONDS = 3600.0
-"""A caller retries a key for at most this long after its first attempt."""
+"""Longest time after the first attempt in which a caller retries a key."""
 
 MAX_LATENESS_SECONDS = 20.0
-"""A copy of an attempt asks for its claim at most this long after it was sent.
+"""Longest time from sending a copy of an attempt to the ask for its claim.
 
-Half of it may be spent waiting at an agent, the rest on the way."""
+A copy may wait at an agent for half of it; the other half is for the way."""
 
 TOMBSTONE_LIFETIME_SECONDS = 60.0
+"""How long the refusal of a numbered attempt is kept."""
 
 UNNUMBERED_TOMBSTONE_SECONDS = 5.0
-"""Without attempt numbers the next attempt can't be told from a late copy of
-the refused one, so the tombstone lapses after this long and the caller is told
-to come back no earlier."""
+"""How long the refusal of an attempt without a number is kept.
+
+Without attempt numbers, the next attempt can't be distinguished from a late copy
+of the refused one. So the caller's Retry-After is at least this long."""
 
 MAX_RECORDS = 20_000
 MAX_ANSWERS_BYTES = 4 << 20
+"""Limit on the total size of stored answers."""
+
 SMALL_ANSWER_BYTES = 900
+"""Largest answer that a message carries."""
+
 MAX_EXPIRED_PER_CALL = 256
+"""Limit on the work of one call of ``Records.expire``."""
 
 _PRECEDENCE = {
     ClaimState.REFUSED: 1,
@@ -51,7 +58,7 @@
 
 @dataclass(slots=True)
 class Record:
-    """What is known of one key.
+    """The record of the claim of one key.
 
     ``recorded_at`` is when it was first recorded and ``expires_at`` when it is
     forgotten, in monotonic seconds. ``other_holder`` is a member that holds the
@@ -76,22 +83,22 @@
 
     @property
     def ran(self) -> bool:
-        """Whether the target may have seen the request."""
+        """Whether the target may have received the request."""
         return self.state is not ClaimState.REFUSED
 
     def outdates(self, ask: ClaimAsk) -> bool:
-        """Tell whether the runner sent an ask before the one that was granted.
+        """Return whether the runner sent an ask before the one that was granted.
 
-        What goes wrong: a runner asks to refuse a request, then to run a later
-        attempt; the first ask is delayed, arrives while the request runs, and
-        passes for the runner's word that it gives the grant back.
+        A runner may ask to refuse a request and then to run a later attempt.
+        If the first ask is delayed and arrives while the request runs, it must
+        not be read as the runner returning its grant.
         """
         if (self.runner, self.incarnation) != (ask.runner, ask.incarnation):
             return False
         return ask.number < self.ask_number or ask.revision < self.checked_revision
 
     def message(self, now: float, key: bytes) -> ClaimRecord:
-        """Return the record as it is sent to a peer."""
+        """Return the record as a message for a peer."""
         answer = self.answer if len(self.answer) <= SMALL_ANSWER_BYTES else b""
         age = max(0.0, now - self.recorded_at)
         return ClaimRecord(
@@ -100,7 +107,7 @@
 
 
 def granted(now: float, runner: str, incarnation: int, attempt: int) -> Record:
-    """Return the record that ``runner`` may run a key."""
+    """Return the record of a grant: ``runner`` may run the key."""
     until = now + KEY_LIFETIME_SECONDS
     return Record(ClaimState.GRANTED, runner, incarnation, attempt, now, until)
 
@@ -118,11 +125,11 @@
 
 
 class Records:
-    """Records by key, the oldest forgotten first.
+    """Records by key, of which the oldest are evicted first.
 
-    ``eviction_horizon`` is the creation time of the newest record that was forgotten
-    before its time. It shows as ``evicted``: without it, a key whose record
-    had to make room would look as if it had never run.
+    ``eviction_horizon`` is the creation time of the newest record that was
+    evicted before it expired; ``evicted`` counts such records. Without the
+    horizon, a key whose record was evicted would look as if it had never run.
     """
 
     def __init__(
@@ -144,18 +151,18 @@
         return iter(list(self._by_key.items()))
 
     def newest_first(self) -> list[bytes]:
-        """Return all keys, the one recorded last first."""
+        """Return all keys, the most recently stored first."""
         return list(reversed(self._by_key))
 
     def get(self, now: float, key: bytes) -> Record | None:
-        """Return the record of a key unless its time is over."""
+        """Return the record of a key, or None if it is missing or expired."""
         record = self._by_key.get(key)
         if record is None or record.expires_at <= now:
             return None
         return record
 
     def put(self, now: float, key: bytes, record: Record) -> None:
-        """Keep a record in place of any other of its key."""
+        """Store a record in place of the present one of its key."""
         known = self._by_key.get(key)
         if known is not None:
             refused_attempt = 0 if known.ran else known.attempt
@@ -175,7 +182,7 @@
         self._evict(now)
 
     def remove(self, key: bytes) -> None:
-        """Forget a key on purpose."""
+        """Remove the record of a key; this doesn't count as an eviction."""
         record = self._by_key.pop(key, None)
         if record is not None and record.answer:
             del self._answered[key]
@@ -184,9 +191,9 @@
     def merge(
         self, now: float, message: ClaimRecord, sender: str, incarnation: int
     ) -> bool:
-        """Take a record from a peer; False if it contradicts one held here.
+        """Store a record from a peer; return False if it contradicts one held here.
 
-        ``incarnation`` is the sender's, who holds the record too.
+        ``incarnation`` is that of the sender, which holds the record too.
         """
         known = self.get(now, message.key)
         if known is not None and not _supersedes(known, message):
@@ -208,7 +215,7 @@
         return True
 
     def expire(self, now: float) -> None:
-        """Forget some of the records whose time is over, the oldest first."""
+        """Remove some of the expired records, the oldest first."""
         for _ in range(MAX_EXPIRED_PER_CALL):
             key = next(iter(self._by_key), None)
             if key is None or self._by_key[key].expires_at > now:
@@ -234,8 +241,8 @@
 def _supersedes(known: Record, message: ClaimRecord) -> bool:
     old, new = _PRECEDENCE[known.state], _PRECEDENCE.get(message.state, 0)
     if message.state is ClaimState.REFUSED and known.ran:
-        # A runner may give its grant back, unless it got a later one since;
-        # without attempt numbers that can't be told.
+        # A runner may return its grant unless it got a later one since. Without
+        # attempt numbers these cases can't be distinguished.
         given_back = known.runner == message.runner and message.attempt > 0
         unused = known.state is ClaimState.GRANTED
         return given_back and unused and message.attempt >= known.attempt
--- a/packages/zinniahook-core/src/zinniahook_core/requests.py
+++ b/packages/zinniahook-core/src/zinniahook_core/requests.py
@@ -1,8 +1,8 @@
-"""Requests at one agent: admission, placement and claims together.
+"""Handling of requests at one agent: admission, placement and claims.
 
-A request holds a slot, then a claim if it is not idempotent, then it runs.
-Whatever is given up gets its final answer at once. How non-idempotent
-requests run at most once is told in docs/design/requests.md.
+A request first gets a slot, then a claim if it isn't idempotent, then it runs.
+A request that can't be served gets its final answer at once.
+docs/design/requests.md describes how non-idempotent requests run at most once.
 """
 
 from __future__ import annotations
@@ -52,15 +52,20 @@
 __all__ = ["Requests"]
 
 MAX_KEY_BYTES = 128
+"""Longest accepted idempotency key."""
+
 REFUSE_TIMEOUT_SECONDS = 8.0
-"""Longer than it takes to mark a dead claim owner down."""
+"""Limit on recording a refusal; longer than marking a dead claim owner down takes."""
 
 CLAIM_TIMEOUT_SECONDS = MAX_LATENESS_SECONDS / 2
-"""How long a claimed request may wait here; see ``records.MAX_LATENESS_SECONDS``."""
+"""Longest wait of a claimed request at this agent. The other half of
+``records.MAX_LATENESS_SECONDS`` is left for the way to the agent."""
 
 PARK_DELAY_SECONDS = 0.05
-"""Seconds that a request keeps its slot while its claim is asked for; an answer
-takes a few milliseconds. Longer, and a dead member costs the live ones slots."""
+"""How long a request keeps its slot while it waits for its claim.
+
+An answer takes a few milliseconds. With a longer delay, requests that wait for
+a dead member would hold the slots of live ones."""
 
 Handler = Callable[[Any, float, Any], None]
 
@@ -76,7 +81,7 @@
 
 
 class Requests:
-    """The requests of one agent.
+    """Admits, places, claims and finishes the requests of one agent.
 
     Parameters
     ----------
@@ -87,7 +92,7 @@
     rng : random.Random
         The only source of randomness.
     placement : RequestPlacement, optional
-        Chooses a peer for a request; without it everything runs here.
+        Chooses a peer for a request; without it every request runs here.
     """
 
     def __init__(
@@ -110,28 +115,28 @@
 
     @property
     def busy(self) -> int:
-        """Slots held now."""
+        """Number of slots in use."""
         return self.admission.busy
 
     @property
     def queued(self) -> int:
-        """Requests that wait for a slot."""
+        """Number of requests that wait for a slot."""
         return self.admission.queued
 
     @property
     def streams(self) -> int:
-        """Long-lived streams in progress."""
+        """Number of long-lived streams in progress."""
         return self.admission.streams
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is in progress here, nor to be handed over."""
+        """Whether no request is open and no claim record is left to hand over."""
         if len(self._open):
             return False
         return not self.leaving or self.claims.handed_over
 
     def handle(self, now: float, event: AgentEvent) -> list[AgentEffect]:
-        """Decide on one event; events of no concern have no effect."""
+        """Handle one event and return the effects; ignore unrelated events."""
         handler = _HANDLERS_BY_EVENT.get(type(event))
         if handler is None:
             return []
@@ -141,18 +146,19 @@
         return effects
 
     def confirm(self, now: float, incarnation: int) -> None:
-        """Note that the roster holds this very process under ``incarnation``.
+        """Record that the roster lists this process under ``incarnation``.
 
-        Nothing is claimed before. To be called again after ``restart``; a call
-        while it is confirmed has no effect.
+        No claim is made before the first call. Call it again after ``restart``;
+        other repeated calls have no effect.
         """
         self.claims.confirm(now, incarnation)
 
     def restart(self, now: float, incarnation: int) -> list[AgentEffect]:
-        """Fence this agent: drop what waits, cancel what runs without a claim.
+        """Fence this agent: drop waiting requests, cancel running unclaimed ones.
 
-        ``incarnation`` is the next one, to be confirmed. A claimed request
-        that runs at the target goes on there, but its record says unknown.
+        A claimed request that already runs at the target continues there, but
+        its record is set to unknown. ``incarnation`` is the next one and has to
+        be confirmed by ``confirm``.
 
         """
         for item in self._open:
@@ -263,8 +269,8 @@
         if item is None:
             return
         if item.stage is Stage.RUNNING and item.claimed:
-            # The caller may only have lost its connection. It comes back with
-            # the same key and then needs the answer of this very run.
+            # The caller may only have lost its connection. When it retries with
+            # the same key, it needs the answer of this run.
             self.count("requests.orphaned")
             return
         if item.stage is Stage.JOINED:
@@ -301,7 +307,7 @@
         return self._placement.choose_for_request(now, slots, self._load(), forced)
 
     def relay(self, now: float, item: Open, peer: str) -> None:
-        """Hand a request to a peer."""
+        """Relay a request to a peer."""
         item.stage = Stage.RELAYED
         item.since = now
         item.relays += 1
@@ -311,10 +317,10 @@
         self.join_followers(item)
 
     def _enforce_deadline(self, now: float, item: Open) -> None:
-        """Cancel what runs past the deadline that its caller gave.
+        """Cancel a request that runs past the deadline set by its caller.
 
-        What goes wrong otherwise: a target hangs, and its requests hold their
-        slots for good. It shows as slots in use and nothing finished.
+        Otherwise the requests at a target that hangs would hold their slots for
+        ever: slots stay in use and no request finishes.
         """
         if item.event.deadline <= 0 or now < item.event.deadline + grace_after_deadline(
             item
@@ -329,7 +335,7 @@
             self._finish(now, RequestFinished(item.number, lost, started=True))
 
     def join_followers(self, item: Open) -> None:
-        """Let the followers of a request have its answer."""
+        """Attach the followers of a request to its answer."""
         self.effects += [JoinRequest(number, item.number) for number in item.followers]
 
     def _admit(self, now: float, item: Open) -> None:
@@ -354,23 +360,23 @@
         self._claim(now, item, ClaimIntent.RUN, item.deadline)
 
     def _park(self, now: float, item: Open) -> None:
-        # What goes wrong: a claim owner has died, and until it is marked down
-        # the requests that wait for it hold every slot. Without its slot such
-        # a request waits on, and queues again once the claim is granted.
+        # When a claim owner dies, the requests that wait for its answer would
+        # hold every slot until it is marked down. A parked request gives its
+        # slot back, keeps waiting, and queues again once its claim is granted.
         self.admission.release(now, item.number, answered=False)
         item.stage = Stage.PARKED
         self.count("requests.parked")
 
     def refuse(self, now: float, item: Open, refusal: Decision) -> None:
-        """End a request that certainly hasn't run."""
+        """Refuse a request that has certainly not run."""
         self.count("requests.refused")
         item.refusal = refusal
         if not item.claimed:
             outcome = Outcome(OutcomeKind.NOT_RUN, refusal.code, refusal.retry_after)
             self.conclude(item, outcome)
             return
-        # Without a tombstone a late copy of this request could still run
-        # after its caller was told that it hasn't.
+        # Without a tombstone, a late copy of this request could still run
+        # after its caller was answered "not run".
         item.stage = Stage.REFUSING
         if not item.attempt:
             retry_after = max(refusal.retry_after, UNNUMBERED_TOMBSTONE_SECONDS)
@@ -378,7 +384,10 @@
         self._claim(now, item, ClaimIntent.REFUSE, now + REFUSE_TIMEOUT_SECONDS)
 
     def _join_copy(self, now: float, item: Open) -> bool:
-        """Join the copy of this request that is open here already."""
+        """Attach a request to an open copy or to the known result of its key.
+
+        Return whether there was either.
+        """
         key = item.event.key
         leader = self._open.leader(key)
         if leader is not None and may_join(item, leader):
@@ -395,10 +404,10 @@
         return True
 
     def _raise_attempt(self, now: float, leader: Open, attempt: int) -> None:
-        """Let a leader stand for a later attempt of its request as well.
+        """Raise the attempt number of a leader to that of a follower.
 
-        What goes wrong otherwise: the tombstone names the leader's attempt, a
-        follower of a later one is told "not run", and a copy of that runs.
+        Otherwise the tombstone would carry the leader's lower attempt: the
+        follower is answered "not run", yet a copy of its attempt still runs.
         """
         if attempt <= leader.attempt:
             return
@@ -436,7 +445,7 @@
             self.relay(now, item, peer)
             return True
         if self.leaving:
-            # What a peer refused would be new work for a target that leaves.
+            # The peer refused it; a target that leaves takes no new work.
             return False
         self._admit(now, item)
         return True
@@ -447,7 +456,7 @@
             settlements.settle(self, now, item, settled)
 
     def _process_pending(self, now: float) -> None:
-        """Carry every consequence of an event through."""
+        """Process settled claims, refusals and free slots until none is left."""
         while self._process_once(now):
             continue
 
@@ -465,7 +474,7 @@
         return bool(effects or settled or given_up or started)
 
     def conclude(self, item: Open, outcome: Outcome) -> None:
-        """Give a request and its followers their final answer."""
+        """Send a request and its followers their final answer."""
         for number in (item.number, *item.followers):
             self.effects.append(FinishRequest(number, outcome))
         self.close_all(item)
@@ -474,7 +483,7 @@
         self.effects.append(FinishRequest(request, Outcome(kind, code)))
 
     def close_all(self, item: Open) -> None:
-        """Forget a request and its followers."""
+        """Close a request and its followers."""
         self._open.close_all(item)
 
     def count(self, name: str, amount: int = 1) -> None:
--- a/packages/zinniahook-core/src/zinniahook_core/settlements.py
+++ b/packages/zinniahook-core/src/zinniahook_core/settlements.py
@@ -1,7 +1,7 @@
-"""What becomes of claimed requests: their claim is settled, or they end.
+"""Handling of claimed requests once their claim is settled or they end.
 
-One function for each state of a claim, in a registry. Which of them runs is the
-claim owner's word; see docs/design/requests.md.
+A registry holds one function for each claim state. The claim owner's answer
+selects the function; see docs/design/requests.md.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 __all__ = ["RequestAgent", "finish", "settle"]
 
 MAX_RELAYS = 2
-"""Times that a request is handed to a peer, after which its answer counts as lost."""
+"""Relays of a request to a peer, after which its answer counts as lost."""
 
 
 class RequestAgent(Protocol):
-    """What the agent of a request offers here; `requests.Requests` is one.
+    """Interface to the agent that handles a request, as in `requests.Requests`.
 
-    The claim owner is another: whoever keeps the claim of the request's key.
+    It isn't the claim owner, the member that keeps the claim of the key.
     """
 
     name: str
@@ -37,19 +37,19 @@
     admission: Admission
 
     def relay(self, now: float, item: Open, peer: str) -> None:
-        """Hand a request to a peer."""
+        """Relay a request to a peer."""
 
     def refuse(self, now: float, item: Open, refusal: Decision) -> None:
-        """End a request that certainly hasn't run."""
+        """Refuse a request that has certainly not run."""
 
     def conclude(self, item: Open, outcome: Outcome) -> None:
-        """Give a request and its followers their final answer."""
+        """Send a request and its followers their final answer."""
 
     def close_all(self, item: Open) -> None:
-        """Forget a request and its followers."""
+        """Close a request and its followers."""
 
     def join_followers(self, item: Open) -> None:
-        """Let the followers of a request have its answer."""
+        """Attach the followers of a request to its answer."""
 
     def count(self, name: str, amount: int = 1) -> None:
         """Add to a counter."""
@@ -69,7 +69,7 @@
 
 
 def settle(agent: RequestAgent, now: float, item: Open, settled: Settled) -> None:
-    """Go on with a request whose claim owner has answered."""
+    """Continue with a request whose claim owner has answered."""
     handler = _HANDLERS_BY_STATE.get(settled.state)
     if handler is not None:
         handler(agent, now, item, settled)
@@ -89,8 +89,8 @@
     kind = item.event.kind
     agent.claims.unstarted(now, item.event.key)
     if agent.leaving:
-        # What goes wrong otherwise: a claim that comes seconds later, as
-        # from an owner that was paused, gives a leaving target new work.
+        # Otherwise a claim that is granted seconds late, for example by an
+        # owner that was paused, would give a leaving target new work.
         agent.refuse(now, item, agent.admission.refuse(now, kind, Code.LEAVING))
         return
     item.stage = Stage.QUEUED
@@ -137,7 +137,7 @@
     event: RequestFinished,
     was_relayed: bool,
 ) -> None:
-    """End a claimed request that has run, here or at a peer, or couldn't."""
+    """Finish a claimed request that ran here or at a peer, or couldn't run."""
     key = item.event.key
     if event.outcome.kind is OutcomeKind.DONE:
         if not was_relayed:
@@ -157,7 +157,7 @@
 def _finish_relayed(
     agent: RequestAgent, now: float, item: Open, event: RequestFinished
 ) -> None:
-    # A relay that broke says nothing of what the peer did. Only the
+    # A broken relay doesn't show whether the peer ran the request. Only the
     # claim owner's tombstone makes "not run" certain.
     outcome = event.outcome
     refusal = Decision(Verdict.REFUSED, outcome.code, outcome.retry_after)
