--- a/packages/zinniahook-core/setup.py
+++ b/packages/zinniahook-core/setup.py
@@ -1,7 +1,7 @@
-"""Build of the package; compiles the packet service's core if asked to.
+"""Build script; optionally compiles the core of the packet service.
 
-``ZINNIAHOOK_COMPILE=1`` compiles it with mypyc. Without, and wherever there is
-no C compiler, the same source runs as it is, at about 1.6 times the cost.
+``ZINNIAHOOK_COMPILE=1`` compiles it with mypyc. Otherwise, and where there is no
+C compiler, the same source runs uncompiled at about 1.6 times the cost.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 
 def extension_modules() -> list[Extension]:
-    """Return the extensions to build: none, unless they are wanted.
+    """Return the extensions to build, which are none by default.
 
-    The shared helpers of mypyc and all modules make one extension, so that
-    calls between modules are plain calls of C functions.
+    All modules and the shared helpers of mypyc form one extension, so that
+    calls between modules are plain C function calls.
     """
     if os.environ.get(COMPILE_VARIABLE) != "1":
         return []
     from mypyc.build import mypycify
 
     modules = [PACKAGE / "rendezvous.py", *sorted(PACKAGE.glob("packets/*.py"))]
-    # The package's own file only re-exports names.
+    # The package's __init__.py only re-exports names.
     names = [str(module) for module in modules if module.name != "__init__.py"]
     return mypycify(["--strict", "--follow-imports=silent", *names], opt_level="3")
 
--- a/packages/zinniahook-core/src/zinniahook_core/__init__.py
+++ b/packages/zinniahook-core/src/zinniahook_core/__init__.py
@@ -1,6 +1,6 @@
-"""The decisions of zinniahook, without I/O.
+"""The decision logic of zinniahook, without I/O.
 
-Every core is a state machine: ``handle(now, event)`` returns effects that a
+Every core is a state machine: ``handle(now, event)`` returns the effects that a
 driver executes. Time and randomness are passed in.
 """
 
@@ -58,9 +58,9 @@
 def __getattr__(name: str) -> Any:
     """Import a re-exported name when it is first used.
 
-    What goes wrong without: a process that serves only packets loads the
-    decisions of QUIC and their cryptography, 0.1 s and 12 MB (measured), and
-    is late by that after every restart.
+    Otherwise a process that serves only packets would load the QUIC code with
+    its cryptography, which takes 0.1 s and 12 MB, and would start that much
+    later after every restart.
     """
     if name not in __all__:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/packages/zinniahook-core/src/zinniahook_core/configuration.py
+++ b/packages/zinniahook-core/src/zinniahook_core/configuration.py
@@ -1,8 +1,8 @@
-"""The operators' configuration: one checked document, in TOML in and out.
+"""The operators' configuration: a validated document, read and written as TOML.
 
-A `Document` is what operators change; a `Configuration` is one generation of
-it as the daemons use it, with the keys joined in. Keys are kept apart in a
-`KeyRing`, so that no document, diff or history entry can carry a secret.
+Operators change a `Document`. A `Configuration` is one generation of it as the
+daemons use it, together with the keys. A separate `KeyRing` holds the keys, so
+that no document, diff or history entry can contain a secret.
 """
 
 from __future__ import annotations
@@ -45,18 +45,18 @@
 ]
 
 MAX_CLASSES = 16
-"""Request classes a service may have; each costs a queue at every agent."""
+"""Request classes per service; each one needs a queue at every agent."""
 
 SHARED_CLASSES_CACHE_SIZE = 1024
-"""Sets of classes of which services share one copy."""
+"""Number of different class mappings that services share."""
 
 
 class Rollout(NamedTuple):
-    """How a change of a risky setting is rolled out.
+    """Rules for the rollout of a risky change.
 
-    ``risky`` are setting names that go out in stages; each stage is watched
-    for ``pause`` seconds, and the change is taken back when the share of
-    datagrams dropped or of requests with unknown outcome is above
+    Changes of the settings named in ``risky`` are rolled out in stages. Each
+    stage is watched for ``pause`` seconds. The change is rolled back if the
+    share of dropped datagrams or of requests with an unknown outcome exceeds
     ``broken_flows``.
     """
 
@@ -67,10 +67,10 @@
 
 
 class Operator(NamedTuple):
-    """What the operator whose certificate carries ``name`` may change.
+    """Permissions of the operator whose certificate carries ``name``.
 
-    ``services`` are name patterns. ``keys`` allows the rotation of keys and
-    ``operators`` the change of this table and of the rollout rules.
+    ``services`` are name patterns. ``keys`` allows key rotation. ``operators``
+    allows changes of the operators and of the rollout rules.
     """
 
     name: str
@@ -79,16 +79,17 @@
     operators: bool = False
 
     def may_change(self, service: str) -> bool:
-        """Whether the operator may change the service."""
+        """Return whether the operator may change the service."""
         return any(fnmatch.fnmatchcase(service, item) for item in self.services)
 
 
 class Document(NamedTuple):
     """The whole configuration without its secrets.
 
-    ``retired_by_name`` are the numbers of services that were removed: a number
-    on the wire is never given to another service, or a late packet of the old
-    one would reach the new one. The service itself may come back under it.
+    ``retired_by_name`` holds the numbers of removed services. A number on the
+    wire is never assigned to another service; otherwise a late packet of the
+    old service would reach the new one. The removed service itself may be added
+    again under its number.
     """
 
     services_by_name: Mapping[str, Service] = {}
@@ -98,7 +99,7 @@
 
 
 class KeyRing(NamedTuple):
-    """The keys of one generation; see `Configuration` for the meaning."""
+    """The keys of one generation; `Configuration` describes the fields."""
 
     flow_keys_by_number: Mapping[int, Key]
     tunnel_keys_by_number: Mapping[int, Key]
@@ -107,7 +108,7 @@
 
 
 class Problem(NamedTuple):
-    """One fault of a document at the dotted ``key``."""
+    """One error in a document, at the dotted ``key``."""
 
     key: str
     reason: str
@@ -118,7 +119,7 @@
 
 
 class Difference(NamedTuple):
-    """One setting that differs; None stands for absent."""
+    """One setting that differs; None means that it is absent."""
 
     key: str
     before: Any
@@ -126,7 +127,7 @@
 
 
 class ConfigurationError(ZinniahookError):
-    """A document that can't be used; ``problems`` names every fault."""
+    """An invalid document; ``problems`` lists every error."""
 
     def __init__(self, problems: tuple[Problem, ...]) -> None:
         super().__init__("; ".join(map(str, problems)), problems[0].code)
@@ -139,7 +140,7 @@
     Raises
     ------
     ConfigurationError
-        If it isn't TOML or anything in it is wrong.
+        If the text isn't TOML or the document has problems.
     """
     try:
         table = tomllib.loads(text)
@@ -171,7 +172,7 @@
 
 
 def to_table(document: Document) -> dict[str, Any]:
-    """Turn a document into nested tables of plain values, in a fixed order."""
+    """Convert a document to nested tables of plain values, in a fixed order."""
     table: dict[str, Any] = {
         "rollout": _plain(document.rollout, ROLLOUT_FIELDS_BY_NAME),
         "operators": {
@@ -189,8 +190,8 @@
 
 
 def render(document: Document) -> str:
-    """Write the document as TOML; `parse` gives the same document back."""
-    # Only the operators' side renders: an agent needn't hold the module.
+    """Return the document as TOML, from which `parse` returns an equal document."""
+    # Agents never render, so they needn't load this module.
     import tomli_w
 
     return tomli_w.dumps(to_table(document))
@@ -199,14 +200,14 @@
 def validate(
     document: Document, previous: Document | None = None
 ) -> tuple[Problem, ...]:
-    """Find every fault of a document as a whole.
+    """Return every problem of a document.
 
     Parameters
     ----------
     document
         The document to check.
     previous
-        The document it replaces, if any; numbers must not move.
+        The document it replaces, if any. Service numbers must not change.
     """
     problems = list(_check_services(document))
     if previous is not None:
@@ -215,16 +216,16 @@
 
 
 def compile(document: Document, generation: int, keys: KeyRing) -> Configuration:
-    """Join a valid document and its keys into what the daemons use.
+    """Combine a valid document and its keys into a configuration for the daemons.
 
     Parameters
     ----------
     document : Document
         A document without problems.
     generation : int
-        Its number.
+        The number of the new generation.
     keys : KeyRing
-        The keys of flows and tunnels, with the two in use.
+        The keys of flows and tunnels, with the numbers of the two in use.
 
     Raises
     ------
@@ -248,7 +249,7 @@
 
 
 def diff(before: Document, after: Document) -> tuple[Difference, ...]:
-    """Compare two documents setting by setting, in the order of the keys."""
+    """Return the settings that differ between two documents, sorted by key."""
     old = settings_by_key(before)
     new = settings_by_key(after)
     keys = sorted(old.keys() | new.keys())
@@ -300,7 +301,7 @@
 
 
 class _Reader:
-    """Reads tables and gathers every problem on the way."""
+    """Reads a document from tables and collects every problem."""
 
     def __init__(self) -> None:
         self.problems: list[Problem] = []
@@ -347,7 +348,10 @@
         for item, value in self._table(table, name, prefix).items():
             key = f"{prefix}{name}.{item}"
             if not NAME_PATTERN.fullmatch(item):
-                self._fail(key, "a name is letters, digits, '-' or '_', at most 63")
+                self._fail(
+                    key,
+                    "the name must be 1 to 63 letters, digits, '-' or '_'",
+                )
             elif not isinstance(value, Mapping):
                 self._fail(key, "must be a table")
             else:
@@ -385,8 +389,8 @@
 def _shared_classes(classes: tuple[RequestClass, ...]) -> Mapping[str, RequestClass]:
     """Return one mapping for all services with equal classes.
 
-    An entry holds every service, and most have the classes of a few kinds; a
-    copy for each would take two thirds of the memory of them all.
+    An entry holds every service, and most services use one of a few sets of
+    classes. Separate copies would take two thirds of the memory of all services.
     """
     return types.MappingProxyType({each.name: each for each in classes})
 
@@ -399,21 +403,25 @@
         key = f"services.{name}"
         other = names_by_number.setdefault(service.number, name)
         if other != name:
-            yield Problem(f"{key}.number", f"{service.number} is that of {other}")
+            yield Problem(
+                f"{key}.number", f"{service.number} is already used by {other}"
+            )
         if service.number in retired:
             yield Problem(f"{key}.number", f"{service.number} is retired")
         if name in document.retired_by_name:
-            yield Problem(f"retired.{name}", "is a service again")
+            yield Problem(f"retired.{name}", "is retired but also a service")
         other = names_by_address.setdefault(service.address, name)
         if other != name:
-            yield Problem(f"{key}.address", f"{service.address} is that of {other}")
+            yield Problem(
+                f"{key}.address", f"{service.address} is already used by {other}"
+            )
         yield from _check_classes(service, key)
 
 
 def _check_classes(service: Service, key: str) -> Iterator[Problem]:
     classes = service.classes_by_name
     if classes and service.protocol is Protocol.UDP:
-        yield Problem(f"{key}.classes", "a udp service has no requests to class")
+        yield Problem(f"{key}.classes", "a udp service can't have request classes")
     if len(classes) > MAX_CLASSES:
         yield Problem(f"{key}.classes", f"more than {MAX_CLASSES} classes")
     if sum(item.share for item in classes.values()) > 1.0 + 1e-9:
@@ -422,7 +430,7 @@
     for name, item in classes.items():
         other = names_by_prefix.setdefault(item.prefix, name)
         if other != name:
-            reason = f"{item.prefix!r} is that of {other}"
+            reason = f"{item.prefix!r} is already used by {other}"
             yield Problem(f"{key}.classes.{name}.prefix", reason)
 
 
@@ -431,12 +439,15 @@
     after = _numbers_by_name(document)
     for name, number in before.items():
         if name not in after:
-            yield Problem(f"retired.{name}", f"lacks {number}, which had this name")
+            yield Problem(
+                f"retired.{name}",
+                f"must be {number}, the number of the removed service",
+            )
         elif after[name] != number:
-            # Open flows carry the number in their connection ids: entries
-            # would drop their packets as another service's.
+            # Open flows carry the number in their connection ids. Entries
+            # would drop their packets as those of another service.
             key = "retired" if name in document.retired_by_name else "services"
-            yield Problem(f"{key}.{name}.number", f"can't change from {number}")
+            yield Problem(f"{key}.{name}.number", f"must stay {number}")
 
 
 def _numbers_by_name(document: Document) -> dict[str, int]:
--- a/packages/zinniahook-core/src/zinniahook_core/messages.py
+++ b/packages/zinniahook-core/src/zinniahook_core/messages.py
@@ -1,8 +1,8 @@
 """Messages between the agents of one service.
 
-They travel as authenticated datagrams, so each may be lost, doubled, late or
-out of order; every sender repeats what it needs answered and every receiver
-is idempotent. ``zinniahook_wire`` encodes them.
+They are sent as authenticated datagrams, so each may be lost, duplicated, late
+or out of order. Senders repeat messages that need an answer, and receivers are
+idempotent. ``zinniahook_wire`` encodes the messages.
 """
 
 from __future__ import annotations
@@ -31,12 +31,11 @@
 
 
 class Heartbeat(NamedTuple):
-    """A sign of life with the sender's own counts, about once a second.
+    """A heartbeat with the sender's own load, about once a second.
 
-    ``sequence`` orders heartbeats of one incarnation; ``leaving`` is sent so
-    that peers stop handing work over before the roster says so.
-    ``revision`` is the sender's roster revision: a receiver with a lower one
-    has missed a push.
+    ``sequence`` orders heartbeats of one incarnation. ``leaving`` makes peers
+    stop handing work over before the roster reports it. ``revision`` is the
+    sender's roster revision: a receiver with a lower one has missed a push.
     """
 
     incarnation: int
@@ -48,14 +47,14 @@
 
 
 class FlowAsk(NamedTuple):
-    """Ask whether the receiver owns this flow, or knows who does."""
+    """Ask whether the receiver owns this flow or knows its owner."""
 
     number: int
     flow: bytes
 
 
 class FlowAnswer(NamedTuple):
-    """``owner`` is the owner's name, or empty if the sender knows none."""
+    """Answer with the name of the flow's owner, or "" if the sender knows none."""
 
     number: int
     flow: bytes
@@ -63,7 +62,7 @@
 
 
 class FlowPointers(NamedTuple):
-    """``owner`` owns these flows; sent to the agent that is now their home."""
+    """Announce that ``owner`` owns these flows, to the agent that is their home."""
 
     owner: str
     incarnation: int
@@ -71,14 +70,14 @@
 
 
 class Placed(NamedTuple):
-    """An opening was handed over; ``flow`` is owned by the receiver."""
+    """Announce that an opening was handed over: the receiver owns ``flow``."""
 
     flow: bytes
     caller: Address
 
 
 class ClaimIntent(enum.IntEnum):
-    """What a claim owner is asked to do with a key."""
+    """The action that a claim owner is asked for."""
 
     RUN = 1
     REFUSE = 2
@@ -86,7 +85,7 @@
 
 
 class ClaimState(enum.IntEnum):
-    """What is known about a key."""
+    """The known state of a key."""
 
     NONE = 0
     GRANTED = 1
@@ -99,9 +98,9 @@
 class ClaimAsk(NamedTuple):
     """Ask the claim owner of ``key``.
 
-    ``attempt`` is the caller's count of attempts from 1, or 0 if the caller
-    does not say. ``number`` matches the answer to the ask. ``revision`` is
-    the asker's roster revision: a receiver with a lower one must not answer.
+    ``attempt`` is the caller's attempt number from 1, or 0 if it gave none.
+    ``number`` matches the answer to the ask. ``revision`` is the asker's roster
+    revision: a receiver with a lower one must not answer.
     """
 
     number: int
@@ -114,12 +113,13 @@
 
 
 class ClaimAnswer(NamedTuple):
-    """What the owner says; ``runner`` is who runs or ran the request.
+    """The owner's answer; ``runner`` is the agent that runs or ran the request.
 
-    With FINISHED, ``answer`` is the kept answer if it is small enough.
-    ``retry_after`` is in seconds. ``incarnation`` is the runner's. To LOOK,
-    ``losses`` says how many losses of records the sender knows of, which
-    limits what its NONE proves, and ``covers`` that it knows of all of them.
+    With FINISHED, ``answer`` is the stored answer if it is small enough.
+    ``retry_after`` is in seconds. ``incarnation`` is that of the runner. In an
+    answer to LOOK, ``losses`` is the number of losses of records that the
+    sender knows of, which limits what its NONE proves. ``covers`` means that it
+    knows of all losses.
     """
 
     number: int
@@ -135,9 +135,9 @@
 
 
 class ClaimFinished(NamedTuple):
-    """The runner tells the owner that a request ended, and how.
+    """The runner's report to the owner that a request ended, and how.
 
-    ``started`` is false if the target certainly never saw the request.
+    ``started`` is false if the target certainly never received the request.
     """
 
     key: bytes
@@ -148,7 +148,7 @@
 
 
 class ClaimRecord(NamedTuple):
-    """One claim, as handed from one owner to the next; ``age`` in seconds."""
+    """One claim, as passed from one owner to the next; ``age`` is in seconds."""
 
     key: bytes
     state: ClaimState
@@ -160,14 +160,14 @@
 
 
 class ClaimRecords(NamedTuple):
-    """Claims that the receiver owns from now on, or keeps a copy of.
-
-    With ``acknowledge`` the receiver sends the number back, without records
-    or ``acknowledge``. ``revision`` is the sender's roster revision if the
-    records are claims made under it, 0 if they are past ones. An empty batch
-    to be acknowledged declares that, as of ``revision``, the sender holds no
-    record alone, and that it kept all it had since its incarnation
-    ``remembers`` (0: it doesn't say).
+    """Claims that the receiver owns from now on, or stores a copy of.
+
+    With ``acknowledge``, the receiver sends the number back without records or
+    ``acknowledge``. ``revision`` is the sender's roster revision if the records
+    are claims made under it, and 0 if they are older. An empty batch with
+    ``acknowledge`` declares that, as of ``revision``, the sender is not the only
+    holder of any record, and that it has kept all records since its incarnation
+    ``remembers`` (0: unspecified).
     """
 
     sender: str
--- a/packages/zinniahook-core/src/zinniahook_core/models.py
+++ b/packages/zinniahook-core/src/zinniahook_core/models.py
@@ -1,7 +1,7 @@
-"""Typed values that every part of zinniahook shares.
+"""Data types shared by all parts of zinniahook.
 
 All times are seconds of a monotonic clock unless a name says otherwise, all
-sizes are bytes, and all shares are fractions between 0 and 1.
+sizes are in bytes, and all shares are fractions from 0 to 1.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read ``host:port`` or ``[host]:port``.
+        """Parse ``host:port`` or ``[host]:port``.
 
         Raises
         ------
@@ -41,10 +41,10 @@
         """
         host, separator, port = text.rpartition(":")
         if not separator or not host or not port.isdecimal():
-            raise ValueError(f"not an address: {text!r}")
+            raise ValueError(f"{text!r} must have the form 'host:port'")
         number = int(port)
         if number > 0xFFFF:
-            raise ValueError(f"port out of range: {text!r}")
+            raise ValueError(f"the port of {text!r} must be from 0 to 65535")
         return cls(host.strip("[]"), number)
 
     def __str__(self) -> str:
@@ -53,14 +53,14 @@
 
 
 class Protocol(enum.StrEnum):
-    """What callers speak to a service."""
+    """The protocol between callers and a service."""
 
     QUIC = "quic"
     UDP = "udp"
 
 
 class AgentState(enum.IntEnum):
-    """What an agent announces about itself, or a peer about a silent agent."""
+    """The state that an agent announces; DOWN is announced by its peers."""
 
     STARTING = 1
     READY = 2
@@ -71,8 +71,8 @@
 class Member(NamedTuple):
     """One agent in the roster of a service.
 
-    ``incarnation`` grows with every start and after every pause longer than
-    the fence; a message of an older incarnation is void.
+    ``incarnation`` grows with every start and after every pause that is longer
+    than the fence. Messages of an older incarnation are ignored.
     """
 
     name: str
@@ -86,7 +86,7 @@
 
 
 class Roster(NamedTuple):
-    """The agents of one service as stored; ``revision`` is the store's."""
+    """The agents of one service as stored, with the store's ``revision``."""
 
     service: str
     revision: int
@@ -96,9 +96,9 @@
 class RequestClass(NamedTuple):
     """Requests of a service that share limits.
 
-    ``slots`` is how many of the target's slots one request holds: 0 for a
-    long-lived stream, whose number ``limit`` bounds instead. ``share`` is
-    the part of the slots that other classes can't take for long.
+    ``slots`` is the number of the target's slots that one request holds: 0 for
+    long-lived streams, whose number ``limit`` bounds instead. ``share`` is the
+    fraction of the slots that other classes may only borrow for a short time.
     """
 
     name: str
@@ -111,13 +111,13 @@
 
 
 class Service(NamedTuple):
-    """What operators say of one service.
+    """The settings of one service.
 
     ``number`` is the service id on the wire (1 to 65535) and never reused.
-    ``drain`` is how long a leaving agent may finish its work, in seconds: a
-    day, as a feed of a caller that heeds no GOAWAY may last that long.
-    ``idle`` is after how many seconds without a packet a UDP flow has ended.
-    ``targets`` are the name patterns of members that may serve it.
+    ``drain`` is the time in seconds that a leaving agent has to finish its work.
+    The default is a day: the feed of a caller that ignores GOAWAY may last that
+    long. A UDP flow ends after ``idle`` seconds without a packet. ``targets``
+    are the name patterns of the members that may serve it.
     """
 
     name: str
@@ -132,10 +132,10 @@
 
 
 class Key(NamedTuple):
-    """A secret with the key id that stands in front of what it protects.
+    """A secret and its key id, which is sent before the protected data.
 
-    The secret is 32 bytes. Its ``repr`` leaves the secret out, so that no
-    log line can carry it.
+    The secret has 32 bytes. The ``repr`` leaves it out, so that no log line
+    contains it.
     """
 
     number: int
@@ -148,9 +148,9 @@
 class Configuration(NamedTuple):
     """One generation of the whole configuration.
 
-    ``flow_keys_by_number`` encrypt connection ids, ``tunnel_keys_by_number``
+    ``flow_keys_by_number`` encrypt connection ids and ``tunnel_keys_by_number``
     authenticate tunnel datagrams. ``flow_key`` and ``tunnel_key`` are the
-    numbers in use for new ones; the rest are accepted only.
+    numbers of the keys used for new ones. All other keys are only accepted.
     """
 
     generation: int
@@ -162,7 +162,7 @@
 
 
 class Load(NamedTuple):
-    """What an agent itself counts about its target."""
+    """The load of a target as counted by its agent."""
 
     slots: int
     busy: int
--- a/packages/zinniahook-core/src/zinniahook_core/records.py
+++ b/packages/zinniahook-core/src/zinniahook_core/records.py
@@ -42,7 +42,7 @@
 """Limit on the total size of stored answers."""
 
 SMALL_ANSWER_BYTES = 900
-"""Largest answer that a message carries."""
+"""Largest answer that a claim message carries."""
 
 MAX_EXPIRED_PER_CALL = 256
 """Limit on the work of one call of ``Records.expire``."""
--- a/packages/zinniahook-core/src/zinniahook_core/schema.py
+++ b/packages/zinniahook-core/src/zinniahook_core/schema.py
@@ -1,7 +1,7 @@
 """The settings of the configuration document: types, bounds and meaning.
 
 The reader, the writer, the command language and the reference page all use
-these tables, so that they can't drift apart.
+these tables and therefore agree.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Field(NamedTuple):
-    """One setting; ``read`` raises ValueError on a value it can't take."""
+    """One setting; ``read`` raises ValueError if a value is invalid."""
 
     read: Callable[[Any], Any]
     write: Callable[[Any], Any]
@@ -47,7 +47,7 @@
         if type(value) is not int:
             raise ValueError("must be a whole number")
         if not low <= value <= high:
-            raise ValueError(f"must be from {low} to {high}")
+            raise ValueError(f"must be from {low} to {high}, not {value}")
         return value
 
     return Field(read, _identity, f"whole number, {low} to {high}", meaning, required)
@@ -56,9 +56,9 @@
 def _number(low: float, high: float, meaning: str) -> Field:
     def read(value: Any) -> float:
         if type(value) not in (int, float) or not math.isfinite(value):
-            raise ValueError("must be a number")
+            raise ValueError("must be a finite number")
         if not low <= value <= high:
-            raise ValueError(f"must be from {low:g} to {high:g}")
+            raise ValueError(f"must be from {low:g} to {high:g}, not {value}")
         return float(value)
 
     return Field(read, _identity, f"number, {low:g} to {high:g}", meaning)
@@ -76,7 +76,7 @@
     address = Address.parse(value)
     ipaddress.ip_address(address.host)
     if address.port == 0:
-        raise ValueError("must have a port")
+        raise ValueError(f"must have a port other than 0, not {value!r}")
     return address
 
 
@@ -84,7 +84,7 @@
     try:
         return Protocol(value)
     except ValueError:
-        raise ValueError("must be 'quic' or 'udp'") from None
+        raise ValueError(f"must be 'quic' or 'udp', not {value!r}") from None
 
 
 def _read_prefix(value: Any) -> str:
@@ -101,7 +101,7 @@
             if not isinstance(item, str) or not item:
                 raise ValueError("must be a list of texts that aren't empty")
             if allowed and item not in allowed:
-                raise ValueError(f"{item!r} is none of {', '.join(allowed)}")
+                raise ValueError(f"{item!r} must be one of {', '.join(allowed)}")
         return tuple(value)
 
     return Field(read, list, "list of texts", meaning)
@@ -109,10 +109,18 @@
 
 CLASS_FIELDS_BY_NAME: Mapping[str, Field] = {
     "prefix": Field(
-        _read_prefix, _identity, "path", "requests whose path starts so", required=True
+        _read_prefix,
+        _identity,
+        "path",
+        "requests whose path starts with it",
+        required=True,
+    ),
+    "slots": _integer(
+        0, 64, "target slots that a request holds; 0: a long-lived stream"
+    ),
+    "share": _number(
+        0.0, 1.0, "fraction of the slots reserved from long use by others"
     ),
-    "slots": _integer(0, 64, "slots of the target a request holds; 0: a stream"),
-    "share": _number(0.0, 1.0, "part of the slots that others can't take for long"),
     "limit": _integer(1, 1_000_000, "requests in progress at one target"),
     "queue": _integer(0, 65536, "requests that may wait at one target"),
     "deadline": _number(0.01, 86400.0, "longest wait for a slot, in seconds"),
@@ -121,13 +129,17 @@
 SERVICE_FIELDS_BY_NAME: Mapping[str, Field] = {
     "number": _integer(1, 65535, "the service's id on the wire", required=True),
     "address": Field(
-        _read_address, str, "address", "where callers reach it", required=True
+        _read_address, str, "address", "address that callers use", required=True
+    ),
+    "protocol": Field(
+        _read_protocol, str, "'quic' or 'udp'", "protocol that callers use"
+    ),
+    "drain": _number(
+        0.1, 604800.0, "seconds that a leaving target has to finish its work"
     ),
-    "protocol": Field(_read_protocol, str, "'quic' or 'udp'", "what callers speak"),
-    "drain": _number(0.1, 604800.0, "seconds a leaving target has to finish"),
     "idle": _number(1.0, 86400.0, "seconds without a packet that end a UDP flow"),
     "targets": _strings("name patterns of the instances that may serve it"),
-    "data_centres": _strings("data centres that may serve it; none listed: all"),
+    "data_centres": _strings("data centres that may serve it; an empty list: all"),
 }
 
 OPERATOR_FIELDS_BY_NAME: Mapping[str, Field] = {
@@ -144,10 +156,10 @@
 }
 
 ROLLOUT_FIELDS_BY_NAME: Mapping[str, Field] = {
-    "stages": _strings("the order in which a risky change goes out", STAGES),
+    "stages": _strings("order in which a risky change is rolled out", STAGES),
     "pause": _number(0.0, 3600.0, "seconds a stage is watched"),
     "broken_flows": _number(
-        0.0, 1.0, "share of dropped datagrams or unknown outcomes that stops it"
+        0.0, 1.0, "share of dropped datagrams or unknown outcomes that stops a rollout"
     ),
-    "risky": _strings("settings whose change goes out in stages", RISKY_NAMES),
+    "risky": _strings("settings whose changes are rolled out in stages", RISKY_NAMES),
 }
