--- a/packages/zinniahook-core/tests/test_admission.py
+++ b/packages/zinniahook-core/tests/test_admission.py
@@ -47,7 +47,7 @@
         subject.release(0.1, 1, answered=True)
         assert subject.start(0.1) == [3]
 
-    def test_cold_target_gets_fewer(self):
+    def test_cold_target_gets_fewer_slots(self):
         subject = admission()
         subject.set_coldness(1.0)
         assert subject.slots == 1
@@ -63,7 +63,7 @@
     def test_unknown_class_is_refused(self):
         assert offer(admission(), 1, "other").code is Code.CLASS_UNKNOWN
 
-    def test_class_that_is_gone_frees_its_slots(self):
+    def test_removed_class_frees_its_slots(self):
         subject = admission()
         offer(subject, 1)
         subject.configure(4, {"export": CLASSES["export"]})
@@ -152,7 +152,7 @@
             (2, Code.DEADLINE_EXPIRED)
         ]
 
-    def test_full_queue_gives_up_the_latest_deadline(self):
+    def test_full_queue_drops_the_latest_deadline(self):
         subject = admission(1)
         for number in range(5):
             offer(subject, number, deadline=20.0 + number)
@@ -185,7 +185,7 @@
             budget.credit_first_attempt()
         assert [budget.take() for _ in range(3)] == [True, True, False]
 
-    def test_return_times_are_spaced_by_the_capacity(self):
+    def test_retry_times_are_spaced_by_the_capacity(self):
         schedule = RetrySchedule(random.Random(1))
         delays = [schedule.reserve(0.0, 0.5, 10.0) for _ in range(50)]
         assert delays[-1] > 4 * delays[0]
--- a/packages/zinniahook-core/tests/test_agents.py
+++ b/packages/zinniahook-core/tests/test_agents.py
@@ -82,7 +82,7 @@
         cluster.run(4.0)
         node.resume()
         found = node.core.handle(cluster.now, opening())
-        (handed,) = [one for one in found if isinstance(one, effects.HandOver)]
+        (handed,) = [effect for effect in found if isinstance(effect, effects.HandOver)]
         assert handed.peer in {other.name for other in others}
 
     def test_restart_forgets_flows(self):
@@ -243,10 +243,10 @@
         while len(cluster.connections) < 20:
             cluster.connect("tally")
             cluster.run(0.1)
-        one, other = cluster.live("tally")[:2]
-        for node, peer in ((one, other), (other, one)):
+        first, second = cluster.live("tally")[:2]
+        for node, peer in ((first, second), (second, first)):
             node.core.placement.choose_for_request = lambda *_, name=peer.name: name
-        for number, node in enumerate((one, other)):
+        for number, node in enumerate((first, second)):
             mine = next(c for c in cluster.connections if c[1] == node.name)
             cluster.request(mine, b"ticket", number + 1)
         cluster.run(10.0)
@@ -299,7 +299,7 @@
         assert set(tried) == set(self.ENTRIES[:3])
         assert paths.unanswered(0.5, b"flow") == self.ENTRIES[3]
 
-    def test_entry_not_heard_lately_is_no_choice(self):
+    def test_entry_not_heard_lately_is_not_chosen(self):
         paths = self.paths(now=0.0)
         paths.heard(60.0, self.ENTRIES[0], b"flow")
         assert paths.unanswered(60.1, b"flow") == self.ENTRIES[0]
--- a/packages/zinniahook-core/tests/test_claims.py
+++ b/packages/zinniahook-core/tests/test_claims.py
@@ -227,7 +227,7 @@
         keys = (b"%d" % number for number in range(99))
         return Group("abc"), next(key for key in keys if rank(key, "abcd")[0] == "d")
 
-    def test_grants_what_nobody_knows_after_one_death(self):
+    def test_grants_an_unknown_key_after_one_death(self):
         group = Group()
         owner, first, *_ = group.ranked()
         group.crash(owner)
@@ -309,7 +309,7 @@
         group.deliver()
         assert group.ran(first) == []
 
-    def test_grant_that_was_never_used_does_not_outdo_a_refusal(self):
+    def test_unused_grant_does_not_override_a_refusal(self):
         """
         Symptom: a request runs after its caller was told that it didn't.
         Sequence: an owner grants itself a request, but its caller goes; the
@@ -376,7 +376,7 @@
 
 
 class TestRecords:
-    def test_forgotten_early_makes_unknown(self):
+    def test_evicted_record_makes_the_outcome_unknown(self):
         """
         Symptom: a doubled ticket on a busy agent.
         Sequence: a record makes room for newer ones; a copy of it arrives.
--- a/packages/zinniahook-core/tests/test_configuration.py
+++ b/packages/zinniahook-core/tests/test_configuration.py
@@ -86,7 +86,7 @@
             document = Document(services)
             assert parse(render(document)) == document
 
-    def test_every_fault_is_named_at_once(self):
+    def test_all_problems_are_reported_together(self):
         text = TEXT.replace("queue = 32", "queue = -1\ncolour = 3").replace(
             "pause = 5", "pause = 'x'"
         )
@@ -122,7 +122,7 @@
             ("[retired]\nold = 2\n" + TEXT, "services.feed.number"),
         ],
     )
-    def test_fault_names_its_key(self, text, key):
+    def test_problem_names_its_key(self, text, key):
         assert key in problems_of(text)
 
 
--- a/packages/zinniahook-core/tests/test_requests.py
+++ b/packages/zinniahook-core/tests/test_requests.py
@@ -30,7 +30,7 @@
 
 
 class TestCopies:
-    def test_copy_joins_the_one_that_runs(self):
+    def test_copy_joins_the_running_copy(self):
         group = Group("a")
         group.request("a", 1)
         group.request("a", 2, attempt=2)
@@ -46,7 +46,7 @@
         assert group.outcome("a", 3).kind is OutcomeKind.UNKNOWN
         assert group.ran("a") == [1]
 
-    def test_copy_that_leaves_is_not_answered(self):
+    def test_cancelled_copy_is_not_answered(self):
         group = Group("a")
         group.request("a", 1)
         group.request("a", 2, attempt=2)
@@ -54,7 +54,7 @@
         group.finish("a", 1, b"", FAILED)
         assert group.outcome("a", 2) is None
 
-    def test_caller_that_comes_back_gets_the_answer_of_its_run(self):
+    def test_retrying_caller_gets_the_answer_of_its_run(self):
         """
         Symptom: a clerk files a ticket again that was filed.
         Sequence: the connection breaks while the ticket runs; the device
@@ -148,7 +148,7 @@
         group.request("a", 4, attempt=2, relayed_by="b")
         assert len(group.ran("a") + group.ran("b")) == 1
 
-    def test_copy_of_a_former_leader_can_leave(self):
+    def test_copy_of_a_former_leader_can_be_cancelled(self):
         """
         Symptom: an agent stops deciding on a request.
         Sequence: a copy follows one that was relayed; a relayed copy leads the
