--- a/packages/zinniahook-core/src/zinniahook_core/records.py
+++ b/packages/zinniahook-core/src/zinniahook_core/records.py
@@ -128,8 +128,8 @@
     """Records by key, of which the oldest are evicted first.
 
     ``eviction_horizon`` is the creation time of the newest record that was
-    evicted before it expired; ``evicted`` counts such records. Without the
-    horizon, a key whose record was evicted would look as if it had never run.
+    evicted before it expired; ``evicted`` counts such records. Without this
+    time, a key whose record was evicted would look as if it had never run.
     """
 
     def __init__(
--- a/packages/zinniahook-core/tests/conftest.py
+++ b/packages/zinniahook-core/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Lets the tests of this folder import the fakes beside them."""
+"""Make the fakes in this folder importable by its tests."""
 
 import pathlib
 import sys
--- a/packages/zinniahook-core/tests/core_fakes.py
+++ b/packages/zinniahook-core/tests/core_fakes.py
@@ -1,6 +1,6 @@
 """Fakes at the interfaces of the cores: a store, and agents with targets.
 
-They execute the effects of real ``AgentCore`` objects and decide nothing.
+They execute the effects of real ``AgentCore`` objects and make no decisions.
 """
 
 import random
@@ -22,7 +22,7 @@
 )
 
 KEYLESS_SUFFIX = b" without a key"
-"""Ends the name of a request that carries no idempotency key."""
+"""Suffix of the name of a request without an idempotency key."""
 KEYS = {1: Key(1, bytes(range(32)))}
 TICKET = {"ticket": RequestClass("ticket", "/", slots=1, deadline=8.0)}
 SERVICES = {
@@ -41,7 +41,7 @@
 
 
 class Store:
-    """Roster values under compare-and-swap, with outages and lost answers."""
+    """Roster values with compare-and-swap, outages and lost answers."""
 
     def __init__(self):
         self.by_service = {}
@@ -116,7 +116,7 @@
         self.generation = 0
 
     def feed(self, event):
-        """Give the core an event and execute what it decides."""
+        """Pass an event to the core and execute its effects."""
         if not self.alive:
             return
         if self.paused:
@@ -136,7 +136,7 @@
             function(*arguments)
 
     def arrive(self, flow_id, key, attempt):
-        """Take a request on a connection that this process holds."""
+        """Receive a request on a connection of this process."""
         if not self.alive or flow_id not in self.flows_by_id:
             return
         number = self.add(Request(key, attempt, self.cluster.now))
@@ -204,12 +204,12 @@
         self.conclude(number, OutcomeKind.DONE, answer)
 
     def target_refused(self, number):
-        """Answer as a target whose port accepts nothing."""
+        """Answer like a target whose port accepts no connections."""
         refused = Outcome(OutcomeKind.NOT_RUN, Code.TARGET_FAILED, 1.0)
         self.feed(events.RequestFinished(number, refused, False))
 
     def cancel(self, number):
-        """Let the caller, or the agent that relayed the request, go."""
+        """Cancel a request, as its caller or the agent that relayed it does."""
         if self.paused:
             self.inbox.append((self.cancel, number))
             return
--- a/packages/zinniahook-core/tests/request_fakes.py
+++ b/packages/zinniahook-core/tests/request_fakes.py
@@ -1,4 +1,4 @@
-"""Agents' ``Requests`` with a roster and messages that a test holds in hand."""
+"""A group of ``Requests`` objects whose roster and messages a test controls."""
 
 import random
 from collections import deque
@@ -30,7 +30,7 @@
 
 
 class Group:
-    """Agents of one service. ``blocked`` are pairs that lose their messages."""
+    """Agents of one service; messages between pairs in ``blocked`` are lost."""
 
     def __init__(self, names="abcd", slots=4, age=10_000.0):
         self.now = 0.0
@@ -91,14 +91,14 @@
                 self.effects_by_name[name].append(effect)
 
     def deliver(self):
-        """Deliver messages until there are none."""
+        """Deliver messages until none is left."""
         while self.messages:
             sender, receiver, message = self.messages.popleft()
             if receiver in self.cores and (sender, receiver) not in self.blocked:
                 self.feed(receiver, PeerDatagram(sender, message))
 
     def intercept(self, name):
-        """Deliver messages, but return those to ``name`` instead."""
+        """Deliver messages, but return those addressed to ``name``."""
         held = []
         while self.messages:
             sender, receiver, message = self.messages.popleft()
--- a/packages/zinniahook-core/tests/test_admission.py
+++ b/packages/zinniahook-core/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: slots, classes, deadlines and callers that come back."""
+"""Admission: slots, classes, deadlines and retries."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 def served(subject, kind, seconds, count=20):
-    """Let a class be served for a while, so that its time is known."""
+    """Serve requests of a class, so that its service time is known."""
     for number in range(count):
         offer(subject, -number - 1, kind, now=float(number), deadline=1e6)
         subject.release(number + seconds, -number - 1, answered=True)
@@ -74,10 +74,10 @@
 
 class TestClasses:
     def test_long_exports_leave_slots_for_tickets(self):
-        """
-        Symptom: tickets wait for minutes behind exports.
-        Sequence: no ticket is there, exports take every slot, tickets arrive.
-        Cause: exports borrowed slots that they can't give back soon.
+        """Tickets must not wait for minutes behind exports.
+
+        Exports take every slot while there is no ticket, then tickets arrive. Exports
+        must not borrow slots that they can't return soon.
         """
         subject = admission()
         served(subject, "export", 60.0)
@@ -97,10 +97,10 @@
 
     @pytest.mark.parametrize("crowd", ["ticket", "export"])
     def test_no_class_starves_another(self, crowd):
-        """
-        Symptom: one class gets no slot while another is crowded.
-        Sequence: one class always has many waiting, the other a few.
-        Cause: slots are given in order of arrival.
+        """Each class must get slots while another is crowded.
+
+        One class always has many requests waiting, the other a few. In order of
+        arrival, the crowded class would take all slots.
         """
         classes = {
             name: rule._replace(queue=1000, deadline=1e6)
@@ -137,10 +137,10 @@
         assert refusal.retry_after > 0
 
     def test_queued_request_that_becomes_infeasible_is_refused_at_once(self):
-        """
-        Symptom: a refused caller learns of it only when its time is up.
-        Sequence: a request waits; the one before it takes longer than usual.
-        Cause: the deadline is looked at only when a slot is free.
+        """A caller must not learn of a refusal only when its time is up.
+
+        A request waits, and the one before it takes longer than usual. Deadlines have
+        to be checked also while no slot is free.
         """
         subject = admission(1)
         served(subject, "ticket", 1.0)
@@ -162,10 +162,10 @@
 
 class TestRetries:
     def test_retries_may_not_fill_the_queue(self):
-        """
-        Symptom: an overload goes on after its cause has gone.
-        Sequence: requests are refused, all their callers retry at once, for ever.
-        Cause: retries are queued like first attempts.
+        """An overload must not continue after its cause has ended.
+
+        Requests are refused, and all their callers retry at once, for ever. Retries
+        must not be queued like first attempts.
         """
         subject = admission(1, {"ticket": RequestClass("ticket", "/", queue=1000)})
         served(subject, "ticket", 0.001)
--- a/packages/zinniahook-core/tests/test_agents.py
+++ b/packages/zinniahook-core/tests/test_agents.py
@@ -1,4 +1,4 @@
-"""How an agent's core brings its parts together, and paths of answers."""
+"""The core of an agent as a whole, and the paths of its answers."""
 
 import random
 
@@ -34,10 +34,10 @@
             agent().handle(0.0, "tick")
 
     def test_older_generation_is_ignored(self):
-        """Symptom: an accepted configuration reverts at one agent.
+        """An accepted configuration must not revert at one agent.
 
-        Sequence: generation 3 arrives, then a late copy of generation 2.
-        Cause: the last to arrive was taken for the newest.
+        Generation 3 arrives, then a late copy of generation 2. The newest generation
+        counts, not the last to arrive.
         """
         core = agent()
         core.handle(0.0, events.ConfigurationChanged(configuration(3)))
@@ -45,10 +45,10 @@
         assert core.generation == 3
 
     def test_packet_of_another_service_is_dropped(self):
-        """Symptom: a ledger packet reaches a tally target.
+        """A ledger packet must not reach a tally target.
 
-        Sequence: an entry with a wrong roster sends it here.
-        Cause: the agent trusted the entry's choice.
+        An entry with a wrong roster sends it to this agent, which must check the
+        service itself.
         """
         core = agent()
         assert core.handle(0.0, opening("ledger")) == [
@@ -60,10 +60,10 @@
 
 class TestFenced:
     def test_runs_nothing_before_its_announcement(self):
-        """Symptom: a request runs at an agent whose work others took over.
+        """No request may run at an agent whose work peers have taken over.
 
-        Sequence: the agent has a new incarnation; the store is down.
-        Cause: it served before the roster held the new incarnation.
+        The agent has a new incarnation while the store is down. It may only serve
+        once the roster holds the new incarnation.
         """
         core = agent()
         core.handle(0.0, events.ConfigurationChanged(configuration(1)))
@@ -99,10 +99,10 @@
 
 class TestStoreDown:
     def test_new_flows_and_requests_go_on(self):
-        """Symptom: the service stops when the store does.
+        """The service must not stop when the store does.
 
-        Sequence: the store goes down; callers connect and file tickets.
-        Cause: the store stood in the way of the data path.
+        The store goes down, then callers connect and file tickets. The data path must
+        not depend on the store.
         """
         cluster = Cluster(3, {"tally": 3})
         cluster.set_store(down=True)
@@ -117,11 +117,11 @@
         assert [told.kind for told in cluster.told] == [OutcomeKind.DONE] * 5
 
     def test_flows_of_a_dead_agent_are_opened_elsewhere(self):
-        """Symptom: a feed is silent for as long as the store is down.
+        """A feed must not stay silent for as long as the store is down.
 
-        Sequence: the owner of plain UDP flows dies in an outage; entries
-        and the flows' homes go on sending their packets to it.
-        Cause: only a roster could end the trust in a known owner.
+        The owner of plain UDP flows dies in an outage, and entries and the flows'
+        homes keep sending their packets to it. A known owner that is silent must be
+        replaced without a new roster.
         """
         cluster = Cluster(4, {"feed": 4})
         flows = range(40)
@@ -148,12 +148,11 @@
 
 class TestLastAgent:
     def test_grant_to_an_agent_that_left_is_not_forgotten(self):
-        """Symptom: a ticket runs twice, or a caller is wrongly told "not run".
+        """A ticket must not run twice, nor be answered "not run" wrongly.
 
-        Sequence: one of two agents runs tickets until its drain deadline
-        cuts them; the callers ask again at the other, which is now alone.
-        Cause: with nobody left to ask, the owner of the claims looked at no
-        record, not even its own.
+        One of two agents runs tickets until its drain deadline cuts them off. The
+        callers retry at the other agent, which is now alone. With no other agent to
+        ask, the claim owner must still check its own records.
         """
         cluster = Cluster(5, {"tally": 2})
         leaving, staying = cluster.live("tally")
@@ -182,11 +181,10 @@
 
 class TestLeaving:
     def test_request_that_a_peer_refuses_is_not_run_here(self):
-        """Symptom: a leaving target gets new work long after its drain began.
+        """A leaving target must get no new work after its drain began.
 
-        Sequence: a request on an old connection is relayed to a peer, which
-        refuses it; the leaving agent tries again on its own.
-        Cause: the second try looked only at free slots.
+        A request on an old connection is relayed to a peer, which refuses it. A retry
+        that looks only at free slots would run it at the leaving agent.
         """
         cluster = Cluster(8, {"tally": 2})
         leaving, staying = cluster.live("tally")
@@ -207,12 +205,11 @@
 
 class TestTombstones:
     def test_late_copy_does_not_run_when_ownership_has_moved(self):
-        """Symptom: a ticket runs after its caller was told that it doesn't.
+        """A ticket must not run after its caller was answered "not run".
 
-        Sequence: an agent refuses second attempts; a new agent joins and
-        owns some of their claims; the first attempts arrive late.
-        Cause: the new owner has no tombstone and the asker, which has it,
-        trusted the owner.
+        An agent refuses second attempts. A new agent joins and owns some of their
+        claims, and the first attempts arrive late. The new owner has no tombstone;
+        the asker has it and must not rely on the owner.
         """
         cluster = Cluster(7, {"ledger": 1})
         cluster.connect("ledger")
@@ -233,11 +230,11 @@
 
 class TestCopies:
     def test_copies_relayed_to_each_other_are_answered(self):
-        """Symptom: both copies of a ticket wait until their callers give up.
+        """Two copies of a ticket must not wait until their callers give up.
 
-        Sequence: two agents get a copy each at the same moment, and each
-        finds the other less loaded and relays its copy to it.
-        Cause: each relayed copy joined the one that was relayed away.
+        Two agents get a copy each at the same moment, and each relays its copy to the
+        other. The copies would wait for each other if each relayed copy joined the
+        one that was relayed away.
         """
         cluster = Cluster(6, {"tally": 3})
         while len(cluster.connections) < 20:
@@ -276,11 +273,10 @@
         assert Paths(random.Random(1)).unanswered(0.1, b"new") is None
 
     def test_entry_that_loses_answers_is_avoided(self):
-        """Symptom: a caller's feed falls silent while its packets arrive.
+        """A caller's feed must not fall silent while its packets arrive.
 
-        Sequence: answers by one entry get lost; the caller's datagrams go
-        on coming by the same entry.
-        Cause: each datagram set the path back to the bad entry.
+        Answers through one entry get lost while the caller's datagrams keep arriving
+        through it. Its datagrams must not reset the path to that entry.
         """
         paths = self.paths()
         bad = self.ENTRIES[0]
--- a/packages/zinniahook-core/tests/test_claims.py
+++ b/packages/zinniahook-core/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: one run a key, through losses, moves of ownership and pauses."""
+"""Claims: at most one run per key despite losses, moved ownership and pauses."""
 
 import pytest
 from request_fakes import Group
@@ -66,10 +66,10 @@
         assert group.ran(first) == [1]
 
     def test_owner_that_runs_it_has_a_second_holder_first(self):
-        """
-        Symptom: a request runs again after a single death.
-        Sequence: the claim owner runs a request itself and dies.
-        Cause: nobody else had a record of it.
+        """A request must not run again after a single failure.
+
+        The claim owner runs a request itself and dies. Another agent must have a
+        record of it.
         """
         group = Group()
         owner, _second, third, _ = group.ranked()
@@ -132,10 +132,10 @@
         assert group.ran(second) == [3]
 
     def test_refusal_outlives_its_owner(self):
-        """
-        Symptom: a request runs after its caller was told that it didn't.
-        Sequence: the owner refuses it and dies; a late copy arrives elsewhere.
-        Cause: only the owner knew of the refusal.
+        """A request must not run after its caller was answered "not run".
+
+        The owner refuses it and dies, and a late copy arrives elsewhere. Another
+        agent must know of the refusal.
         """
         group = Group()
         owner, _, third, _ = group.ranked()
@@ -148,11 +148,11 @@
         assert group.ran(third) == []
 
     def test_later_attempt_that_joined_is_refused_by_its_own_number(self):
-        """
-        Symptom: a refused attempt runs.
-        Sequence: a late copy of attempt 1 waits; attempt 3 joins it; both are
-        refused; a copy of attempt 3 arrives elsewhere.
-        Cause: the tombstone names the attempt of the first copy.
+        """A refused attempt must not run.
+
+        A late copy of attempt 1 waits, and attempt 3 joins it. Both are refused, and
+        a copy of attempt 3 arrives elsewhere. The tombstone must not carry the
+        attempt of the first copy.
         """
         group = Group()
         owner, first, second, _ = group.ranked()
@@ -168,11 +168,11 @@
 
 class TestNewOwner:
     def test_asks_the_others_before_it_grants(self):
-        """
-        Symptom: a doubled ticket after a member joined.
-        Sequence: a request runs; a member joins that is better for its key; a
-        copy arrives.
-        Cause: the new owner takes its own ignorance for a proof.
+        """A ticket must not run twice after a member joined.
+
+        A request runs, then a member joins that ranks first for its key, and a copy
+        arrives. The new owner must not conclude from its missing record that the
+        request never ran.
         """
         group, key = self.before_a_join()
         _, first, second = group.ranked(key)
@@ -185,11 +185,11 @@
         assert group.replayed(second, 2) == [b"filed"]
 
     def test_denial_under_an_older_roster_is_ignored(self):
-        """
-        Symptom: two agents run one request while a roster spreads.
-        Sequence: a member joins and owns the key; it asks agents that don't
-        know of it; they know of no claim, and then make one among themselves.
-        Cause: a denial was taken for a promise that its giver can't keep.
+        """Two agents must not run one request while a roster spreads.
+
+        A member joins and owns the key. It asks agents that don't know of it yet;
+        they know of no claim and then make one among themselves. Their denial must
+        not count as a promise, which they can't keep.
         """
         group, key = self.before_a_join()
         _, first, second = group.ranked(key)
@@ -204,11 +204,11 @@
         assert group.ran(second) == []
 
     def test_claim_under_an_older_roster_is_not_held(self):
-        """
-        Symptom: two agents run one request while a roster spreads.
-        Sequence: a member joins and owns the key; the former owner, which
-        doesn't know, runs it, with a holder that has denied it to the new one.
-        Cause: a claim was made that a lookup had passed already.
+        """Two agents must not run one request while a roster spreads.
+
+        A member joins and owns the key. The former owner doesn't know and runs the
+        request, with a second holder that has already denied the claim to the new
+        owner. No claim may be made that a lookup has already missed.
         """
         group, key = self.before_a_join()
         owner, *others = group.ranked(key)
@@ -223,7 +223,7 @@
 
     @staticmethod
     def before_a_join():
-        """Return a group and a key that "d" will own as soon as it joins."""
+        """Return a group and a key that "d" owns as soon as it joins."""
         keys = (b"%d" % number for number in range(99))
         return Group("abc"), next(key for key in keys if rank(key, "abcd")[0] == "d")
 
@@ -237,10 +237,10 @@
         assert group.ran(first) == [1]
 
     def test_does_not_grant_after_two_deaths_at_once(self):
-        """
-        Symptom: a request runs again after two members died together.
-        Sequence: its owner and its runner die; a copy arrives.
-        Cause: all records of it are lost, and no record looks like no run.
+        """A request must not run again after two members died together.
+
+        Its owner and its runner die, and a copy arrives. All records of it are lost,
+        and a missing record looks like a request that never ran.
         """
         group = Group()
         owner, first, second, _ = group.ranked()
@@ -273,11 +273,11 @@
         assert 3 in group.ran(third) + group.ran(second)
 
     def test_two_rosters_never_make_two_owners(self):
-        """
-        Symptom: two agents run one request while a roster spreads.
-        Sequence: the owner is marked down but lives, and so does an agent that
-        hasn't heard of it; another agent asks the new owner.
-        Cause: two members believe to be the owner.
+        """Two agents must not run one request while a roster spreads.
+
+        The owner is marked down but still runs, as does an agent that doesn't know of
+        the change; another agent asks the new owner. Two members then consider
+        themselves the owner.
         """
         group = Group()
         owner, first, second, _ = group.ranked()
@@ -293,10 +293,10 @@
         assert group.ran(first) + group.ran(second) in ([1], [2])
 
     def test_grant_that_waited_in_a_paused_process_is_void(self):
-        """
-        Symptom: a doubled ticket after a process was stopped for a while.
-        Sequence: an agent asks; it is paused; the grant waits in its socket.
-        Cause: it acts on an authority that may be another's by now.
+        """A ticket must not run twice after a process was paused.
+
+        An agent asks for a claim and is paused while the grant waits in its socket.
+        It must not use a grant that another member may hold by now.
         """
         group = Group()
         owner, first, *_ = group.ranked()
@@ -310,11 +310,11 @@
         assert group.ran(first) == []
 
     def test_unused_grant_does_not_override_a_refusal(self):
-        """
-        Symptom: a request runs after its caller was told that it didn't.
-        Sequence: an owner grants itself a request, but its caller goes; the
-        owner leaves; the request is refused elsewhere; a late copy arrives.
-        Cause: a grant that was never used was taken for a run.
+        """A request must not run after its caller was answered "not run".
+
+        An owner grants itself a request, but the caller cancels and the owner leaves.
+        The request is refused elsewhere, and a late copy arrives. An unused grant
+        must not count as a run.
         """
         group = Group()
         owner, second, third, _ = group.ranked()
@@ -333,11 +333,11 @@
 
     @pytest.mark.parametrize("announced", [True, False])
     def test_restarted_member_does_not_vouch_for_lost_records(self, announced):
-        """
-        Symptom: a doubled ticket after two members crashed and came back.
-        Sequence: owner and runner crash; both start again under their names,
-        one before anybody noticed the other's crash.
-        Cause: the new life was taken for the old one, with its records.
+        """A ticket must not run twice after two members crashed and restarted.
+
+        Owner and runner crash, and both restart under their names, one of them before
+        any peer noticed the crash of the other. The new process must not be
+        considered the old one, with its records.
         """
         group = Group()
         owner, first, second, _ = group.ranked()
@@ -377,10 +377,10 @@
 
 class TestRecords:
     def test_evicted_record_makes_the_outcome_unknown(self):
-        """
-        Symptom: a doubled ticket on a busy agent.
-        Sequence: a record makes room for newer ones; a copy of it arrives.
-        Cause: a key without a record looks like one that never ran.
+        """A ticket must not run twice on a busy agent.
+
+        A record is evicted in favour of newer ones, and a copy of its request
+        arrives. A key without a record looks like one that never ran.
         """
         group = Group("ab")
         owner, other = group.ranked()
@@ -437,7 +437,7 @@
 
 
 class WithoutOwner(Requests):
-    """Broken: grants and refuses without asking the claim owner."""
+    """Faulty variant that grants and refuses without asking the claim owner."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
@@ -447,7 +447,7 @@
 
 
 class WithoutLookups(Requests):
-    """Broken: a new owner takes its ignorance for a proof."""
+    """Faulty variant whose new owner grants without a lookup."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
--- a/packages/zinniahook-core/tests/test_configuration.py
+++ b/packages/zinniahook-core/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration document: reading, writing, checking, comparing."""
+"""The configuration document: parsing, rendering, validation and diff."""
 
 import random
 
@@ -128,10 +128,10 @@
 
 class TestNumbers:
     def test_a_removed_number_must_be_retired(self):
-        """
-        Symptom: a packet of a removed service reaches its successor.
-        Sequence: service removed, its number given to a new one, late packet.
-        Cause: the connection id of the old flow names the number only.
+        """A packet of a removed service must not reach its successor.
+
+        A service is removed, its number is assigned to a new one, and a late packet
+        arrives. The connection id of the old flow names only the number.
         """
         before = parse(TEXT)
         services = {"tally": before.services_by_name["tally"]}
--- a/packages/zinniahook-core/tests/test_imports.py
+++ b/packages/zinniahook-core/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""What each package may import: one direction, and no I/O in the core."""
+"""Imports of the packages: in one direction, and without I/O in the core."""
 
 import ast
 import pathlib
--- a/packages/zinniahook-core/tests/test_parking.py
+++ b/packages/zinniahook-core/tests/test_parking.py
@@ -8,12 +8,11 @@
 
 class TestLeaving:
     def test_request_that_waited_for_a_claim_is_not_started(self):
-        """
-        Symptom: a leaving target gets new work 5 s after its drain began.
-        Sequence: a claim owner is silent, a request waits for it at another
-        agent; that one begins to leave; the owner is marked down.
-        Cause: the request had been taken before, so it was started once its
-        claim was granted, however late.
+        """A leaving target must get no new work 5 s after its drain began.
+
+        A claim owner is silent, and a request waits for it at another agent, which
+        begins to leave; then the owner is marked down. The request was admitted
+        before the drain, but must not start when its claim is granted late.
         """
         group = Group()
         owner, first, *_ = group.ranked()
--- a/packages/zinniahook-core/tests/test_requests.py
+++ b/packages/zinniahook-core/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests at an agent: copies, relays, retries, cancellation and drain."""
+"""Requests at one agent: copies, relays, retries, cancellation and drain."""
 
 import pytest
 from request_fakes import DONE, Group
@@ -13,7 +13,7 @@
 
 
 class FixedPlacement:
-    """A placement that hands to one peer, or only where it is forced."""
+    """A placement that chooses one peer, either always or only if forced."""
 
     def __init__(self, peer, always=False):
         self.peer, self.always = peer, always
@@ -55,11 +55,10 @@
         assert group.outcome("a", 2) is None
 
     def test_retrying_caller_gets_the_answer_of_its_run(self):
-        """
-        Symptom: a clerk files a ticket again that was filed.
-        Sequence: the connection breaks while the ticket runs; the device
-        connects again and sends the same key.
-        Cause: the run was cancelled with the connection.
+        """A clerk must not file a ticket again that was filed.
+
+        The connection breaks while the ticket runs; the device reconnects and sends
+        the same key. The run must not be cancelled with the connection.
         """
         group = Group("a")
         group.request("a", 1)
@@ -110,10 +109,10 @@
         assert group.ran(runner) == [1, 2]
 
     def test_broken_relay_is_settled_by_the_owner(self):
-        """
-        Symptom: "not run" is said of a ticket that was filed.
-        Sequence: an agent relays it; the relay breaks after the peer ran it.
-        Cause: a relay that broke was taken for a request that didn't run.
+        """A ticket that was filed must not be answered with "not run".
+
+        An agent relays it, and the relay breaks after the peer ran it. A broken relay
+        must not count as a request that didn't run.
         """
         group = Group("abc")
         _owner, first, second = group.ranked()
@@ -134,10 +133,10 @@
         assert group.ran("b") == [1]
 
     def test_two_relays_to_each_other_do_not_wait_for_each_other(self):
-        """
-        Symptom: two copies of a request are never answered.
-        Sequence: two agents relay their copies to each other at once.
-        Cause: each relayed copy joins the copy that was relayed away.
+        """Two copies of a request must not stay without an answer.
+
+        Two agents relay their copies to each other at once. They would wait for each
+        other if each relayed copy joined the copy that was relayed away.
         """
         group = Group("ab")
         use_placement(group, "a", peer="b", always=True)
@@ -149,11 +148,11 @@
         assert len(group.ran("a") + group.ran("b")) == 1
 
     def test_copy_of_a_former_leader_can_be_cancelled(self):
-        """
-        Symptom: an agent stops deciding on a request.
-        Sequence: a copy follows one that was relayed; a relayed copy leads the
-        key from then on; the follower leaves, and so does its leader.
-        Cause: the follower was looked for at the new leader.
+        """An agent must keep handling a request after a copy is cancelled.
+
+        A copy follows a relayed request, and then a relayed copy becomes the leader
+        of the key. The follower and its leader are cancelled. The follower has to be
+        looked up at its former leader, not at the new one.
         """
         group = Group("ab")
         use_placement(group, "a", peer="b", always=True)
@@ -168,10 +167,10 @@
 
 class TestWaiting:
     def test_dead_owner_does_not_hold_the_slots(self):
-        """
-        Symptom: nothing is served until a dead member is marked down.
-        Sequence: an owner dies; requests for its keys take every slot.
-        Cause: a request that waits for a claim holds its slot meanwhile.
+        """Requests must be served before a dead member is marked down.
+
+        A claim owner dies, and requests for its keys take every slot. A request must
+        not hold its slot all the time that it waits for its claim.
         """
         group = Group(slots=1)
         owner, first, *_ = group.ranked()
@@ -186,10 +185,10 @@
         assert group.ran(first) == [2, 1]
 
     def test_target_that_hangs_gives_its_slot_back(self):
-        """
-        Symptom: an agent serves nothing though nothing runs.
-        Sequence: the target hangs on a request whose caller set a deadline.
-        Cause: only the target's answer frees a slot.
+        """An agent must keep serving when a target hangs.
+
+        The target hangs on a request whose caller set a deadline. The slot must be
+        freed although the target never answers.
         """
         group = Group("a", slots=1)
         group.request("a", 1, b"", deadline=group.now + 2, idempotent=True)
@@ -235,11 +234,11 @@
 
 class TestFence:
     def test_nothing_queued_before_the_fence_runs_after_it(self):
-        """
-        Symptom: a doubled ticket after a process was stopped for a while.
-        Sequence: a request waits for its claim; the process is paused and
-        marked down; it wakes and gets the grant.
-        Cause: what was queued before the pause went on after it.
+        """A ticket must not run twice after a process was paused.
+
+        A request waits for its claim; the process is paused and marked down; it
+        resumes and gets the grant. Requests queued before the pause must not continue
+        after it.
         """
         group = Group(slots=1)
         _owner, first, *_ = group.ranked()
--- a/packages/zinniahook-core/tests/test_shedding.py
+++ b/packages/zinniahook-core/tests/test_shedding.py
@@ -1,4 +1,4 @@
-"""A target that sheds what it is given."""
+"""A target that sheds its requests."""
 
 from core_clusters import Cluster
 from zinniahook_core.codes import Code, Outcome, OutcomeKind
@@ -8,7 +8,7 @@
 
 
 def shed_all(node):
-    """Let a node's target shed whatever it is given."""
+    """Make a node's target shed every request."""
 
     def shed(number):
         node.feed(RequestFinished(number, SHED, False))
@@ -19,12 +19,11 @@
 
 class TestSheddingTarget:
     def test_new_work_goes_elsewhere(self):
-        """
-        Symptom: callers connected to one agent are refused again and again,
-        and wait for seconds, while the other targets are idle.
-        Sequence: the target of that agent sheds every request.
-        Cause: a shed request counted as a success, so that the target with
-        the fewest requests in progress looked like the best.
+        """Callers at one agent must not be refused while other targets are idle.
+
+        The target of that agent sheds every request. If a shed request counts as a
+        success, that target has the fewest requests in progress and looks best.
+        Callers are then refused again and again and wait for seconds.
         """
         cluster = Cluster(3, {"tally": 4})
         shedding, *_ = cluster.live("tally")
@@ -36,7 +35,7 @@
         for number in range(40):
             cluster.request(connection, b"ticket %d" % number, 1)
             cluster.run(0.5)
-        # A run takes up to 2.5 s here, and the last one may be of that kind.
+        # A request takes up to 2.5 s here, and the last one may take that long.
         cluster.run(5.0)
         refused = [told for told in cluster.told if told.kind is OutcomeKind.NOT_RUN]
         assert len(refused) < 8
