--- a/packages/zinniahook-core/src/zinniahook_core/agents.py
+++ b/packages/zinniahook-core/src/zinniahook_core/agents.py
@@ -1,4 +1,4 @@
-"""The core of one agent: routes each event to the part that decides it."""
+"""The core of one agent: dispatches each event to the part that handles it."""
 
 from __future__ import annotations
 
@@ -42,12 +42,14 @@
 
 __all__ = ["AgentCore"]
 
-RETRY_FENCED = 1.0
-"""Seconds after which a fenced agent tells callers to come back."""
+FENCED_RETRY_AFTER_SECONDS = 1.0
+"""Retry-After that a fenced agent sends."""
 
-TARGET_FAULTS = frozenset({Code.TARGET_FAILED, Code.TARGET_SHED, Code.ANSWER_LOST})
-"""Ends of a request that speak against the target. One that sheds is idle by the
-agent's counts, and would draw in the work that it refuses."""
+TARGET_FAULT_CODES = frozenset({Code.TARGET_FAILED, Code.TARGET_SHED, Code.ANSWER_LOST})
+"""Codes of finished requests that count as failures of the target.
+
+A target that sheds has few requests in progress by the agent's counts, so it
+would attract the work that it refuses."""
 
 Handler = Callable[[Any, float, Any], Iterable[AgentEffect]]
 
@@ -63,13 +65,13 @@
 
 
 class AgentCore:
-    """The decisions of the agent beside one target.
+    """State machine of the agent beside one target.
 
     Parameters
     ----------
     identity : Member
-        What the agent announces about itself. ``incarnation`` has to grow
-        from one start of the process to the next; ``state`` is set here.
+        The entry that the agent announces. ``incarnation`` has to grow with
+        each start of the process; ``state`` is set here.
     service : str
         The service that the target serves.
     rng : random.Random
@@ -84,33 +86,33 @@
         self.flows = Flows(identity.name, self.placement, self.load)
         unknown = Service(service, 0, Address("0.0.0.0", 0))
         self.requests = Requests(identity.name, unknown, rng, self.placement)
-        self._known = self.membership.roster
-        self._believed = self.membership.effective_roster
+        self._applied_roster = self.membership.roster
+        self._applied_believed = self.membership.effective_roster
         self._ready_since: float | None = None
         self._running: set[int] = set()
 
     @property
     def identity(self) -> Member:
-        """The agent as it announces itself now."""
+        """The entry that the agent currently announces."""
         return self.membership.identity
 
     @property
     def state(self) -> AgentState:
-        """What this agent says of itself."""
+        """The state that this agent announces."""
         return self.membership.state
 
     @property
     def roster(self) -> Roster:
-        """The newest roster learned."""
+        """The newest roster received."""
         return self.membership.roster
 
     @property
     def generation(self) -> int:
-        """The generation in force here; 0 before the first."""
+        """The generation in force at this agent; 0 before the first."""
         return self.configuration.generation if self.configuration else 0
 
     def handle(self, now: float, event: AgentEvent) -> list[AgentEffect]:
-        """Decide on one event; the driver executes the effects in order.
+        """Handle one event and return the effects, to be executed in order.
 
         Raises
         ------
@@ -120,13 +122,13 @@
         handler = _HANDLERS_BY_EVENT.get(type(event))
         if handler is None:
             raise TypeError(f"not an event of an agent: {event!r}")
-        effects = self._follow(now, self.membership.detect_pause(now))
+        effects = self._apply_membership(now, self.membership.detect_pause(now))
         effects += handler(self, now, event)
-        self._note_running(effects)
+        self._track_running(effects)
         return effects
 
     def load(self, now: float) -> Load:
-        """Count what is in progress at this agent."""
+        """Return the load of this agent: slots, requests, flows and streams."""
         requests = self.requests
         cold = 1.0 if self._ready_since is None else coldness(now, self._ready_since)
         return Load(
@@ -141,8 +143,10 @@
     def _reported_load(self, now: float) -> Load:
         return self.placement.reported(now, self.load(now))
 
-    def _follow(self, now: float, effects: list[AgentEffect]) -> list[AgentEffect]:
-        """Carry what membership decided into the other parts."""
+    def _apply_membership(
+        self, now: float, effects: list[AgentEffect]
+    ) -> list[AgentEffect]:
+        """Apply the effects of membership to the other parts of the agent."""
         followed: list[AgentEffect] = []
         for effect in effects:
             followed.append(effect)
@@ -150,38 +154,40 @@
                 self.flows.clear()
                 self._running.clear()
                 followed += self.requests.restart(now, effect.incarnation)
-        if self._believed is not self.membership.effective_roster:
-            self._believed = self.membership.effective_roster
-            self.flows.roster(now, self._believed)
-        if self._known is not self.membership.roster:
-            self._known = self.membership.roster
-            self.placement.roster(now, self._known)
-            followed += self.requests.handle(now, RosterChanged(self._known))
+        if self._applied_believed is not self.membership.effective_roster:
+            self._applied_believed = self.membership.effective_roster
+            self.flows.roster(now, self._applied_believed)
+        if self._applied_roster is not self.membership.roster:
+            self._applied_roster = self.membership.roster
+            self.placement.roster(now, self._applied_roster)
+            followed += self.requests.handle(now, RosterChanged(self._applied_roster))
         if not self.membership.fenced:
             self.requests.confirm(now, self.membership.incarnation)
         if self._ready_since is None and self.state is AgentState.READY:
             self._ready_since = now
-        # Nothing new is begun by an agent that leaves, or whose work peers
-        # may have taken over; what it handed on already still goes there.
+        # An agent that leaves, or whose work peers may have taken over, starts
+        # no new work. Flows that it handed over are still forwarded.
         self.flows.leaving = self.membership.leaving or self.membership.fenced
         return followed
 
-    def _note_running(self, effects: list[AgentEffect]) -> None:
+    def _track_running(self, effects: list[AgentEffect]) -> None:
         self._running.update(e.request for e in effects if isinstance(e, Run))
 
-    def _busy(self) -> bool:
+    def _has_work(self) -> bool:
         return self.flows.count > 0 or not self.requests.idle
 
     @_handles(Tick)
     def _tick(self, now: float, event: Tick) -> Iterable[AgentEffect]:
-        effects = self._follow(now, self.membership.tick(now, self._busy()))
+        effects = self._apply_membership(
+            now, self.membership.tick(now, self._has_work())
+        )
         return [*effects, *self.flows.tick(now), *self.requests.handle(now, event)]
 
     @_handles(ConfigurationChanged)
     def _configure(
         self, now: float, event: ConfigurationChanged
     ) -> Iterable[AgentEffect]:
-        # Pushes overtake each other: an accepted change must never revert.
+        # Pushes may arrive out of order; an accepted change must never revert.
         if event.configuration.generation <= self.generation:
             return [Count("agent.configuration_ignored")]
         self.configuration = event.configuration
@@ -194,20 +200,24 @@
 
     @_handles(RosterChanged)
     def _learn_roster(self, now: float, event: RosterChanged) -> Iterable[AgentEffect]:
-        return self._follow(now, self.membership.learn(now, event.roster))
+        return self._apply_membership(now, self.membership.learn(now, event.roster))
 
     @_handles(RosterWritten)
-    def _settle_roster(self, now: float, event: RosterWritten) -> Iterable[AgentEffect]:
-        return self._follow(now, self.membership.written(now, event))
+    def _receive_roster_write(
+        self, now: float, event: RosterWritten
+    ) -> Iterable[AgentEffect]:
+        return self._apply_membership(now, self.membership.written(now, event))
 
     @_handles(TargetReported)
-    def _take_report(self, now: float, event: TargetReported) -> Iterable[AgentEffect]:
+    def _receive_report(
+        self, now: float, event: TargetReported
+    ) -> Iterable[AgentEffect]:
         self.placement.health.reported(now, event)
-        return self._follow(now, self.membership.target_reported(now, event))
+        return self._apply_membership(now, self.membership.target_reported(now, event))
 
     @_handles(DrainRequested)
     def _drain(self, now: float, event: DrainRequested) -> Iterable[AgentEffect]:
-        effects = self._follow(now, self.membership.drain(now, event.seconds))
+        effects = self._apply_membership(now, self.membership.drain(now, event.seconds))
         return [*effects, *self.requests.handle(now, event)]
 
     @_handles(PeerDatagram)
@@ -215,7 +225,7 @@
         sender, message = event
         if isinstance(message, Heartbeat):
             self.placement.heartbeat(now, sender, message)
-            return self._follow(
+            return self._apply_membership(
                 now, self.membership.note_heartbeat(now, sender, message)
             )
         flows = self.flows.peer(now, sender, message)
@@ -227,7 +237,7 @@
             return [Drop(Code.SERVICE_MISMATCH)]
         if not self.membership.fenced:
             return self.flows.opening(now, event)
-        peer = self._other(now)
+        peer = self._choose_peer(now)
         return [HandOver(event.flow, peer)] if peer else [Drop(Code.FENCED)]
 
     @_handles(FlowDatagram)
@@ -236,13 +246,13 @@
             return [Drop(Code.SERVICE_MISMATCH)]
         if not self.membership.fenced:
             return self.flows.datagram(now, event)
-        peer = self._other(now) if event.hops < HOP_LIMIT else None
+        peer = self._choose_peer(now) if event.hops < HOP_LIMIT else None
         if peer is None:
             return [Drop(Code.FENCED)]
         caller, entry, payload, hops = event[1:5]
         return [ForwardDatagram(peer, caller, entry, payload, hops + 1)]
 
-    def _other(self, now: float) -> str | None:
+    def _choose_peer(self, now: float) -> str | None:
         return self.placement.choose_for_flow(now, self.load(now), forced=True)
 
     @_handles(FlowClosed)
@@ -253,17 +263,22 @@
     def _arrive(self, now: float, event: RequestArrived) -> Iterable[AgentEffect]:
         if not self.membership.fenced:
             return self.requests.handle(now, event)
-        # This copy isn't run here; whether another copy ran, a fenced agent
-        # can't tell, and a relaying peer holds the claim and decides itself.
+        # This copy doesn't run here, but a fenced agent can't know whether
+        # another copy ran. For a relayed request NOT_RUN is safe: the relaying
+        # peer holds the claim and decides.
         certain = event.idempotent or not event.key or event.relayed_by
         kind = OutcomeKind.NOT_RUN if certain else OutcomeKind.UNKNOWN
-        return [FinishRequest(event.request, Outcome(kind, Code.FENCED, RETRY_FENCED))]
+        return [
+            FinishRequest(
+                event.request, Outcome(kind, Code.FENCED, FENCED_RETRY_AFTER_SECONDS)
+            )
+        ]
 
     @_handles(RequestFinished)
     def _finish(self, now: float, event: RequestFinished) -> Iterable[AgentEffect]:
         if event.request in self._running:
             self._running.discard(event.request)
-            failed = event.outcome.code in TARGET_FAULTS
+            failed = event.outcome.code in TARGET_FAULT_CODES
             self.placement.health.finished(now, failed)
         return self.requests.handle(now, event)
 
--- a/packages/zinniahook-core/src/zinniahook_core/arbiters.py
+++ b/packages/zinniahook-core/src/zinniahook_core/arbiters.py
@@ -1,6 +1,6 @@
-"""The owner's part in claims: who may run or refuse a key.
+"""The claim owner's decisions: which agent may run or refuse a key.
 
-An owner answers from its records. One that may have become the owner lately
+An owner answers from its records. If it may have become the owner recently, it
 looks the key up at every other live member before it grants it.
 """
 
@@ -13,9 +13,9 @@
 from .lookups import Finding, Lookup, Lookups
 from .messages import ClaimAnswer, ClaimAsk, ClaimIntent, ClaimState
 from .records import (
-    KEY_LIFETIME,
-    LATENESS,
-    SMALL_ANSWER,
+    KEY_LIFETIME_SECONDS,
+    MAX_LATENESS_SECONDS,
+    SMALL_ANSWER_BYTES,
     Record,
     Records,
     granted,
@@ -23,49 +23,52 @@
 )
 from .views import MembershipView
 
-__all__ = ["Arbiter", "tell"]
+__all__ = ["Arbiter", "answer_from_record"]
 
-TWO_LOSSES = 2
+UNPROVABLE_LOSSES = 2
+"""Losses of records after which a missing claim proves nothing.
 
+Two members hold each claim, so a single loss leaves one record."""
 
-def tell(
+
+def answer_from_record(
     now: float, view: MembershipView, ask: ClaimAsk, record: Record
 ) -> ClaimAnswer:
-    """Return what a record says to an asker who isn't its runner."""
+    """Return the answer from a record to an asker that isn't its runner."""
     state = record.state
     if state is ClaimState.GRANTED:
         state = ClaimState.RUNNING
-    answer = record.answer if len(record.answer) <= SMALL_ANSWER else b""
+    answer = record.answer if len(record.answer) <= SMALL_ANSWER_BYTES else b""
     needs_runner = state is ClaimState.RUNNING or (
         state is ClaimState.FINISHED and not answer
     )
     if needs_runner and not view.current(record.runner, record.incarnation):
         state = ClaimState.UNKNOWN
     code = Code.ANSWER_LOST if state is ClaimState.UNKNOWN else Code.OK
-    retry_after = record.until - now if state is ClaimState.REFUSED else 0.0
+    retry_after = record.expires_at - now if state is ClaimState.REFUSED else 0.0
     return ClaimAnswer(
         ask.number,
         ask.key,
         state,
         record.runner,
         answer,
-        min(retry_after, LATENESS),
+        min(retry_after, MAX_LATENESS_SECONDS),
         code,
         record.incarnation,
     )
 
 
 class Arbiter:
-    """Decides on asks, and looks up what was claimed before.
+    """Decides on asks and looks up earlier claims at other members.
 
     Parameters
     ----------
     view : MembershipView
         The members as this agent sees them.
     records : Records
-        What this agent remembers.
+        The claim records that this agent holds.
     effects : list of AgentEffect
-        Where messages and counts are put.
+        The list to which messages and counts are added.
     next_number : callable
         Returns a fresh number for a lookup.
     """
@@ -84,7 +87,7 @@
         self._lookups = Lookups()
 
     def decide(self, now: float, sender: str, ask: ClaimAsk) -> ClaimAnswer | None:
-        """Answer an ask; None if it has to wait or isn't for this agent."""
+        """Answer an ask; return None if it has to wait or isn't for this agent."""
         if ask.revision > self._view.revision:
             self._effects.append(Count("claims.view_stale"))
             return None
@@ -98,49 +101,49 @@
             return None
         if self._needs_lookup(now, ask.key, record):
             return self._begin_lookup(now, sender, ask)
-        missing = self._forgotten(now, ask.attempt)
+        missing = self._count_evicted(now, ask.attempt)
         return self._decide(now, sender, ask, record, missing)
 
     def look(self, now: float, sender: str, ask: ClaimAsk) -> ClaimAnswer | None:
-        """Answer a new owner's LOOK; None if the rosters differ.
+        """Answer a new owner's LOOK; return None if the rosters differ.
 
-        Under an older roster this agent might still grant or run the key
-        after it denied it; under a newer one it never does.
+        Under an older roster than the owner's, this agent could still grant or
+        run the key after it reported no claim. Under a newer one it never does.
         """
         if ask.revision != self._view.revision:
             self._effects.append(Count("claims.view_stale"))
             return None
         record = self._records.get(now, ask.key)
-        if self._is_word(ask, record):
-            answer = tell(now, self._view, ask, record)
+        if self._is_evidence(ask, record):
+            answer = answer_from_record(now, self._view, ask, record)
         else:
             answer = ClaimAnswer(ask.number, ask.key, ClaimState.NONE, "")
-        losses = self._losses(now, ask)
-        covers = self._view.covers(now, _window(ask.attempt))
+        losses = self._count_losses(now, ask)
+        covers = self._view.covers(now, _claim_window(ask.attempt))
         return answer._replace(losses=losses, covers=covers)
 
-    def looked(
+    def receive_look_answer(
         self, now: float, sender: str, answer: ClaimAnswer
     ) -> tuple[str, ClaimAnswer] | None:
-        """Take the answer to a LOOK.
+        """Handle the answer to a LOOK.
 
         Returns
         -------
         (str, ClaimAnswer) or None
-            The asker and what it is told, once that is known.
+            The asker and the answer to its ask, once that is decided.
         """
         lookup = self._lookups.add_answer(sender, answer)
         return self._conclude(now, lookup) if lookup else None
 
     def tick(self, now: float) -> list[tuple[str, ClaimAnswer]]:
-        """Repeat the lookups that are unanswered, or do without an answer.
+        """Repeat unanswered lookups and conclude overdue ones.
 
-        A silent member counts as lost: of the two holders of a claim the
-        other one has answered. Returns askers with what they are told.
+        A silent member counts as one loss: of the two holders of a claim, the
+        other one has answered. Return pairs of asker and answer.
         """
         concluded = []
         for lookup in self._lookups.overdue(now):
-            if self._missing(now, lookup) >= TWO_LOSSES:
+            if self._count_missing(now, lookup) >= UNPROVABLE_LOSSES:
                 continue
             self._lookups.end(lookup)
             concluded.append(self._conclude(now, lookup))
@@ -149,15 +152,14 @@
         return concluded
 
     def reset(self) -> None:
-        """Forget the lookups made under an older roster; askers ask again."""
+        """Drop the lookups made under an older roster; the askers ask again."""
         self._lookups.drop_all()
 
-    def _is_word(self, ask: ClaimAsk, record: Record | None) -> bool:
-        """Tell whether a record says something in a lookup.
+    def _is_evidence(self, ask: ClaimAsk, record: Record | None) -> bool:
+        """Return whether a record is evidence of a claim in a lookup.
 
-        A grant to this very agent that it hasn't used says nothing: it was
-        asked for under an older roster and is void. Taken for a run, it would
-        outdo a refusal that came after it.
+        An unused grant to this agent is none: it was asked for under an older
+        roster and is void. Counted as a run, it would override a later refusal.
         """
         if record is None:
             return False
@@ -165,37 +167,38 @@
             return False
         return record.ran or _is_late(ask, record)
 
-    def _missing(self, now: float, lookup: Lookup) -> int:
+    def _count_missing(self, now: float, lookup: Lookup) -> int:
         """Count the losses and silent members that may hide a claim."""
-        own = self._losses(now, lookup.ask, lookup.waiting)
-        covers = self._view.covers(now, _window(lookup.ask.attempt))
+        own = self._count_losses(now, lookup.ask, lookup.waiting)
+        covers = self._view.covers(now, _claim_window(lookup.ask.attempt))
         return lookup.losses(own, covers)
 
     def _needs_lookup(self, now: float, key: bytes, record: Record | None) -> bool:
-        """Tell whether others may know more of a key than this owner."""
+        """Return whether other members may know more of a key than this owner."""
         if record is not None and record.state is ClaimState.FINISHED:
             return False
-        # A refusal is never checked: others may know one of a later attempt.
+        # A refusal never counts as checked: another member may know one of a
+        # later attempt.
         checked = record is not None and record.ran
-        if checked and record.checked == self._view.revision:
+        if checked and record.checked_revision == self._view.revision:
             return False
         return self._view.may_have_moved(now, key)
 
     def _conclude(self, now: float, lookup: Lookup) -> tuple[str, ClaimAnswer]:
         ask = lookup.ask
-        missing = self._missing(now, lookup)
+        missing = self._count_missing(now, lookup)
         own = self._records.get(now, ask.key)
-        if self._is_word(ask, own):
-            told = tell(now, self._view, ask, own)
+        if self._is_evidence(ask, own):
+            own_answer = answer_from_record(now, self._view, ask, own)
         else:
-            told = ClaimAnswer(ask.number, ask.key, ClaimState.NONE, "")
-        lookup.answers_by_name[self._view.name] = told
+            own_answer = ClaimAnswer(ask.number, ask.key, ClaimState.NONE, "")
+        lookup.answers_by_name[self._view.name] = own_answer
         finding = lookup.finding()
         if finding is None:
             if own is not None and own.ran:
                 self._records.remove(ask.key)
         elif finding.name != self._view.name:
-            self._learn(now, ask, finding)
+            self._record_finding(now, ask, finding)
         record = self._records.get(now, ask.key)
         return lookup.sender, self._decide(now, lookup.sender, ask, record, missing)
 
@@ -216,19 +219,18 @@
     ) -> ClaimAnswer:
         own = (record.runner, record.incarnation) == (sender, ask.incarnation)
         runs = ask.intent is ClaimIntent.RUN
-        if own and runs and 0 < ask.attempt <= record.refused:
-            # A grant that was never used must not outlive a refusal of the
-            # same attempt, which came after it.
+        if own and runs and 0 < ask.attempt <= record.highest_refused_attempt:
+            # An unused grant is void after a later refusal of the same attempt.
             return ClaimAnswer(ask.number, ask.key, ClaimState.REFUSED, sender)
         if own and record.state in (ClaimState.GRANTED, ClaimState.RUNNING):
-            # The runner knows best whether it ran: it asks only if it didn't.
+            # The runner asks again only if it hasn't run the request.
             return self._grant(now, sender, ask)
-        return tell(now, self._view, ask, record)
+        return answer_from_record(now, self._view, ask, record)
 
     def _decide_unclaimed(
         self, now: float, sender: str, ask: ClaimAsk, losses: int
     ) -> ClaimAnswer:
-        if losses >= TWO_LOSSES:
+        if losses >= UNPROVABLE_LOSSES:
             self._effects.append(Count("claims.unprovable"))
             return ClaimAnswer(
                 ask.number, ask.key, ClaimState.UNKNOWN, "", code=Code.ANSWER_LOST
@@ -236,26 +238,32 @@
         record = self._records.get(now, ask.key)
         late = record is not None and _is_late(ask, record)
         if late and ask.intent is ClaimIntent.RUN:
-            return tell(now, self._view, ask, record)
+            return answer_from_record(now, self._view, ask, record)
         return self._grant(now, sender, ask)
 
     def _grant(self, now: float, sender: str, ask: ClaimAsk) -> ClaimAnswer:
         make = granted if ask.intent is ClaimIntent.RUN else refused
         record = make(now, sender, ask.incarnation, ask.attempt)
-        record.checked = self._view.revision
-        record.number = ask.number
+        record.checked_revision = self._view.revision
+        record.ask_number = ask.number
         self._records.put(now, ask.key, record)
         return ClaimAnswer(ask.number, ask.key, record.state, sender)
 
-    def _losses(self, now: float, ask: ClaimAsk, silent: Iterable[str] = ()) -> int:
+    def _count_losses(
+        self, now: float, ask: ClaimAsk, silent: Iterable[str] = ()
+    ) -> int:
         """Count the losses and ``silent`` members that may hide a claim."""
-        window = _window(ask.attempt)
+        window = _claim_window(ask.attempt)
         losses = self._view.losses(now, window, ask.key, silent)
-        return losses + self._forgotten(now, ask.attempt)
-
-    def _forgotten(self, now: float, attempt: int) -> int:
-        """Return TWO_LOSSES if a record had to make room that may matter."""
-        return TWO_LOSSES if self._records.horizon > now - _window(attempt) else 0
+        return losses + self._count_evicted(now, ask.attempt)
+
+    def _count_evicted(self, now: float, attempt: int) -> int:
+        """Return UNPROVABLE_LOSSES if a relevant record may have been evicted."""
+        return (
+            UNPROVABLE_LOSSES
+            if self._records.eviction_horizon > now - _claim_window(attempt)
+            else 0
+        )
 
     def _begin_lookup(
         self, now: float, sender: str, ask: ClaimAsk
@@ -263,7 +271,7 @@
         waiting = {name for name in self._view.live if name != sender}
         if not waiting:
             record = self._records.get(now, ask.key)
-            return self._decide(now, sender, ask, record, self._losses(now, ask))
+            return self._decide(now, sender, ask, record, self._count_losses(now, ask))
         lookup = Lookup(
             self._next_number(), sender, ask, self._view.revision, waiting, now, now
         )
@@ -276,13 +284,13 @@
         message = self._lookups.message(lookup, view.name, view.incarnation)
         self._effects += [SendPeer(name, message) for name in sorted(lookup.waiting)]
 
-    def _learn(self, now: float, ask: ClaimAsk, finding: Finding) -> None:
+    def _record_finding(self, now: float, ask: ClaimAsk, finding: Finding) -> None:
         name, found = finding
         state = found.state
         if state is ClaimState.RUNNING:
             state = ClaimState.GRANTED
         refusal = state is ClaimState.REFUSED
-        lifetime = found.retry_after if refusal else KEY_LIFETIME
+        lifetime = found.retry_after if refusal else KEY_LIFETIME_SECONDS
         record = Record(
             state,
             found.runner,
@@ -298,17 +306,17 @@
         self._records.put(now, ask.key, record)
 
 
-def _window(attempt: int) -> float:
-    """Return for how long before an ask a run of its key may have begun.
+def _claim_window(attempt: int) -> float:
+    """Return how long before an ask a run of its key may have begun, in seconds.
 
-    A copy of a first attempt is at most LATENESS old, and so is whatever ran
-    under its key.
+    A copy of a first attempt is at most MAX_LATENESS_SECONDS old, and so is any
+    run under its key.
     """
-    return LATENESS if attempt == 1 else KEY_LIFETIME
+    return MAX_LATENESS_SECONDS if attempt == 1 else KEY_LIFETIME_SECONDS
 
 
 def _is_late(ask: ClaimAsk, record: Record) -> bool:
-    """Tell whether an ask is for a copy of what was refused already."""
+    """Return whether an ask is for a copy of an attempt that was refused."""
     if not record.attempt or not ask.attempt:
         return True
     return ask.attempt <= record.attempt
--- a/packages/zinniahook-core/src/zinniahook_core/budgets.py
+++ b/packages/zinniahook-core/src/zinniahook_core/budgets.py
@@ -1,63 +1,71 @@
-"""Limits on callers that come back: a retry budget and a return schedule.
+"""Limits on retries: a retry budget and a schedule of Retry-After times.
 
-What goes wrong without them: callers that never give up retry what was
-refused, the retries keep the queues full, and the overload goes on after its
-cause has gone (a metastable failure). It shows as a rate of arrivals that
-stays high while few requests are first attempts.
+Without them, callers that never give up keep the queues full with retries, and
+an overload continues after its cause has ended (a metastable failure). The rate
+of arrivals then stays high while few requests are first attempts.
 """
 
 from __future__ import annotations
 
 import random
 
-__all__ = ["RetryBudget", "ReturnSchedule"]
+__all__ = ["RetryBudget", "RetrySchedule"]
 
 FIRST_ATTEMPT_CREDIT = 0.2
+"""Tokens added for each first attempt."""
+
 SUCCESS_CREDIT = 0.1
-BUDGET_LIMIT = 20.0
-RETRY_SHARE = 0.5
-SHORTEST_RETURN = 0.1
-LONGEST_RETURN = 30.0
-JITTER = 0.25
+"""Tokens added for each answered request."""
+
+MAX_BUDGET_TOKENS = 20.0
+
+RETRY_CAPACITY_SHARE = 0.5
+"""Fraction of the service rate that scheduled retries may use."""
+
+MIN_RETRY_AFTER_SECONDS = 0.1
+MAX_RETRY_AFTER_SECONDS = 30.0
+
+RETRY_AFTER_JITTER = 0.25
+"""Largest relative change of a Retry-After, up or down."""
 
 
 class RetryBudget:
-    """A token bucket that retries draw on while there is no free slot.
+    """A token bucket for retries that have to wait for a slot.
 
-    First attempts and successes fill it, so retries in the queue stay a
-    bounded part of useful work whatever the callers do.
+    First attempts and successes fill it, so queued retries stay a bounded
+    fraction of useful work, however callers behave.
     """
 
     def __init__(self) -> None:
-        self._tokens = BUDGET_LIMIT
+        self._tokens = MAX_BUDGET_TOKENS
 
     @property
     def tokens(self) -> float:
-        """Retries that may be queued right now."""
+        """Number of retries that may be queued now."""
         return self._tokens
 
-    def attempted(self) -> None:
-        """Credit a first attempt."""
-        self._tokens = min(BUDGET_LIMIT, self._tokens + FIRST_ATTEMPT_CREDIT)
+    def credit_first_attempt(self) -> None:
+        """Add the credit of a first attempt."""
+        self._tokens = min(MAX_BUDGET_TOKENS, self._tokens + FIRST_ATTEMPT_CREDIT)
 
-    def succeeded(self) -> None:
-        """Credit a request that was answered."""
-        self._tokens = min(BUDGET_LIMIT, self._tokens + SUCCESS_CREDIT)
+    def credit_success(self) -> None:
+        """Add the credit of an answered request."""
+        self._tokens = min(MAX_BUDGET_TOKENS, self._tokens + SUCCESS_CREDIT)
 
     def take(self) -> bool:
-        """Draw one token; False if there is none."""
+        """Take one token; return False if there is none."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
 
-class ReturnSchedule:
-    """Times for refused callers to come back, spaced by the capacity.
+class RetrySchedule:
+    """Retry times for refused callers, spaced according to the service rate.
 
-    Each refusal books the next free place in the future, so those that obey
-    arrive at a rate that can be served beside new work, and Retry-After grows
-    with the pressure of refusals by itself.
+    Each refusal reserves the next free time. Callers that follow Retry-After
+    then arrive at a rate that can be served beside new work, and Retry-After
+    grows with the number of refusals.
 
     Parameters
     ----------
@@ -67,9 +75,9 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._booked_until = 0.0
+        self._reserved_until = 0.0
 
-    def book(self, now: float, drain: float, capacity: float) -> float:
+    def reserve(self, now: float, drain: float, capacity: float) -> float:
         """Return the Retry-After of one refusal.
 
         Parameters
@@ -77,18 +85,18 @@
         now : float
             Monotonic seconds.
         drain : float
-            Expected seconds until what is queued has been served.
+            Expected seconds until the queue has been served.
         capacity : float
-            Requests a second that the class can serve.
+            Requests per second that the class can serve.
 
         Returns
         -------
         float
-            Seconds from now, between SHORTEST_RETURN and LONGEST_RETURN,
-            jitter aside.
+            Seconds from now, between MIN_RETRY_AFTER_SECONDS and
+            MAX_RETRY_AFTER_SECONDS before the jitter.
         """
-        step = 1.0 / max(RETRY_SHARE * capacity, 1e-3)
-        self._booked_until = max(self._booked_until, now + drain) + step
-        self._booked_until = min(self._booked_until, now + LONGEST_RETURN)
-        delay = max(SHORTEST_RETURN, self._booked_until - now)
-        return delay * (1.0 + JITTER * (2.0 * self._rng.random() - 1.0))
+        step = 1.0 / max(RETRY_CAPACITY_SHARE * capacity, 1e-3)
+        self._reserved_until = max(self._reserved_until, now + drain) + step
+        self._reserved_until = min(self._reserved_until, now + MAX_RETRY_AFTER_SECONDS)
+        delay = max(MIN_RETRY_AFTER_SECONDS, self._reserved_until - now)
+        return delay * (1.0 + RETRY_AFTER_JITTER * (2.0 * self._rng.random() - 1.0))
--- a/packages/zinniahook-core/src/zinniahook_core/claims.py
+++ b/packages/zinniahook-core/src/zinniahook_core/claims.py
@@ -1,8 +1,9 @@
 """Claims: which agent runs a non-idempotent request, at most once.
 
-The claim owner of a key is the best ready member for it. Whoever wants to run
-or refuse the key asks the owner first; two members hold the record before
-anything runs. The reasoning is in docs/design/requests.md.
+The claim owner of a key is the ready member that ranks first for it. An agent
+asks the owner before it runs or refuses a request with that key, and two
+members hold the record before the request runs. docs/design/requests.md gives
+the reasoning.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from .arbiters import Arbiter, tell
+from .arbiters import Arbiter, answer_from_record
 from .codes import Code
 from .effects import AgentEffect, SendPeer
 from .lookups import REPEAT_AFTER_SECONDS
@@ -31,10 +32,11 @@
 
 __all__ = ["Claims", "Settled"]
 
-GRANT_LIFETIME = 2.0
-"""A grant older than this, counted from its ask, may have been taken over."""
+GRANT_LIFETIME_SECONDS = 2.0
+"""Validity of a grant, counted from its ask; later, another member may hold it."""
 
-PARTNER_TRIES = 3
+TRIES_PER_PARTNER = 3
+"""Attempts to replicate a record to one partner before the next one is used."""
 
 Handler = Callable[[Any, float, str, Any], None]
 
@@ -50,7 +52,7 @@
 
 
 class Settled(NamedTuple):
-    """The answer to one claim of a local request."""
+    """The result of the claim of one local request."""
 
     request: int
     state: ClaimState
@@ -61,11 +63,11 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class PendingAsk:
     """A claim that a local request waits for.
 
-    ``partner`` is set while the owner, this agent, waits for a second member
-    to hold the record.
+    ``until`` is when the ask is given up. ``partner`` is set only if this agent
+    is the owner: it names the second member that has to store the record first.
     """
 
     request: int
@@ -82,7 +84,7 @@
 
 
 class Claims:
-    """The claims of one agent: as asker, as runner, as owner and as holder.
+    """Claims of one agent, in the roles of asker, runner, owner and record holder.
 
     Parameters
     ----------
@@ -95,8 +97,8 @@
         self._numbers = itertools.count(1)
         self._effects: list[AgentEffect] = []
         self._settled: list[Settled] = []
-        self._asks_by_request: dict[int, Ask] = {}
-        self._asks_by_number: dict[int, Ask] = {}
+        self._asks_by_request: dict[int, PendingAsk] = {}
+        self._asks_by_number: dict[int, PendingAsk] = {}
         self._confirmed = False
         self.view = MembershipView(name)
         self.records = Records()
@@ -106,18 +108,18 @@
 
     @property
     def handed_over(self) -> bool:
-        """Whether, after ``leave``, others hold all that is held here."""
+        """Whether, after ``leave``, other members hold all records held here."""
         return self._replication.leaving and self._replication.handed_over
 
     def take(self) -> tuple[list[AgentEffect], list[Settled]]:
-        """Return the effects and settled asks since the last call."""
+        """Return and clear the effects and results since the last call."""
         effects = list(self._effects)
         self._effects.clear()
         settled, self._settled = self._settled, []
         return effects, settled
 
-    def known(self, now: float, key: bytes) -> Settled | None:
-        """Return what became of ``key`` if this very agent ran it."""
+    def local_result(self, now: float, key: bytes) -> Settled | None:
+        """Return the result of ``key`` if this agent ran it, else None."""
         record = self.records.get(now, key)
         if record is None or record.runner != self._name:
             return None
@@ -135,59 +137,61 @@
         intent: ClaimIntent,
         until: float,
     ) -> None:
-        """Ask for a key; the answer is returned by ``take``.
+        """Ask the owner for a key; ``take`` returns the result.
 
         Parameters
         ----------
         now, until : float
-            Monotonic seconds; without an answer by ``until`` it is UNKNOWN.
-        request, attempt : int
-            The driver's name for the request; its caller's count.
+            Monotonic seconds; without an answer by ``until``, the result is
+            UNKNOWN.
+        request : int
+            The driver's number of the request.
+        attempt : int
+            The caller's attempt number, or 0 if it gave none.
         key : bytes
             The idempotency key.
         intent : ClaimIntent
             RUN or REFUSE.
         """
         self.forget(request)
-        ask = Ask(request, key, attempt, intent, until)
+        ask = PendingAsk(request, key, attempt, intent, until)
         self._asks_by_request[request] = ask
-        self._ask_anew(now, ask)
+        self._restart_ask(now, ask)
 
     def forget(self, request: int) -> None:
-        """Drop the ask of a request; a late grant to it is void."""
+        """Drop the ask of a request; a grant that arrives later is ignored."""
         ask = self._asks_by_request.pop(request, None)
         if ask is not None:
             self._asks_by_number.pop(ask.number, None)
 
     def finished(self, now: float, key: bytes, answer: bytes) -> None:
-        """Keep the answer of what ran here and tell the other holders."""
+        """Store the answer of a request that ran here and notify other holders."""
         self._replication.finished(now, key, answer)
 
     def failed(self, now: float, key: bytes) -> None:
-        """Note that nobody can tell what became of what ran here."""
+        """Record that the result of a request that ran here is unknown."""
         self._replication.failed(now, key)
 
     def unstarted(self, now: float, key: bytes) -> None:
-        """Note that the target never saw what was granted to this agent."""
+        """Record that the target never received a request granted to this agent."""
         record = self.records.get(now, key)
         if record is not None and record.runner == self._name:
             record.state = ClaimState.GRANTED
 
     def leave(self) -> None:
-        """Hand everything over; see ``handed_over``.
+        """Hand all records over; see ``handed_over``.
 
-        To be called again once the roster shows that this agent leaves: until
-        then it may still have granted claims as their owner.
+        Call it again once the roster lists this agent as leaving: until then
+        it may still have granted claims as their owner.
         """
         self._replication.leaving = True
         self._replication.start_transfer()
 
     def confirm(self, now: float, incarnation: int) -> None:
-        """Take part: the roster holds this very process under ``incarnation``.
+        """Start to take part: the roster lists this process as ``incarnation``.
 
-        What goes wrong otherwise: a process starts under the name of one that
-        has crashed, finds the entry of its former life in the roster, and
-        vouches for records that are lost.
+        Otherwise a process restarted under the name of a crashed one would take
+        the old roster entry for its own and vouch for records that are lost.
         """
         if self._confirmed:
             return
@@ -196,12 +200,12 @@
         self.view.incarnation = incarnation
         self._replication.start_transfer()
         for ask in list(self._asks_by_request.values()):
-            self._ask_anew(now, ask)
+            self._restart_ask(now, ask)
 
     def restart(self, now: float) -> None:
-        """Stop taking part until confirmed; what was waited for is void.
+        """Drop all asks and take no part until confirmed again.
 
-        Records are facts of the past and stay.
+        Records are kept: they describe what already happened.
         """
         self._confirmed = False
         self._asks_by_request.clear()
@@ -210,27 +214,27 @@
         self.view.restart(now)
 
     def learn(self, now: float, roster: Roster) -> None:
-        """Take a newer roster.
+        """Apply a newer roster.
 
-        Every ask starts again, under a new number. Otherwise a late grant of
-        a former owner could meet a grant of its successor, which was told
-        that nothing runs here.
+        Every ask restarts under a new number. Otherwise a late grant of the
+        former owner could be used beside a grant of the new owner, which has
+        looked here and found no run.
         """
         if not self.view.learn(now, roster):
             return
         self._arbiter.reset()
         self._replication.start_transfer()
         for ask in list(self._asks_by_request.values()):
-            self._ask_anew(now, ask)
+            self._restart_ask(now, ask)
 
     def receive(self, now: float, sender: str, message: object) -> None:
-        """Take a peer's message."""
+        """Handle a message from a peer."""
         handler = _HANDLERS_BY_MESSAGE.get(type(message))
         if handler is not None and self._confirmed:
             handler(self, now, sender, message)
 
     def tick(self, now: float) -> None:
-        """Repeat what is unanswered and give up what is overdue."""
+        """Repeat unanswered asks and give up overdue ones."""
         for ask in list(self._asks_by_request.values()):
             if now >= ask.until:
                 self.forget(ask.request)
@@ -242,17 +246,17 @@
         self.records.expire(now)
         if not self._confirmed:
             return
-        for asker, told in self._arbiter.tick(now):
-            self._reply(now, asker, told)
+        for asker, answer in self._arbiter.tick(now):
+            self._reply(now, asker, answer)
         self._replication.tick(now)
 
     # As asker and runner
 
-    def _ask_anew(self, now: float, ask: Ask) -> None:
-        self._renew(now, ask)
+    def _restart_ask(self, now: float, ask: PendingAsk) -> None:
+        self._renumber(now, ask)
         self._send(now, ask)
 
-    def _renew(self, now: float, ask: Ask) -> None:
+    def _renumber(self, now: float, ask: PendingAsk) -> None:
         self._asks_by_number.pop(ask.number, None)
         ask.number = self._next_number()
         ask.owner = self.view.owner(ask.key)
@@ -260,15 +264,15 @@
         ask.first_sent_at = ask.sent_at = now
         self._asks_by_number[ask.number] = ask
 
-    def _repeat(self, now: float, ask: Ask) -> None:
-        if now - ask.first_sent_at >= GRANT_LIFETIME:
-            self._ask_anew(now, ask)
+    def _repeat(self, now: float, ask: PendingAsk) -> None:
+        if now - ask.first_sent_at >= GRANT_LIFETIME_SECONDS:
+            self._restart_ask(now, ask)
         elif ask.partner:
             self._replicate(now, ask)
         else:
             self._send(now, ask)
 
-    def _send(self, now: float, ask: Ask) -> None:
+    def _send(self, now: float, ask: PendingAsk) -> None:
         ask.sent_at = now
         if ask.owner is None or not self._confirmed:
             return
@@ -278,9 +282,9 @@
             return
         answer = self._arbiter.decide(now, self._name, message)
         if answer is not None:
-            self._answered(now, self._name, answer)
+            self._receive_answer(now, self._name, answer)
 
-    def _message(self, ask: Ask) -> ClaimAsk:
+    def _message(self, ask: PendingAsk) -> ClaimAsk:
         return ClaimAsk(
             ask.number,
             ask.key,
@@ -292,70 +296,71 @@
         )
 
     @_receives(ClaimAnswer)
-    def _answered(self, now: float, sender: str, answer: ClaimAnswer) -> None:
+    def _receive_answer(self, now: float, sender: str, answer: ClaimAnswer) -> None:
         ask = self._asks_by_number.get(answer.number)
         if ask is None:
-            self._looked(now, sender, answer)
+            self._receive_look_answer(now, sender, answer)
             return
         if ask.key != answer.key or ask.owner != sender or ask.partner:
             return
-        if now - ask.first_sent_at >= GRANT_LIFETIME:
-            # What goes wrong: this process was paused and the grant waited in
-            # its socket, while the key went to another member. It would show
-            # as a doubled request. The owner has to say it again.
-            self._ask_anew(now, ask)
+        if now - ask.first_sent_at >= GRANT_LIFETIME_SECONDS:
+            # This process may have been paused while the grant waited in its
+            # socket, and the key may belong to another member by now. Using
+            # the grant would run the request twice, so the owner is asked again.
+            self._restart_ask(now, ask)
             return
         if answer.state not in (ClaimState.GRANTED, ClaimState.REFUSED):
-            self._settle(ask, self._settled_by(ask, answer))
+            self._settle(ask, self._settled_from(ask, answer))
             return
-        if self._contradicted(now, ask):
+        if self._settle_by_own_record(now, ask):
             return
         if answer.state is ClaimState.REFUSED and ask.intent is ClaimIntent.RUN:
-            self._settle(ask, self._settled_by(ask, answer))
+            self._settle(ask, self._settled_from(ask, answer))
         elif ask.owner == self._name:
             self._replicate(now, ask)
         else:
-            self._hold(now, ask)
+            self._record_decision(now, ask)
             self._conclude(now, ask)
 
-    def _contradicted(self, now: float, ask: Ask) -> bool:
-        """Settle an ask by a record that another agent left here.
+    def _settle_by_own_record(self, now: float, ask: PendingAsk) -> bool:
+        """Settle an ask by a contradicting record held here, if there is one.
 
-        The owner doesn't look up at the asker, so the asker looks itself.
+        The owner's lookup leaves the asker out, so the asker checks itself.
+        Return whether the ask was settled.
         """
         record = self.records.get(now, ask.key)
         if record is None or not _forbids(record, ask, self._name):
             return False
-        answer = tell(now, self.view, self._message(ask), record)
-        self._settle(ask, self._settled_by(ask, answer))
+        answer = answer_from_record(now, self.view, self._message(ask), record)
+        self._settle(ask, self._settled_from(ask, answer))
         return True
 
-    def _hold(self, now: float, ask: Ask) -> None:
-        """Record a grant or refusal at the asker."""
+    def _record_decision(self, now: float, ask: PendingAsk) -> None:
+        """Store a grant or refusal at the asker."""
         make = granted if ask.intent is ClaimIntent.RUN else refused
         record = make(now, self._name, self.view.incarnation, ask.attempt)
-        record.other = ask.owner or ""
-        record.other_incarnation = self.view.incarnation_of(record.other)
+        record.other_holder = ask.owner or ""
+        record.other_holder_incarnation = self.view.incarnation_of(record.other_holder)
         self.records.put(now, ask.key, record)
 
-    def _replicate(self, now: float, ask: Ask) -> None:
-        """As owner and asker: let a second member hold the record first.
+    def _replicate(self, now: float, ask: PendingAsk) -> None:
+        """Replicate a record to a second member before this owner uses it.
 
-        What goes wrong: an agent that owns the claim of what it runs dies,
-        and with it the only record. It would show as a doubled request at
-        the next owner, after a single death.
+        Otherwise the only record would be lost if an agent that both owns the
+        claim and runs the request dies. After this single failure the next
+        owner would run the request again.
         """
         partners = self.view.partners(ask.key)
         if not partners:
             self._conclude(now, ask)
             return
         record = self.records.get(now, ask.key)
-        if not self._stands(record, ask):
-            # Asked again at a later tick: at once, an owner that keeps
-            # deciding what doesn't stand would ask itself without end.
-            self._renew(now, ask)
+        if not self._still_stored(record, ask):
+            # Ask again at a later tick. Asking at once would loop for ever
+            # while this owner keeps making decisions that aren't stored.
+            self._renumber(now, ask)
             return
-        ask.partner = partners[ask.tries // PARTNER_TRIES % len(partners)]
+        ask.partner = partners[ask.tries // TRIES_PER_PARTNER % len(partners)]
         ask.tries += 1
         ask.sent_at = now
         message = ClaimRecords(
@@ -368,16 +373,17 @@
         )
         self._effects.append(SendPeer(ask.partner, message))
 
-    def _stands(self, record: Record | None, ask: Ask) -> bool:
-        """Tell whether what this agent decided as owner still holds.
+    def _still_stored(self, record: Record | None, ask: PendingAsk) -> bool:
+        """Return whether the decision of this owner is still on record.
 
-        While a second member was awaited, a later attempt may have got the key.
+        A later attempt may have been granted the key while this agent waited
+        for the second member.
         """
         if record is None or record.runner != self._name:
             return False
         return record.ran == (ask.intent is ClaimIntent.RUN)
 
-    def _conclude(self, now: float, ask: Ask) -> None:
+    def _conclude(self, now: float, ask: PendingAsk) -> None:
         record = self.records.get(now, ask.key)
         if ask.intent is ClaimIntent.REFUSE:
             self._settle(ask, Settled(ask.request, ClaimState.REFUSED, ""))
@@ -386,7 +392,7 @@
             record.state = ClaimState.RUNNING
         self._settle(ask, Settled(ask.request, ClaimState.GRANTED, self._name))
 
-    def _settled_by(self, ask: Ask, answer: ClaimAnswer) -> Settled:
+    def _settled_from(self, ask: PendingAsk, answer: ClaimAnswer) -> Settled:
         return Settled(
             ask.request,
             answer.state,
@@ -396,14 +402,14 @@
             answer.code,
         )
 
-    def _settle(self, ask: Ask, settled: Settled) -> None:
+    def _settle(self, ask: PendingAsk, settled: Settled) -> None:
         self.forget(ask.request)
         self._settled.append(settled)
 
     # As owner
 
     @_receives(ClaimAsk)
-    def _asked(self, now: float, sender: str, ask: ClaimAsk) -> None:
+    def _receive_ask(self, now: float, sender: str, ask: ClaimAsk) -> None:
         if ask.runner != sender or not self.view.valid(sender, ask.incarnation):
             return
         look = ask.intent is ClaimIntent.LOOK
@@ -412,60 +418,64 @@
         if answer is not None:
             self._effects.append(SendPeer(sender, answer))
 
-    def _looked(self, now: float, sender: str, answer: ClaimAnswer) -> None:
-        reply = self._arbiter.looked(now, sender, answer)
+    def _receive_look_answer(
+        self, now: float, sender: str, answer: ClaimAnswer
+    ) -> None:
+        reply = self._arbiter.receive_look_answer(now, sender, answer)
         if reply is None:
             return
         self._reply(now, *reply)
 
-    def _reply(self, now: float, asker: str, told: ClaimAnswer) -> None:
+    def _reply(self, now: float, asker: str, answer: ClaimAnswer) -> None:
         if asker == self._name:
-            self._answered(now, self._name, told)
+            self._receive_answer(now, self._name, answer)
         else:
-            self._effects.append(SendPeer(asker, told))
+            self._effects.append(SendPeer(asker, answer))
 
     # As holder of a copy
 
     @_receives(ClaimFinished)
-    def _told_finished(self, now: float, sender: str, message: ClaimFinished) -> None:
+    def _receive_finished(
+        self, now: float, sender: str, message: ClaimFinished
+    ) -> None:
         self._replication.learn_finished(now, sender, message)
 
     @_receives(ClaimRecords)
-    def _told_records(self, now: float, sender: str, message: ClaimRecords) -> None:
+    def _receive_records(self, now: float, sender: str, message: ClaimRecords) -> None:
         if message.acknowledge:
             self._replication.learn_records(now, sender, message)
         elif not self._replication.acknowledged(now, sender, message.number):
-            self._acknowledged(now, sender, message.number)
+            self._receive_acknowledgement(now, sender, message.number)
 
-    def _acknowledged(self, now: float, sender: str, number: int) -> None:
+    def _receive_acknowledgement(self, now: float, sender: str, number: int) -> None:
         ask = self._asks_by_number.get(number)
         if ask is None or ask.partner != sender:
             return
-        if now - ask.first_sent_at >= GRANT_LIFETIME:
-            self._ask_anew(now, ask)
+        if now - ask.first_sent_at >= GRANT_LIFETIME_SECONDS:
+            self._restart_ask(now, ask)
             return
         record = self.records.get(now, ask.key)
-        if not self._stands(record, ask):
-            # Asked again at a later tick: at once, an owner that keeps
-            # deciding what doesn't stand would ask itself without end.
-            self._renew(now, ask)
+        if not self._still_stored(record, ask):
+            # Ask again at a later tick. Asking at once would loop for ever
+            # while this owner keeps making decisions that aren't stored.
+            self._renumber(now, ask)
             return
-        record.other = sender
-        record.other_incarnation = self.view.incarnation_of(sender)
+        record.other_holder = sender
+        record.other_holder_incarnation = self.view.incarnation_of(sender)
         self._conclude(now, ask)
 
     def _next_number(self) -> int:
-        # Numbers of an earlier life must not match: its answers may be late.
+        # Late answers to an earlier incarnation must not match a current ask.
         return (self.view.incarnation & 0xFFFFFFFF) << 32 | next(self._numbers)
 
 
-def _forbids(record: Record, ask: Ask, name: str) -> bool:
-    """Tell whether the asker's own record forbids what an owner allowed.
+def _forbids(record: Record, ask: PendingAsk, name: str) -> bool:
+    """Return whether the asker's own record forbids what the owner allowed.
 
-    What goes wrong: an agent refuses a request while it owns the claim, then
-    ownership moves, and a late copy of the refused attempt arrives. The new
-    owner knows of no tombstone. It would show as a request that runs after
-    its caller was told that it doesn't.
+    An agent may refuse a request as the claim owner, after which ownership
+    moves and a late copy of the refused attempt arrives. The new owner knows no
+    tombstone. Without this check the request would run after its caller was
+    answered "not run".
     """
     if record.ran:
         return record.runner != name
--- a/packages/zinniahook-core/src/zinniahook_core/records.py
+++ b/packages/zinniahook-core/src/zinniahook_core/records.py
@@ -1,4 +1,4 @@
-"""What one agent remembers of claims, bounded by count, bytes and age."""
+"""Claim records of one agent, bounded by count, bytes and age."""
 
 from __future__ import annotations
 
@@ -10,35 +10,42 @@
 from .messages import ClaimAsk, ClaimRecord, ClaimState
 
 __all__ = [
-    "KEY_LIFETIME",
-    "LATENESS",
+    "KEY_LIFETIME_SECONDS",
+    "MAX_LATENESS_SECONDS",
     "Record",
     "Records",
-    "SMALL_ANSWER",
-    "UNNUMBERED_LIFETIME",
+    "SMALL_ANSWER_BYTES",
+    "UNNUMBERED_TOMBSTONE_SECONDS",
     "granted",
     "refused",
 ]
 
-KEY_LIFETIME = 3600.0
-"""A caller retries a key for at most this long after its first attempt."""
+KEY_LIFETIME_SECONDS = 3600.0
+"""Longest time after the first attempt in which a caller retries a key."""
 
-LATENESS = 20.0
-"""A copy of an attempt asks for its claim at most this long after it was sent.
+MAX_LATENESS_SECONDS = 20.0
+"""Longest time from sending a copy of an attempt to the ask for its claim.
 
-Half of it may be spent waiting at an agent, the rest on the way."""
+A copy may wait at an agent for half of it; the other half is for the way."""
 
-TOMBSTONE_LIFETIME = 60.0
+TOMBSTONE_LIFETIME_SECONDS = 60.0
+"""How long the refusal of a numbered attempt is kept."""
 
-UNNUMBERED_LIFETIME = 5.0
-"""Without attempt numbers the next attempt can't be told from a late copy of
-the refused one, so the tombstone lapses after this long and the caller is told
-to come back no earlier."""
+UNNUMBERED_TOMBSTONE_SECONDS = 5.0
+"""How long the refusal of an attempt without a number is kept.
 
-RECORDS_LIMIT = 20_000
-ANSWERS_LIMIT = 4 << 20
-SMALL_ANSWER = 900
-EXPIRED_PER_CALL = 256
+Without attempt numbers, the next attempt can't be distinguished from a late copy
+of the refused one. So the caller's Retry-After is at least this long."""
+
+MAX_RECORDS = 20_000
+MAX_ANSWERS_BYTES = 4 << 20
+"""Limit on the total size of stored answers."""
+
+SMALL_ANSWER_BYTES = 900
+"""Largest answer that a claim message carries."""
+
+MAX_EXPIRED_PER_CALL = 256
+"""Limit on the work of one call of ``Records.expire``."""
 
 _PRECEDENCE = {
     ClaimState.REFUSED: 1,
@@ -51,89 +58,89 @@
 
 @dataclass(slots=True)
 class Record:
-    """What is known of one key.
-
-    ``at`` is when it was first recorded and ``until`` when it is forgotten,
-    in monotonic seconds. ``other`` is a member that holds the record too,
-    besides this agent and the runner. ``checked`` is the roster revision under
-    which this agent, as the owner, last made sure that it is right, and
-    ``number`` that of the ask that it granted then. ``refused`` is the highest
-    attempt that was refused before.
+    """The record of the claim of one key.
+
+    ``recorded_at`` is when it was first recorded and ``expires_at`` when it is
+    forgotten, in monotonic seconds. ``other_holder`` is a member that holds the
+    record too, besides this agent and the runner. ``checked_revision`` is the
+    roster revision under which this agent, as the owner, last made sure that it
+    is right, and ``ask_number`` the number of the ask that it granted then.
+    ``highest_refused_attempt`` is the highest attempt that was refused before.
     """
 
     state: ClaimState
     runner: str
     incarnation: int
     attempt: int
-    at: float
-    until: float
+    recorded_at: float
+    expires_at: float
     answer: bytes = b""
-    other: str = ""
-    other_incarnation: int = 0
-    checked: int = 0
-    number: int = 0
-    refused: int = 0
+    other_holder: str = ""
+    other_holder_incarnation: int = 0
+    checked_revision: int = 0
+    ask_number: int = 0
+    highest_refused_attempt: int = 0
 
     @property
     def ran(self) -> bool:
-        """Whether the target may have seen the request."""
+        """Whether the target may have received the request."""
         return self.state is not ClaimState.REFUSED
 
     def outdates(self, ask: ClaimAsk) -> bool:
-        """Tell whether the runner sent an ask before the one that was granted.
+        """Return whether the runner sent an ask before the one that was granted.
 
-        What goes wrong: a runner asks to refuse a request, then to run a later
-        attempt; the first ask is delayed, arrives while the request runs, and
-        passes for the runner's word that it gives the grant back.
+        A runner may ask to refuse a request and then to run a later attempt.
+        If the first ask is delayed and arrives while the request runs, it must
+        not be read as the runner returning its grant.
         """
         if (self.runner, self.incarnation) != (ask.runner, ask.incarnation):
             return False
-        return ask.number < self.number or ask.revision < self.checked
+        return ask.number < self.ask_number or ask.revision < self.checked_revision
 
     def message(self, now: float, key: bytes) -> ClaimRecord:
-        """Return the record as it is sent to a peer."""
-        answer = self.answer if len(self.answer) <= SMALL_ANSWER else b""
-        age = max(0.0, now - self.at)
+        """Return the record as a message for a peer."""
+        answer = self.answer if len(self.answer) <= SMALL_ANSWER_BYTES else b""
+        age = max(0.0, now - self.recorded_at)
         return ClaimRecord(
             key, self.state, self.runner, self.incarnation, self.attempt, age, answer
         )
 
 
 def granted(now: float, runner: str, incarnation: int, attempt: int) -> Record:
-    """Return the record that ``runner`` may run a key."""
-    until = now + KEY_LIFETIME
+    """Return the record of a grant: ``runner`` may run the key."""
+    until = now + KEY_LIFETIME_SECONDS
     return Record(ClaimState.GRANTED, runner, incarnation, attempt, now, until)
 
 
 def refused(now: float, refuser: str, incarnation: int, attempt: int) -> Record:
     """Return the tombstone of a refused attempt."""
-    until = now + _lifetime(ClaimState.REFUSED, attempt)
+    until = now + _lifetime_seconds(ClaimState.REFUSED, attempt)
     return Record(ClaimState.REFUSED, refuser, incarnation, attempt, now, until)
 
 
-def _lifetime(state: ClaimState, attempt: int) -> float:
+def _lifetime_seconds(state: ClaimState, attempt: int) -> float:
     if state is not ClaimState.REFUSED:
-        return KEY_LIFETIME
-    return TOMBSTONE_LIFETIME if attempt else UNNUMBERED_LIFETIME
+        return KEY_LIFETIME_SECONDS
+    return TOMBSTONE_LIFETIME_SECONDS if attempt else UNNUMBERED_TOMBSTONE_SECONDS
 
 
 class Records:
-    """Records by key, the oldest forgotten first.
+    """Records by key, of which the oldest are evicted first.
 
-    ``horizon`` is the creation time of the newest record that was forgotten
-    before its time. It shows as ``evicted``: without it, a key whose record
-    had to make room would look as if it had never run.
+    ``eviction_horizon`` is the creation time of the newest record that was
+    evicted before it expired; ``evicted`` counts such records. Without this
+    time, a key whose record was evicted would look as if it had never run.
     """
 
     def __init__(
-        self, limit: int = RECORDS_LIMIT, answers_limit: int = ANSWERS_LIMIT
+        self, limit: int = MAX_RECORDS, answers_limit_bytes: int = MAX_ANSWERS_BYTES
     ) -> None:
         self._limit = limit
-        self._answers_limit = answers_limit
+        self._answers_limit_bytes = answers_limit_bytes
         self._by_key: OrderedDict[bytes, Record] = OrderedDict()
         self._answered: OrderedDict[bytes, None] = OrderedDict()
         self.answer_bytes = 0
-        self.horizon = -math.inf
+        self.eviction_horizon = -math.inf
         self.evicted = 0
         self.evicted_answers = 0
 
@@ -144,45 +151,49 @@
         return iter(list(self._by_key.items()))
 
     def newest_first(self) -> list[bytes]:
-        """Return all keys, the one recorded last first."""
+        """Return all keys, the most recently stored first."""
         return list(reversed(self._by_key))
 
     def get(self, now: float, key: bytes) -> Record | None:
-        """Return the record of a key unless its time is over."""
+        """Return the record of a key, or None if it is missing or expired."""
         record = self._by_key.get(key)
-        if record is None or record.until <= now:
+        if record is None or record.expires_at <= now:
             return None
         return record
 
     def put(self, now: float, key: bytes, record: Record) -> None:
-        """Keep a record in place of any other of its key."""
+        """Store a record in place of the present one of its key."""
         known = self._by_key.get(key)
         if known is not None:
-            told = 0 if known.ran else known.attempt
-            record.refused = max(record.refused, known.refused, told)
+            refused_attempt = 0 if known.ran else known.attempt
+            record.highest_refused_attempt = max(
+                record.highest_refused_attempt,
+                known.highest_refused_attempt,
+                refused_attempt,
+            )
         if known is not None and not (known.ran or record.ran):
             record.attempt = max(record.attempt, known.attempt)
-            record.until = max(record.until, known.until)
+            record.expires_at = max(record.expires_at, known.expires_at)
         self.remove(key)
         self._by_key[key] = record
         if record.answer:
             self._answered[key] = None
             self.answer_bytes += len(record.answer)
-        self._make_room(now)
+        self._evict(now)
 
     def remove(self, key: bytes) -> None:
-        """Forget a key on purpose."""
+        """Remove the record of a key; this doesn't count as an eviction."""
         record = self._by_key.pop(key, None)
         if record is not None and record.answer:
             del self._answered[key]
             self.answer_bytes -= len(record.answer)
 
-    def absorb(
+    def merge(
         self, now: float, message: ClaimRecord, sender: str, incarnation: int
     ) -> bool:
-        """Take a record from a peer; False if it contradicts one held here.
+        """Store a record from a peer; return False if it contradicts one held here.
 
-        ``incarnation`` is the sender's, who holds the record too.
+        ``incarnation`` is that of the sender, which holds the record too.
         """
         known = self.get(now, message.key)
         if known is not None and not _supersedes(known, message):
@@ -195,7 +206,7 @@
             message.incarnation,
             message.attempt,
             at,
-            at + _lifetime(message.state, message.attempt),
+            at + _lifetime_seconds(message.state, message.attempt),
             message.answer,
             sender,
             incarnation,
@@ -204,15 +215,15 @@
         return True
 
     def expire(self, now: float) -> None:
-        """Forget some of the records whose time is over, the oldest first."""
-        for _ in range(EXPIRED_PER_CALL):
+        """Remove some of the expired records, the oldest first."""
+        for _ in range(MAX_EXPIRED_PER_CALL):
             key = next(iter(self._by_key), None)
-            if key is None or self._by_key[key].until > now:
+            if key is None or self._by_key[key].expires_at > now:
                 return
             self.remove(key)
 
-    def _make_room(self, now: float) -> None:
-        while self.answer_bytes > self._answers_limit:
+    def _evict(self, now: float) -> None:
+        while self.answer_bytes > self._answers_limit_bytes:
             key, _ = self._answered.popitem(last=False)
             record = self._by_key[key]
             self.answer_bytes -= len(record.answer)
@@ -221,8 +232,8 @@
         while len(self._by_key) > self._limit:
             key = next(iter(self._by_key))
             record = self._by_key[key]
-            if record.until > now and record.ran:
-                self.horizon = max(self.horizon, record.at)
+            if record.expires_at > now and record.ran:
+                self.eviction_horizon = max(self.eviction_horizon, record.recorded_at)
                 self.evicted += 1
             self.remove(key)
 
@@ -230,8 +241,8 @@
 def _supersedes(known: Record, message: ClaimRecord) -> bool:
     old, new = _PRECEDENCE[known.state], _PRECEDENCE.get(message.state, 0)
     if message.state is ClaimState.REFUSED and known.ran:
-        # A runner may give its grant back, unless it got a later one since;
-        # without attempt numbers that can't be told.
+        # A runner may return its grant unless it got a later one since. Without
+        # attempt numbers these cases can't be distinguished.
         given_back = known.runner == message.runner and message.attempt > 0
         unused = known.state is ClaimState.GRANTED
         return given_back and unused and message.attempt >= known.attempt
--- a/packages/zinniahook-core/src/zinniahook_core/requests.py
+++ b/packages/zinniahook-core/src/zinniahook_core/requests.py
@@ -1,8 +1,8 @@
-"""Requests at one agent: admission, placement and claims together.
+"""Handling of requests at one agent: admission, placement and claims.
 
-A request holds a slot, then a claim if it is not idempotent, then it runs.
-Whatever is given up gets its final answer at once. How non-idempotent
-requests run at most once is told in docs/design/requests.md.
+A request first gets a slot, then a claim if it isn't idempotent, then it runs.
+A request that can't be served gets its final answer at once.
+docs/design/requests.md describes how non-idempotent requests run at most once.
 """
 
 from __future__ import annotations
@@ -39,22 +39,33 @@
 from .messages import ClaimIntent
 from .models import AgentState, Load, Member, Service
 from .openrequests import OpenRequest, OpenRequests, RequestPlacement, Stage
-from .outcomes import CANCEL_WAIT, may_join, may_try_again, outcome_of, overtime
+from .outcomes import (
+    CANCEL_TIMEOUT_SECONDS,
+    grace_after_deadline,
+    may_join,
+    may_retry,
+    outcome_of,
+)
 from .placement import coldness
-from .records import LATENESS, UNNUMBERED_LIFETIME
+from .records import MAX_LATENESS_SECONDS, UNNUMBERED_TOMBSTONE_SECONDS
 
 __all__ = ["Requests"]
 
-KEY_LIMIT = 128
-REFUSE_WAIT = 8.0
-"""Longer than it takes to mark a dead claim owner down."""
+MAX_KEY_BYTES = 128
+"""Longest accepted idempotency key."""
+
+REFUSE_TIMEOUT_SECONDS = 8.0
+"""Limit on recording a refusal; longer than marking a dead claim owner down takes."""
+
+CLAIM_TIMEOUT_SECONDS = MAX_LATENESS_SECONDS / 2
+"""Longest wait of a claimed request at this agent. The other half of
+``records.MAX_LATENESS_SECONDS`` is left for the way to the agent."""
 
-CLAIM_PATIENCE = LATENESS / 2
-"""How long a claimed request may wait here; see ``records.LATENESS``."""
+PARK_DELAY_SECONDS = 0.05
+"""How long a request keeps its slot while it waits for its claim.
 
-PARK_AFTER = 0.05
-"""Seconds that a request keeps its slot while its claim is asked for; an answer
-takes a few milliseconds. Longer, and a dead member costs the live ones slots."""
+An answer takes a few milliseconds. With a longer delay, requests that wait for
+a dead member would hold the slots of live ones."""
 
 Handler = Callable[[Any, float, Any], None]
 
@@ -70,7 +81,7 @@
 
 
 class Requests:
-    """The requests of one agent.
+    """Admits, places, claims and finishes the requests of one agent.
 
     Parameters
     ----------
@@ -81,7 +92,7 @@
     rng : random.Random
         The only source of randomness.
     placement : RequestPlacement, optional
-        Chooses a peer for a request; without it everything runs here.
+        Chooses a peer for a request; without it every request runs here.
     """
 
     def __init__(
@@ -104,49 +115,50 @@
 
     @property
     def busy(self) -> int:
-        """Slots held now."""
+        """Number of slots in use."""
         return self.admission.busy
 
     @property
     def queued(self) -> int:
-        """Requests that wait for a slot."""
+        """Number of requests that wait for a slot."""
         return self.admission.queued
 
     @property
     def streams(self) -> int:
-        """Long-lived streams in progress."""
+        """Number of long-lived streams in progress."""
         return self.admission.streams
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is in progress here, nor to be handed over."""
+        """Whether no request is open and no claim record is left to hand over."""
         if len(self._open):
             return False
         return not self.leaving or self.claims.handed_over
 
     def handle(self, now: float, event: AgentEvent) -> list[AgentEffect]:
-        """Decide on one event; events of no concern have no effect."""
+        """Handle one event and return the effects; ignore unrelated events."""
         handler = _HANDLERS_BY_EVENT.get(type(event))
         if handler is None:
             return []
         handler(self, now, event)
-        self._go_on(now)
+        self._process_pending(now)
         effects, self.effects = self.effects, []
         return effects
 
     def confirm(self, now: float, incarnation: int) -> None:
-        """Note that the roster holds this very process under ``incarnation``.
+        """Record that the roster lists this process under ``incarnation``.
 
-        Nothing is claimed before. To be called again after ``restart``; a call
-        while it is confirmed has no effect.
+        No claim is made before the first call. Call it again after ``restart``;
+        other repeated calls have no effect.
         """
         self.claims.confirm(now, incarnation)
 
     def restart(self, now: float, incarnation: int) -> list[AgentEffect]:
-        """Fence this agent: drop what waits, cancel what runs without a claim.
+        """Fence this agent: drop waiting requests, cancel running unclaimed ones.
 
-        ``incarnation`` is the next one, to be confirmed. A claimed request
-        that runs at the target goes on there, but its record says unknown.
+        A claimed request that already runs at the target continues there, but
+        its record is set to unknown. ``incarnation`` is the next one and has to
+        be confirmed by ``confirm``.
 
         """
         for item in self._open:
@@ -199,13 +211,13 @@
     @_handles(Tick)
     def _tick(self, now: float, event: Tick) -> None:
         if self._ready_since is not None:
-            self.admission.warm(coldness(now, self._ready_since))
+            self.admission.set_coldness(coldness(now, self._ready_since))
         self.claims.tick(now)
         for item in self._open:
-            if item.stage is Stage.CLAIMING and now - item.since > PARK_AFTER:
+            if item.stage is Stage.CLAIMING and now - item.since > PARK_DELAY_SECONDS:
                 self._park(now, item)
             elif item.stage in (Stage.RUNNING, Stage.RELAYED):
-                self._limit(now, item)
+                self._enforce_deadline(now, item)
 
     @_handles(RequestArrived)
     def _arrive(self, now: float, event: RequestArrived) -> None:
@@ -215,17 +227,17 @@
         if rule is None:
             self._answer(event.request, OutcomeKind.NOT_RUN, Code.CLASS_UNKNOWN)
             return
-        if len(event.key) > KEY_LIMIT:
+        if len(event.key) > MAX_KEY_BYTES:
             self._answer(event.request, OutcomeKind.NOT_RUN, Code.KEY_TOO_LONG)
             return
         deadline = now + rule.deadline
         if event.deadline > 0:
             deadline = min(deadline, event.deadline)
         if event.key and not event.idempotent:
-            deadline = min(deadline, now + CLAIM_PATIENCE)
+            deadline = min(deadline, now + CLAIM_TIMEOUT_SECONDS)
         item = OpenRequest(event, deadline, event.attempt, since=now)
         self._open.add(item)
-        if item.needs_claim and self._follow(now, item):
+        if item.needs_claim and self._join_copy(now, item):
             return
         self._place(now, item, rule.slots)
 
@@ -247,7 +259,7 @@
         if done:
             self._open.close(item)
             return
-        if self._try_again(now, item, event, was_relayed):
+        if self._retry(now, item, event, was_relayed):
             return
         self.conclude(item, outcome_of(item, event))
 
@@ -257,8 +269,8 @@
         if item is None:
             return
         if item.stage is Stage.RUNNING and item.needs_claim:
-            # The caller may only have lost its connection. It comes back with
-            # the same key and then needs the answer of this very run.
+            # The caller may only have lost its connection. When it retries with
+            # the same key, it needs the answer of this run.
             self.count("requests.orphaned")
             return
         if item.stage is Stage.JOINED:
@@ -274,20 +286,20 @@
 
     def _place(self, now: float, item: OpenRequest, slots: int) -> None:
         if self.leaving:
-            peer = self._choose(now, item, slots, forced=True)
+            peer = self._choose_peer(now, item, slots, forced=True)
             if peer is None:
                 refusal = self.admission.refuse(now, item.event.kind, Code.LEAVING)
                 self.refuse(now, item, refusal)
                 return
             self.relay(now, item, peer)
             return
-        peer = self._choose(now, item, slots) if slots else None
+        peer = self._choose_peer(now, item, slots) if slots else None
         if peer is None:
             self._admit(now, item)
             return
         self.relay(now, item, peer)
 
-    def _choose(
+    def _choose_peer(
         self, now: float, item: OpenRequest, slots: int, forced: bool = False
     ) -> str | None:
         if self._placement is None or item.event.relayed_by or item.relays:
@@ -295,7 +307,7 @@
         return self._placement.choose_for_request(now, slots, self._load(), forced)
 
     def relay(self, now: float, item: OpenRequest, peer: str) -> None:
-        """Hand a request to a peer."""
+        """Relay a request to a peer."""
         item.stage = Stage.RELAYED
         item.since = now
         item.relays += 1
@@ -304,24 +316,26 @@
         self.effects.append(Relay(item.number, peer))
         self.join_followers(item)
 
-    def _limit(self, now: float, item: OpenRequest) -> None:
-        """Cancel what runs past the deadline that its caller gave.
+    def _enforce_deadline(self, now: float, item: OpenRequest) -> None:
+        """Cancel a request that runs past the deadline set by its caller.
 
-        What goes wrong otherwise: a target hangs, and its requests hold their
-        slots for good. It shows as slots in use and nothing finished.
+        Otherwise the requests at a target that hangs would hold their slots for
+        ever: slots stay in use and no request finishes.
         """
-        if item.event.deadline <= 0 or now < item.event.deadline + overtime(item):
+        if item.event.deadline <= 0 or now < item.event.deadline + grace_after_deadline(
+            item
+        ):
             return
         if item.cancelled_at is None:
             item.cancelled_at = now
             self.count("requests.overdue")
             self.effects.append(CancelRequest(item.number))
-        elif now - item.cancelled_at >= CANCEL_WAIT:
+        elif now - item.cancelled_at >= CANCEL_TIMEOUT_SECONDS:
             lost = Outcome(OutcomeKind.UNKNOWN, Code.DEADLINE_EXPIRED)
             self._finish(now, RequestFinished(item.number, lost, started=True))
 
     def join_followers(self, item: OpenRequest) -> None:
-        """Let the followers of a request have its answer."""
+        """Attach the followers of a request to its answer."""
         self.effects += [JoinRequest(number, item.number) for number in item.followers]
 
     def _admit(self, now: float, item: OpenRequest) -> None:
@@ -346,31 +360,34 @@
         self._claim(now, item, ClaimIntent.RUN, item.deadline)
 
     def _park(self, now: float, item: OpenRequest) -> None:
-        # What goes wrong: a claim owner has died, and until it is marked down
-        # the requests that wait for it hold every slot. Without its slot such
-        # a request waits on, and queues again once the claim is granted.
+        # When a claim owner dies, the requests that wait for its answer would
+        # hold every slot until it is marked down. A parked request gives its
+        # slot back, keeps waiting, and queues again once its claim is granted.
         self.admission.release(now, item.number, answered=False)
         item.stage = Stage.PARKED
         self.count("requests.parked")
 
     def refuse(self, now: float, item: OpenRequest, refusal: Decision) -> None:
-        """End a request that certainly hasn't run."""
+        """Refuse a request that has certainly not run."""
         self.count("requests.refused")
         item.refusal = refusal
         if not item.needs_claim:
             outcome = Outcome(OutcomeKind.NOT_RUN, refusal.code, refusal.retry_after)
             self.conclude(item, outcome)
             return
-        # Without a tombstone a late copy of this request could still run
-        # after its caller was told that it hasn't.
+        # Without a tombstone, a late copy of this request could still run
+        # after its caller was answered "not run".
         item.stage = Stage.REFUSING
         if not item.attempt:
-            retry_after = max(refusal.retry_after, UNNUMBERED_LIFETIME)
+            retry_after = max(refusal.retry_after, UNNUMBERED_TOMBSTONE_SECONDS)
             item.refusal = replace(refusal, retry_after=retry_after)
-        self._claim(now, item, ClaimIntent.REFUSE, now + REFUSE_WAIT)
+        self._claim(now, item, ClaimIntent.REFUSE, now + REFUSE_TIMEOUT_SECONDS)
 
-    def _follow(self, now: float, item: OpenRequest) -> bool:
-        """Join the copy of this request that is open here already."""
+    def _join_copy(self, now: float, item: OpenRequest) -> bool:
+        """Attach a request to an open copy or to the known result of its key.
+
+        Return whether there was either.
+        """
         key = item.event.key
         leader = self._open.leader(key)
         if leader is not None and may_join(item, leader):
@@ -380,17 +397,17 @@
                 self.effects.append(JoinRequest(item.number, leader.number))
             return True
         self._open.set_leader(item)
-        known = self.claims.known(now, key)
+        known = self.claims.local_result(now, key)
         if known is None:
             return False
         self._settle(now, known._replace(request=item.number))
         return True
 
     def _raise_attempt(self, now: float, leader: OpenRequest, attempt: int) -> None:
-        """Let a leader stand for a later attempt of its request as well.
+        """Raise the attempt number of a leader to that of a follower.
 
-        What goes wrong otherwise: the tombstone names the leader's attempt, a
-        follower of a later one is told "not run", and a copy of that runs.
+        Otherwise the tombstone would carry the leader's lower attempt: the
+        follower is answered "not run", yet a copy of its attempt still runs.
         """
         if attempt <= leader.attempt:
             return
@@ -398,7 +415,7 @@
         if leader.stage in (Stage.CLAIMING, Stage.PARKED):
             self._claim(now, leader, ClaimIntent.RUN, leader.deadline)
         elif leader.stage is Stage.REFUSING:
-            self._claim(now, leader, ClaimIntent.REFUSE, now + REFUSE_WAIT)
+            self._claim(now, leader, ClaimIntent.REFUSE, now + REFUSE_TIMEOUT_SECONDS)
 
     def _claim(
         self, now: float, item: OpenRequest, intent: ClaimIntent, until: float
@@ -413,10 +430,10 @@
         for item in items:
             self._arrive(now, item.event)
 
-    def _try_again(
+    def _retry(
         self, now: float, item: OpenRequest, event: RequestFinished, was_relayed: bool
     ) -> bool:
-        if not may_try_again(now, item, event):
+        if not may_retry(now, item, event):
             return False
         if not self.admission.credit(item.event.kind):
             return False
@@ -425,12 +442,12 @@
         peer = None
         rule = self.admission.rule(item.event.kind)
         if rule is not None and not was_relayed:
-            peer = self._choose(now, item, rule.slots, forced=True)
+            peer = self._choose_peer(now, item, rule.slots, forced=True)
         if peer is not None:
             self.relay(now, item, peer)
             return True
         if self.leaving:
-            # What a peer refused would be new work for a target that leaves.
+            # The peer refused it; a target that leaves takes no new work.
             return False
         self._admit(now, item)
         return True
@@ -440,17 +457,17 @@
         if item is not None:
             settlements.settle(self, now, item, settled)
 
-    def _go_on(self, now: float) -> None:
-        """Carry every consequence of an event through."""
-        while self._advance(now):
+    def _process_pending(self, now: float) -> None:
+        """Process settled claims, refusals and free slots until none is left."""
+        while self._process_once(now):
             continue
 
-    def _advance(self, now: float) -> bool:
+    def _process_once(self, now: float) -> bool:
         effects, settled = self.claims.take()
         self.effects += effects
         for answer in settled:
             self._settle(now, answer)
-        given_up = self.admission.hopeless(now)
+        given_up = self.admission.refuse_infeasible(now)
         for number, refusal in given_up:
             self.refuse(now, self._open.get(number), refusal)
         started = self.admission.start(now)
@@ -459,7 +476,7 @@
         return bool(effects or settled or given_up or started)
 
     def conclude(self, item: OpenRequest, outcome: Outcome) -> None:
-        """Give a request and its followers their final answer."""
+        """Send a request and its followers their final answer."""
         for number in (item.number, *item.followers):
             self.effects.append(FinishRequest(number, outcome))
         self.close_all(item)
@@ -468,7 +485,7 @@
         self.effects.append(FinishRequest(request, Outcome(kind, code)))
 
     def close_all(self, item: OpenRequest) -> None:
-        """Forget a request and its followers."""
+        """Close a request and its followers."""
         self._open.close_all(item)
 
     def count(self, name: str, amount: int = 1) -> None:
--- a/packages/zinniahook-core/src/zinniahook_core/settlements.py
+++ b/packages/zinniahook-core/src/zinniahook_core/settlements.py
@@ -1,7 +1,7 @@
-"""What becomes of claimed requests: their claim is settled, or they end.
+"""Handling of claimed requests once their claim is settled or they end.
 
-One function for each state of a claim, in a registry. Which of them runs is the
-claim owner's word; see docs/design/requests.md.
+A registry holds one function for each claim state. The claim owner's answer
+selects the function; see docs/design/requests.md.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 __all__ = ["RequestAgent", "finish", "settle"]
 
-RELAYS_LIMIT = 2
-"""Times that a request is handed to a peer, after which its answer counts as lost."""
+MAX_RELAYS = 2
+"""Relays of a request to a peer, after which its answer counts as lost."""
 
 
 class RequestAgent(Protocol):
-    """What the agent of a request offers here; `requests.Requests` is one.
+    """Interface to the agent that handles a request, as in `requests.Requests`.
 
-    The claim owner is another: whoever keeps the claim of the request's key.
+    It isn't the claim owner, the member that keeps the claim of the key.
     """
 
     name: str
@@ -37,19 +37,19 @@
     admission: Admission
 
     def relay(self, now: float, item: OpenRequest, peer: str) -> None:
-        """Hand a request to a peer."""
+        """Relay a request to a peer."""
 
     def refuse(self, now: float, item: OpenRequest, refusal: Decision) -> None:
-        """End a request that certainly hasn't run."""
+        """Refuse a request that has certainly not run."""
 
     def conclude(self, item: OpenRequest, outcome: Outcome) -> None:
-        """Give a request and its followers their final answer."""
+        """Send a request and its followers their final answer."""
 
     def close_all(self, item: OpenRequest) -> None:
-        """Forget a request and its followers."""
+        """Close a request and its followers."""
 
     def join_followers(self, item: OpenRequest) -> None:
-        """Let the followers of a request have its answer."""
+        """Attach the followers of a request to its answer."""
 
     def count(self, name: str, amount: int = 1) -> None:
         """Add to a counter."""
@@ -71,7 +71,7 @@
 def settle(
     agent: RequestAgent, now: float, item: OpenRequest, settled: Settled
 ) -> None:
-    """Go on with a request whose claim owner has answered."""
+    """Continue with a request whose claim owner has answered."""
     handler = _HANDLERS_BY_STATE.get(settled.state)
     if handler is not None:
         handler(agent, now, item, settled)
@@ -93,8 +93,8 @@
     kind = item.event.kind
     agent.claims.unstarted(now, item.event.key)
     if agent.leaving:
-        # What goes wrong otherwise: a claim that comes seconds later, as
-        # from an owner that was paused, gives a leaving target new work.
+        # Otherwise a claim that is granted seconds late, for example by an
+        # owner that was paused, would give a leaving target new work.
         agent.refuse(now, item, agent.admission.refuse(now, kind, Code.LEAVING))
         return
     item.stage = Stage.QUEUED
@@ -102,7 +102,7 @@
 
 
 @_settles(ClaimState.RUNNING, ClaimState.FINISHED)
-def _elsewhere(
+def _claimed_elsewhere(
     agent: RequestAgent, now: float, item: OpenRequest, settled: Settled
 ) -> None:
     agent.admission.release(now, item.number, answered=False)
@@ -112,7 +112,7 @@
             agent.effects.append(Replay(number, settled.answer))
         agent.close_all(item)
         return
-    if settled.runner == agent.name or item.relays >= RELAYS_LIMIT:
+    if settled.runner == agent.name or item.relays >= MAX_RELAYS:
         agent.conclude(item, Outcome(OutcomeKind.UNKNOWN, Code.ANSWER_LOST))
         return
     agent.relay(now, item, settled.runner)
@@ -145,7 +145,7 @@
     event: RequestFinished,
     was_relayed: bool,
 ) -> None:
-    """End a claimed request that has run, here or at a peer, or couldn't."""
+    """Finish a claimed request that ran here or at a peer, or couldn't run."""
     key = item.event.key
     if event.outcome.kind is OutcomeKind.DONE:
         if not was_relayed:
@@ -165,7 +165,7 @@
 def _finish_relayed(
     agent: RequestAgent, now: float, item: OpenRequest, event: RequestFinished
 ) -> None:
-    # A relay that broke says nothing of what the peer did. Only the
+    # A broken relay doesn't show whether the peer ran the request. Only the
     # claim owner's tombstone makes "not run" certain.
     outcome = event.outcome
     refusal = Decision(Verdict.REFUSED, outcome.code, outcome.retry_after)
--- a/packages/zinniahook-core/src/zinniahook_core/transfers.py
+++ b/packages/zinniahook-core/src/zinniahook_core/transfers.py
@@ -90,8 +90,8 @@
         for key in batch.keys:
             record = self._records.get(now, key)
             if record is not None:
-                record.other = sender
-                record.other_incarnation = self._view.incarnation_of(sender)
+                record.other_holder = sender
+                record.other_holder_incarnation = self._view.incarnation_of(sender)
         return True
 
     def send(self, now: float) -> list[SendPeer]:
@@ -137,7 +137,7 @@
         view = self._view
         places = (
             (record.runner, record.incarnation),
-            (record.other, record.other_incarnation),
+            (record.other_holder, record.other_holder_incarnation),
         )
         holders = {name for name, number in places if view.current(name, number)}
         holders.discard(view.name)
--- a/packages/zinniahook-core/tests/test_admission.py
+++ b/packages/zinniahook-core/tests/test_admission.py
@@ -1,10 +1,10 @@
-"""Admission: slots, classes, deadlines and callers that come back."""
+"""Admission: slots, classes, deadlines and retries."""
 
 import random
 
 import pytest
 from zinniahook_core.admission import Admission, Verdict
-from zinniahook_core.budgets import LONGEST_RETURN, RetryBudget, ReturnSchedule
+from zinniahook_core.budgets import MAX_RETRY_AFTER_SECONDS, RetryBudget, RetrySchedule
 from zinniahook_core.codes import Code
 from zinniahook_core.models import RequestClass
 from zinniahook_testkit import overload
@@ -25,7 +25,7 @@
 
 
 def served(subject, kind, seconds, count=20):
-    """Let a class be served for a while, so that its time is known."""
+    """Serve requests of a class, so that its service time is known."""
     for number in range(count):
         offer(subject, -number - 1, kind, now=float(number), deadline=1e6)
         subject.release(number + seconds, -number - 1, answered=True)
@@ -47,11 +47,11 @@
         subject.release(0.1, 1, answered=True)
         assert subject.start(0.1) == [3]
 
-    def test_cold_target_gets_fewer(self):
+    def test_cold_target_gets_fewer_slots(self):
         subject = admission()
-        subject.warm(1.0)
+        subject.set_coldness(1.0)
         assert subject.slots == 1
-        subject.warm(0.0)
+        subject.set_coldness(0.0)
         assert subject.slots == 4
 
     def test_streams_hold_no_slot_but_are_bounded(self):
@@ -63,7 +63,7 @@
     def test_unknown_class_is_refused(self):
         assert offer(admission(), 1, "other").code is Code.CLASS_UNKNOWN
 
-    def test_class_that_is_gone_frees_its_slots(self):
+    def test_removed_class_frees_its_slots(self):
         subject = admission()
         offer(subject, 1)
         subject.configure(4, {"export": CLASSES["export"]})
@@ -73,11 +73,11 @@
 
 
 class TestClasses:
-    def test_long_exports_leave_room_for_tickets(self):
-        """
-        Symptom: tickets wait for minutes behind exports.
-        Sequence: no ticket is there, exports take every slot, tickets arrive.
-        Cause: exports borrowed slots that they can't give back soon.
+    def test_long_exports_leave_slots_for_tickets(self):
+        """Tickets must not wait for minutes behind exports.
+
+        Exports take every slot while there is no ticket, then tickets arrive. Exports
+        must not borrow slots that they can't return soon.
         """
         subject = admission()
         served(subject, "export", 60.0)
@@ -97,10 +97,10 @@
 
     @pytest.mark.parametrize("crowd", ["ticket", "export"])
     def test_no_class_starves_another(self, crowd):
-        """
-        Symptom: one class gets no slot while another is crowded.
-        Sequence: one class always has many waiting, the other a few.
-        Cause: slots are given in order of arrival.
+        """Each class must get slots while another is crowded.
+
+        One class always has many requests waiting, the other a few. In order of
+        arrival, the crowded class would take all slots.
         """
         classes = {
             name: rule._replace(queue=1000, deadline=1e6)
@@ -128,7 +128,7 @@
 
 
 class TestDeadlines:
-    def test_hopeless_is_refused_on_arrival(self):
+    def test_infeasible_request_is_refused_on_arrival(self):
         subject = admission(1)
         served(subject, "ticket", 1.0)
         offer(subject, 1, now=50, deadline=60)
@@ -136,36 +136,36 @@
         assert refusal.verdict is Verdict.REFUSED
         assert refusal.retry_after > 0
 
-    def test_queued_that_became_hopeless_is_told_at_once(self):
-        """
-        Symptom: a refused caller learns of it only when its time is up.
-        Sequence: a request waits; the one before it takes longer than usual.
-        Cause: the deadline is looked at only when a slot is free.
+    def test_queued_request_that_becomes_infeasible_is_refused_at_once(self):
+        """A caller must not learn of a refusal only when its time is up.
+
+        A request waits, and the one before it takes longer than usual. Deadlines have
+        to be checked also while no slot is free.
         """
         subject = admission(1)
         served(subject, "ticket", 1.0)
         offer(subject, 1, now=50, deadline=60)
         assert offer(subject, 2, now=50, deadline=54).verdict is Verdict.QUEUED
-        assert subject.hopeless(50.5) == []
-        given_up = subject.hopeless(52.5)
+        assert subject.refuse_infeasible(50.5) == []
+        given_up = subject.refuse_infeasible(52.5)
         assert [(number, d.code) for number, d in given_up] == [
             (2, Code.DEADLINE_EXPIRED)
         ]
 
-    def test_full_queue_gives_up_the_latest_deadline(self):
+    def test_full_queue_drops_the_latest_deadline(self):
         subject = admission(1)
         for number in range(5):
             offer(subject, number, deadline=20.0 + number)
         assert offer(subject, 9, deadline=10.0).verdict is Verdict.QUEUED
-        assert [number for number, _ in subject.hopeless(0.0)] == [4]
+        assert [number for number, _ in subject.refuse_infeasible(0.0)] == [4]
 
 
-class TestComingBack:
+class TestRetries:
     def test_retries_may_not_fill_the_queue(self):
-        """
-        Symptom: an overload goes on after its cause has gone.
-        Sequence: requests are refused, all their callers retry at once, for ever.
-        Cause: retries are queued like first attempts.
+        """An overload must not continue after its cause has ended.
+
+        Requests are refused, and all their callers retry at once, for ever. Retries
+        must not be queued like first attempts.
         """
         subject = admission(1, {"ticket": RequestClass("ticket", "/", queue=1000)})
         served(subject, "ticket", 0.001)
@@ -182,16 +182,16 @@
         while budget.take():
             continue
         for _ in range(11):
-            budget.attempted()
+            budget.credit_first_attempt()
         assert [budget.take() for _ in range(3)] == [True, True, False]
 
-    def test_return_times_are_spaced_by_the_capacity(self):
-        schedule = ReturnSchedule(random.Random(1))
-        delays = [schedule.book(0.0, 0.5, 10.0) for _ in range(50)]
+    def test_retry_times_are_spaced_by_the_capacity(self):
+        schedule = RetrySchedule(random.Random(1))
+        delays = [schedule.reserve(0.0, 0.5, 10.0) for _ in range(50)]
         assert delays[-1] > 4 * delays[0]
         assert sum(delays) / 50 == pytest.approx(0.5 + 25 * 0.2, rel=0.1)
-        assert max(schedule.book(0.0, 0.5, 0.1) for _ in range(99)) < (
-            1.3 * LONGEST_RETURN
+        assert max(schedule.reserve(0.0, 0.5, 0.1) for _ in range(99)) < (
+            1.3 * MAX_RETRY_AFTER_SECONDS
         )
 
 
--- a/packages/zinniahook-core/tests/test_claims.py
+++ b/packages/zinniahook-core/tests/test_claims.py
@@ -1,14 +1,14 @@
-"""Claims: one run a key, through losses, moves of ownership and pauses."""
+"""Claims: at most one run per key despite losses, moved ownership and pauses."""
 
 import pytest
 from request_fakes import Group
 from zinniahook_core import records
-from zinniahook_core.claims import GRANT_LIFETIME
+from zinniahook_core.claims import GRANT_LIFETIME_SECONDS
 from zinniahook_core.codes import Code, OutcomeKind
 from zinniahook_core.events import RequestArrived, RequestCancelled
 from zinniahook_core.messages import ClaimRecord, ClaimState
 from zinniahook_core.models import AgentState
-from zinniahook_core.records import KEY_LIFETIME, Records, granted, refused
+from zinniahook_core.records import KEY_LIFETIME_SECONDS, Records, granted, refused
 from zinniahook_core.rendezvous import rank
 from zinniahook_core.requests import Requests
 from zinniahook_testkit import atmostonce
@@ -32,7 +32,7 @@
         group.request(first, 1)
         group.finish(first, 1)
         group.crash(first)
-        group.set(first, AgentState.DOWN)
+        group.set_state(first, AgentState.DOWN)
         group.request(second, 2, attempt=2)
         assert group.replayed(second, 2) == [b"filed"]
 
@@ -41,7 +41,7 @@
         _owner, first, second, _ = group.ranked()
         group.request(first, 1)
         group.crash(first)
-        group.set(first, AgentState.DOWN)
+        group.set_state(first, AgentState.DOWN)
         group.request(second, 2, attempt=2)
         assert group.outcome(second, 2).kind is UNKNOWN
         assert group.outcome(second, 2).code is Code.ANSWER_LOST
@@ -66,10 +66,10 @@
         assert group.ran(first) == [1]
 
     def test_owner_that_runs_it_has_a_second_holder_first(self):
-        """
-        Symptom: a request runs again after a single death.
-        Sequence: the claim owner runs a request itself and dies.
-        Cause: nobody else had a record of it.
+        """A request must not run again after a single failure.
+
+        The claim owner runs a request itself and dies. Another agent must have a
+        record of it.
         """
         group = Group()
         owner, _second, third, _ = group.ranked()
@@ -80,7 +80,7 @@
         group.run(0.5)
         assert group.ran(owner) == [1]
         group.crash(owner)
-        group.set(owner, AgentState.DOWN)
+        group.set_state(owner, AgentState.DOWN)
         group.request(third, 2, attempt=2)
         group.run(1)
         assert group.ran(third) == []
@@ -124,7 +124,7 @@
         _owner, first, second, _ = group.ranked()
         group.request(first, 1, attempt=0, deadline=group.now - 1)
         wait = group.outcome(first, 1).retry_after
-        assert wait >= records.UNNUMBERED_LIFETIME
+        assert wait >= records.UNNUMBERED_TOMBSTONE_SECONDS
         group.request(second, 2, attempt=0)
         assert group.outcome(second, 2).kind is NOT_RUN
         group.run(wait + 0.1)
@@ -132,27 +132,27 @@
         assert group.ran(second) == [3]
 
     def test_refusal_outlives_its_owner(self):
-        """
-        Symptom: a request runs after its caller was told that it didn't.
-        Sequence: the owner refuses it and dies; a late copy arrives elsewhere.
-        Cause: only the owner knew of the refusal.
+        """A request must not run after its caller was answered "not run".
+
+        The owner refuses it and dies, and a late copy arrives elsewhere. Another
+        agent must know of the refusal.
         """
         group = Group()
         owner, _, third, _ = group.ranked()
         group.request(owner, 1, deadline=group.now - 1)
         assert group.outcome(owner, 1).kind is NOT_RUN
         group.crash(owner)
-        group.set(owner, AgentState.DOWN)
+        group.set_state(owner, AgentState.DOWN)
         group.request(third, 2, attempt=1)
         group.run(2)
         assert group.ran(third) == []
 
     def test_later_attempt_that_joined_is_refused_by_its_own_number(self):
-        """
-        Symptom: a refused attempt runs.
-        Sequence: a late copy of attempt 1 waits; attempt 3 joins it; both are
-        refused; a copy of attempt 3 arrives elsewhere.
-        Cause: the tombstone names the attempt of the first copy.
+        """A refused attempt must not run.
+
+        A late copy of attempt 1 waits, and attempt 3 joins it. Both are refused, and
+        a copy of attempt 3 arrives elsewhere. The tombstone must not carry the
+        attempt of the first copy.
         """
         group = Group()
         owner, first, second, _ = group.ranked()
@@ -168,11 +168,11 @@
 
 class TestNewOwner:
     def test_asks_the_others_before_it_grants(self):
-        """
-        Symptom: a doubled ticket after a member joined.
-        Sequence: a request runs; a member joins that is better for its key; a
-        copy arrives.
-        Cause: the new owner takes its own ignorance for a proof.
+        """A ticket must not run twice after a member joined.
+
+        A request runs, then a member joins that ranks first for its key, and a copy
+        arrives. The new owner must not conclude from its missing record that the
+        request never ran.
         """
         group, key = self.before_a_join()
         _, first, second = group.ranked(key)
@@ -184,71 +184,71 @@
         assert group.ran(second) == []
         assert group.replayed(second, 2) == [b"filed"]
 
-    def test_denial_under_an_older_roster_counts_for_nothing(self):
-        """
-        Symptom: two agents run one request while a roster spreads.
-        Sequence: a member joins and owns the key; it asks agents that don't
-        know of it; they know of no claim, and then make one among themselves.
-        Cause: a denial was taken for a promise that its giver can't keep.
+    def test_denial_under_an_older_roster_is_ignored(self):
+        """Two agents must not run one request while a roster spreads.
+
+        A member joins and owns the key. It asks agents that don't know of it yet;
+        they know of no claim and then make one among themselves. Their denial must
+        not count as a promise, which they can't keep.
         """
         group, key = self.before_a_join()
         _, first, second = group.ranked(key)
-        group.join("d", tell=False)
-        group.tell("d", second)
+        group.join("d", announce=False)
+        group.announce("d", second)
         group.request(second, 2, key, attempt=2)
         group.run(0.3)
         group.request(first, 1, key)
         assert group.ran(first) == [1]
-        group.tell()
+        group.announce()
         group.run(2)
         assert group.ran(second) == []
 
     def test_claim_under_an_older_roster_is_not_held(self):
-        """
-        Symptom: two agents run one request while a roster spreads.
-        Sequence: a member joins and owns the key; the former owner, which
-        doesn't know, runs it, with a holder that has denied it to the new one.
-        Cause: a claim was made that a lookup had passed already.
+        """Two agents must not run one request while a roster spreads.
+
+        A member joins and owns the key. The former owner doesn't know and runs the
+        request, with a second holder that has already denied the claim to the new
+        owner. No claim may be made that a lookup has already missed.
         """
         group, key = self.before_a_join()
         owner, *others = group.ranked(key)
-        group.join("d", tell=False)
-        group.tell("d", *others)
+        group.join("d", announce=False)
+        group.announce("d", *others)
         group.request(owner, 1, key)
         group.run(1)
         assert group.ran(owner) == []
-        group.tell()
+        group.announce()
         group.run(1)
         assert group.ran(owner) == [1]
 
     @staticmethod
     def before_a_join():
-        """Return a group and a key that "d" will own as soon as it joins."""
+        """Return a group and a key that "d" owns as soon as it joins."""
         keys = (b"%d" % number for number in range(99))
         return Group("abc"), next(key for key in keys if rank(key, "abcd")[0] == "d")
 
-    def test_grants_what_nobody_knows_after_one_death(self):
+    def test_grants_an_unknown_key_after_one_death(self):
         group = Group()
         owner, first, *_ = group.ranked()
         group.crash(owner)
-        group.set(owner, AgentState.DOWN)
+        group.set_state(owner, AgentState.DOWN)
         group.request(first, 1, attempt=2)
         group.run(1)
         assert group.ran(first) == [1]
 
     def test_does_not_grant_after_two_deaths_at_once(self):
-        """
-        Symptom: a request runs again after two members died together.
-        Sequence: its owner and its runner die; a copy arrives.
-        Cause: all records of it are lost, and no record looks like no run.
+        """A request must not run again after two members died together.
+
+        Its owner and its runner die, and a copy arrives. All records of it are lost,
+        and a missing record looks like a request that never ran.
         """
         group = Group()
         owner, first, second, _ = group.ranked()
         group.request(first, 1)
         for name in (owner, first):
             group.crash(name)
-            group.set(name, AgentState.DOWN, tell=False)
-        group.tell()
+            group.set_state(name, AgentState.DOWN, announce=False)
+        group.announce()
         group.run(1)
         group.request(second, 2, attempt=2)
         group.run(2)
@@ -263,7 +263,7 @@
         group.run(2)
         for name in (owner, first):
             group.crash(name)
-            group.set(name, AgentState.DOWN)
+            group.set_state(name, AgentState.DOWN)
             group.run(3)
         group.request(third, 2, attempt=2)
         group.run(1)
@@ -273,48 +273,48 @@
         assert 3 in group.ran(third) + group.ran(second)
 
     def test_two_rosters_never_make_two_owners(self):
-        """
-        Symptom: two agents run one request while a roster spreads.
-        Sequence: the owner is marked down but lives, and so does an agent that
-        hasn't heard of it; another agent asks the new owner.
-        Cause: two members believe to be the owner.
+        """Two agents must not run one request while a roster spreads.
+
+        The owner is marked down but still runs, as does an agent that doesn't know of
+        the change; another agent asks the new owner. Two members then consider
+        themselves the owner.
         """
         group = Group()
         owner, first, second, _ = group.ranked()
-        group.set(owner, AgentState.DOWN, tell=False)
+        group.set_state(owner, AgentState.DOWN, announce=False)
         others = [name for name in group.cores if name not in (owner, second)]
-        group.tell(*others)
+        group.announce(*others)
         group.request(first, 1)
         group.request(second, 2)
         group.run(1)
         assert len(group.ran(first) + group.ran(second)) <= 1
-        group.tell(second)
+        group.announce(second)
         group.run(1)
         assert group.ran(first) + group.ran(second) in ([1], [2])
 
     def test_grant_that_waited_in_a_paused_process_is_void(self):
-        """
-        Symptom: a doubled ticket after a process was stopped for a while.
-        Sequence: an agent asks; it is paused; the grant waits in its socket.
-        Cause: it acts on an authority that may be another's by now.
+        """A ticket must not run twice after a process was paused.
+
+        An agent asks for a claim and is paused while the grant waits in its socket.
+        It must not use a grant that another member may hold by now.
         """
         group = Group()
         owner, first, *_ = group.ranked()
         group.feed(first, RequestArrived(1, "ticket", False, b"k", 1, 0.0))
-        grants = group.hold(first)
+        grants = group.intercept(first)
         assert [message.state for _, _, message in grants] == [ClaimState.GRANTED]
         group.crash(owner)
-        group.now += GRANT_LIFETIME + 0.1
+        group.now += GRANT_LIFETIME_SECONDS + 0.1
         group.messages.extend(grants)
         group.deliver()
         assert group.ran(first) == []
 
-    def test_grant_that_was_never_used_does_not_outdo_a_refusal(self):
-        """
-        Symptom: a request runs after its caller was told that it didn't.
-        Sequence: an owner grants itself a request, but its caller goes; the
-        owner leaves; the request is refused elsewhere; a late copy arrives.
-        Cause: a grant that was never used was taken for a run.
+    def test_unused_grant_does_not_override_a_refusal(self):
+        """A request must not run after its caller was answered "not run".
+
+        An owner grants itself a request, but the caller cancels and the owner leaves.
+        The request is refused elsewhere, and a late copy arrives. An unused grant
+        must not count as a run.
         """
         group = Group()
         owner, second, third, _ = group.ranked()
@@ -322,7 +322,7 @@
         group.request(owner, 1)
         group.feed(owner, RequestCancelled(1))
         group.blocked.clear()
-        group.set(owner, AgentState.LEAVING)
+        group.set_state(owner, AgentState.LEAVING)
         group.request(third, 2, deadline=group.now - 1)
         group.run(1)
         assert group.outcome(third, 2).kind is NOT_RUN
@@ -331,13 +331,13 @@
         group.run(1)
         assert group.ran(second) + group.ran(owner) == []
 
-    @pytest.mark.parametrize("told", [True, False])
-    def test_new_life_of_a_name_vouches_for_nothing(self, told):
-        """
-        Symptom: a doubled ticket after two members crashed and came back.
-        Sequence: owner and runner crash; both start again under their names,
-        one before anybody noticed the other's crash.
-        Cause: the new life was taken for the old one, with its records.
+    @pytest.mark.parametrize("announced", [True, False])
+    def test_restarted_member_does_not_vouch_for_lost_records(self, announced):
+        """A ticket must not run twice after two members crashed and restarted.
+
+        Owner and runner crash, and both restart under their names, one of them before
+        any peer noticed the crash of the other. The new process must not be
+        considered the old one, with its records.
         """
         group = Group()
         owner, first, second, _ = group.ranked()
@@ -346,10 +346,10 @@
         group.crash(first)
         group.join(owner, incarnation=2)
         group.run(2)
-        group.join(first, incarnation=2, tell=told)
-        group.tell(first)
+        group.join(first, incarnation=2, announce=announced)
+        group.announce(first)
         group.run(2)
-        group.tell()
+        group.announce()
         group.run(2)
         group.request(second, 2, attempt=2)
         group.run(2)
@@ -364,7 +364,7 @@
         group.finish(first, 1)
         group.run(2)
         for name in (owner, first):
-            group.set(name, AgentState.LEAVING)
+            group.set_state(name, AgentState.LEAVING)
             group.run(2)
             assert group.cores[name].idle
             group.crash(name)
@@ -376,11 +376,11 @@
 
 
 class TestRecords:
-    def test_forgotten_early_makes_unknown(self):
-        """
-        Symptom: a doubled ticket on a busy agent.
-        Sequence: a record makes room for newer ones; a copy of it arrives.
-        Cause: a key without a record looks like one that never ran.
+    def test_evicted_record_makes_the_outcome_unknown(self):
+        """A ticket must not run twice on a busy agent.
+
+        A record is evicted in favour of newer ones, and a copy of its request
+        arrives. A key without a record looks like one that never ran.
         """
         group = Group("ab")
         owner, other = group.ranked()
@@ -390,13 +390,13 @@
         held.put(group.now, b"newer", granted(group.now, "x", 1, 1))
         assert held.evicted == 1
         group.crash(other)
-        group.set(other, AgentState.DOWN)
+        group.set_state(other, AgentState.DOWN)
         group.request(owner, 2, attempt=2)
         assert group.ran(owner) == []
         assert group.outcome(owner, 2).kind is UNKNOWN
 
     def test_answers_are_bounded_by_bytes_and_the_tombstone_stays(self):
-        held = Records(answers_limit=100)
+        held = Records(answers_limit_bytes=100)
         for number in range(5):
             record = granted(0.0, "a", 1, 1)
             record.state, record.answer = ClaimState.FINISHED, bytes(40)
@@ -408,9 +408,9 @@
     def test_records_end_with_the_lifetime_of_their_key(self):
         held = Records()
         held.put(0.0, b"k", granted(0.0, "a", 1, 1))
-        assert held.get(KEY_LIFETIME - 1, b"k")
-        assert held.get(KEY_LIFETIME + 1, b"k") is None
-        held.expire(KEY_LIFETIME + 1)
+        assert held.get(KEY_LIFETIME_SECONDS - 1, b"k")
+        assert held.get(KEY_LIFETIME_SECONDS + 1, b"k") is None
+        held.expire(KEY_LIFETIME_SECONDS + 1)
         assert len(held) == 0
 
     @pytest.mark.parametrize("attempt", [1, 2])
@@ -418,7 +418,7 @@
         held = Records()
         held.put(0.0, b"k", granted(0.0, "a", 1, 2))
         late = ClaimRecord(b"k", ClaimState.REFUSED, "a", 1, attempt, 0.0)
-        held.absorb(0.0, late, "a", 1)
+        held.merge(0.0, late, "a", 1)
         state = held.get(0.0, b"k").state
         assert state is (ClaimState.REFUSED if attempt == 2 else ClaimState.GRANTED)
 
@@ -426,7 +426,7 @@
         held = Records()
         held.put(0.0, b"k", granted(0.0, "a", 1, 1))
         other = ClaimRecord(b"k", ClaimState.GRANTED, "b", 1, 1, 0.0)
-        assert not held.absorb(0.0, other, "b", 1)
+        assert not held.merge(0.0, other, "b", 1)
         assert held.get(0.0, b"k").runner == "a"
 
     def test_higher_refusal_is_kept(self):
@@ -437,7 +437,7 @@
 
 
 class WithoutOwner(Requests):
-    """Broken: grants and refuses without asking the claim owner."""
+    """Faulty variant that grants and refuses without asking the claim owner."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
@@ -447,7 +447,7 @@
 
 
 class WithoutLookups(Requests):
-    """Broken: a new owner takes its ignorance for a proof."""
+    """Faulty variant whose new owner grants without a lookup."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
--- a/packages/zinniahook-core/tests/test_configuration.py
+++ b/packages/zinniahook-core/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration document: reading, writing, checking, comparing."""
+"""The configuration document: parsing, rendering, validation and diff."""
 
 import random
 
@@ -86,7 +86,7 @@
             document = Document(services)
             assert parse(render(document)) == document
 
-    def test_every_fault_is_named_at_once(self):
+    def test_all_problems_are_reported_together(self):
         text = TEXT.replace("queue = 32", "queue = -1\ncolour = 3").replace(
             "pause = 5", "pause = 'x'"
         )
@@ -122,16 +122,16 @@
             ("[retired]\nold = 2\n" + TEXT, "services.feed.number"),
         ],
     )
-    def test_fault_names_its_key(self, text, key):
+    def test_problem_names_its_key(self, text, key):
         assert key in problems_of(text)
 
 
 class TestNumbers:
     def test_a_removed_number_must_be_retired(self):
-        """
-        Symptom: a packet of a removed service reaches its successor.
-        Sequence: service removed, its number given to a new one, late packet.
-        Cause: the connection id of the old flow names the number only.
+        """A packet of a removed service must not reach its successor.
+
+        A service is removed, its number is assigned to a new one, and a late packet
+        arrives. The connection id of the old flow names only the number.
         """
         before = parse(TEXT)
         services = {"tally": before.services_by_name["tally"]}
--- a/packages/zinniahook-core/tests/test_lookups.py
+++ b/packages/zinniahook-core/tests/test_lookups.py
@@ -77,7 +77,7 @@
         It is about to refuse an attempt whose key it granted to a later one. Asking
         itself immediately would repeat the same decision until a RecursionError.
         """
-        monkeypatch.setattr(Claims, "_stands", lambda *_: False)
+        monkeypatch.setattr(Claims, "_still_stored", lambda *_: False)
         names = ("a", "b", "c")
         address = Address("10.0.0.1", 1)
         members = {
--- a/packages/zinniahook-core/tests/test_parking.py
+++ b/packages/zinniahook-core/tests/test_parking.py
@@ -7,13 +7,12 @@
 
 
 class TestLeaving:
-    def test_what_waited_for_a_claim_is_not_started(self):
-        """
-        Symptom: a leaving target gets new work 5 s after its drain began.
-        Sequence: a claim owner is silent, a request waits for it at another
-        agent; that one begins to leave; the owner is marked down.
-        Cause: the request had been taken before, so it was started once its
-        claim was granted, however late.
+    def test_request_that_waited_for_a_claim_is_not_started(self):
+        """A leaving target must get no new work 5 s after its drain began.
+
+        A claim owner is silent, and a request waits for it at another agent, which
+        begins to leave; then the owner is marked down. The request was admitted
+        before the drain, but must not start when its claim is granted late.
         """
         group = Group()
         owner, first, *_ = group.ranked()
@@ -22,7 +21,7 @@
         group.run(0.5)
         group.feed(first, DrainRequested(30.0))
         group.run(3.0)
-        group.set(owner, AgentState.DOWN)
+        group.set_state(owner, AgentState.DOWN)
         group.run(3.0)
         assert group.ran(first) == []
         assert group.outcome(first, 1).kind is OutcomeKind.NOT_RUN
--- a/packages/zinniahook-core/tests/test_requests.py
+++ b/packages/zinniahook-core/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests at an agent: copies, relays, retries, cancellation and drain."""
+"""Requests at one agent: copies, relays, retries, cancellation and drain."""
 
 import pytest
 from request_fakes import DONE, Group
@@ -12,8 +12,8 @@
 BROKEN = Outcome(OutcomeKind.UNKNOWN, Code.ANSWER_LOST)
 
 
-class Hands:
-    """A placement that hands to one peer, or only where it is forced."""
+class FixedPlacement:
+    """A placement that chooses one peer, either always or only if forced."""
 
     def __init__(self, peer, always=False):
         self.peer, self.always = peer, always
@@ -25,16 +25,16 @@
         pass
 
 
-def placed(group, name, **kwargs):
-    group.cores[name]._placement = Hands(**kwargs)
+def use_placement(group, name, **kwargs):
+    group.cores[name]._placement = FixedPlacement(**kwargs)
 
 
 class TestCopies:
-    def test_copy_joins_the_one_that_runs(self):
+    def test_copy_joins_the_running_copy(self):
         group = Group("a")
         group.request("a", 1)
         group.request("a", 2, attempt=2)
-        assert group.of("a", JoinRequest) == [JoinRequest(2, 1)]
+        assert group.effects_of("a", JoinRequest) == [JoinRequest(2, 1)]
 
     def test_copies_get_the_answer_of_a_run_that_failed(self):
         group = Group("a")
@@ -46,7 +46,7 @@
         assert group.outcome("a", 3).kind is OutcomeKind.UNKNOWN
         assert group.ran("a") == [1]
 
-    def test_copy_that_leaves_is_not_answered(self):
+    def test_cancelled_copy_is_not_answered(self):
         group = Group("a")
         group.request("a", 1)
         group.request("a", 2, attempt=2)
@@ -54,19 +54,18 @@
         group.finish("a", 1, b"", FAILED)
         assert group.outcome("a", 2) is None
 
-    def test_caller_that_comes_back_gets_the_answer_of_its_run(self):
-        """
-        Symptom: a clerk files a ticket again that was filed.
-        Sequence: the connection breaks while the ticket runs; the device
-        connects again and sends the same key.
-        Cause: the run was cancelled with the connection.
+    def test_retrying_caller_gets_the_answer_of_its_run(self):
+        """A clerk must not file a ticket again that was filed.
+
+        The connection breaks while the ticket runs; the device reconnects and sends
+        the same key. The run must not be cancelled with the connection.
         """
         group = Group("a")
         group.request("a", 1)
         group.feed("a", RequestCancelled(1))
-        assert group.of("a", CancelRequest) == []
+        assert group.effects_of("a", CancelRequest) == []
         group.request("a", 2, attempt=2)
-        assert group.of("a", JoinRequest) == [JoinRequest(2, 1)]
+        assert group.effects_of("a", JoinRequest) == [JoinRequest(2, 1)]
         group.finish("a", 1)
         group.request("a", 3, attempt=3)
         assert group.replayed("a", 3) == [b"filed"]
@@ -84,7 +83,7 @@
 class TestFailures:
     def test_idempotent_request_is_tried_at_a_peer_once(self):
         group = Group("ab")
-        placed(group, "a", peer="b")
+        use_placement(group, "a", peer="b")
         group.request("a", 1, b"", idempotent=True)
         group.finish("a", 1, b"", FAILED)
         assert group.relayed("a", 1) == ["b"]
@@ -94,7 +93,7 @@
     @pytest.mark.parametrize("key", [b"", b"k"])
     def test_post_that_may_have_run_is_never_tried_again(self, key):
         group = Group("ab")
-        placed(group, "a", peer="b")
+        use_placement(group, "a", peer="b")
         group.request("a", 1, key)
         group.finish("a", 1, b"", FAILED)
         assert group.relayed("a", 1) == []
@@ -110,14 +109,14 @@
         assert group.ran(runner) == [1, 2]
 
     def test_broken_relay_is_settled_by_the_owner(self):
-        """
-        Symptom: "not run" is said of a ticket that was filed.
-        Sequence: an agent relays it; the relay breaks after the peer ran it.
-        Cause: a relay that broke was taken for a request that didn't run.
+        """A ticket that was filed must not be answered with "not run".
+
+        An agent relays it, and the relay breaks after the peer ran it. A broken relay
+        must not count as a request that didn't run.
         """
         group = Group("abc")
         _owner, first, second = group.ranked()
-        placed(group, first, peer=second, always=True)
+        use_placement(group, first, peer=second, always=True)
         group.request(first, 1)
         group.request(second, 7, relayed_by=first)
         group.finish(second, 7)
@@ -128,50 +127,50 @@
 
     def test_relayed_request_is_not_relayed_again(self):
         group = Group("ab")
-        placed(group, "b", peer="a", always=True)
+        use_placement(group, "b", peer="a", always=True)
         group.request("b", 1, b"", relayed_by="a")
         assert group.relayed("b", 1) == []
         assert group.ran("b") == [1]
 
     def test_two_relays_to_each_other_do_not_wait_for_each_other(self):
-        """
-        Symptom: two copies of a request are never answered.
-        Sequence: two agents relay their copies to each other at once.
-        Cause: each relayed copy joins the copy that was relayed away.
+        """Two copies of a request must not stay without an answer.
+
+        Two agents relay their copies to each other at once. They would wait for each
+        other if each relayed copy joined the copy that was relayed away.
         """
         group = Group("ab")
-        placed(group, "a", peer="b", always=True)
-        placed(group, "b", peer="a", always=True)
+        use_placement(group, "a", peer="b", always=True)
+        use_placement(group, "b", peer="a", always=True)
         group.request("a", 1)
         group.request("b", 2, attempt=2)
         group.request("b", 3, relayed_by="a")
         group.request("a", 4, attempt=2, relayed_by="b")
         assert len(group.ran("a") + group.ran("b")) == 1
 
-    def test_copy_of_a_former_leader_can_leave(self):
-        """
-        Symptom: an agent stops deciding on a request.
-        Sequence: a copy follows one that was relayed; a relayed copy leads the
-        key from then on; the follower leaves, and so does its leader.
-        Cause: the follower was looked for at the new leader.
+    def test_copy_of_a_former_leader_can_be_cancelled(self):
+        """An agent must keep handling a request after a copy is cancelled.
+
+        A copy follows a relayed request, and then a relayed copy becomes the leader
+        of the key. The follower and its leader are cancelled. The follower has to be
+        looked up at its former leader, not at the new one.
         """
         group = Group("ab")
-        placed(group, "a", peer="b", always=True)
+        use_placement(group, "a", peer="b", always=True)
         group.request("a", 1)
         group.request("a", 2, attempt=2)
         group.request("a", 3, relayed_by="b")
         group.feed("a", RequestCancelled(2))
         group.feed("a", RequestCancelled(1))
-        assert group.of("a", CancelRequest) == [CancelRequest(1)]
+        assert group.effects_of("a", CancelRequest) == [CancelRequest(1)]
         assert group.relayed("a", 2) == []
 
 
 class TestWaiting:
     def test_dead_owner_does_not_hold_the_slots(self):
-        """
-        Symptom: nothing is served until a dead member is marked down.
-        Sequence: an owner dies; requests for its keys take every slot.
-        Cause: a request that waits for a claim holds its slot meanwhile.
+        """Requests must be served before a dead member is marked down.
+
+        A claim owner dies, and requests for its keys take every slot. A request must
+        not hold its slot all the time that it waits for its claim.
         """
         group = Group(slots=1)
         owner, first, *_ = group.ranked()
@@ -181,20 +180,20 @@
         group.request(first, 2, b"", idempotent=True)
         assert group.ran(first) == [2]
         group.finish(first, 2)
-        group.set(owner, AgentState.DOWN)
+        group.set_state(owner, AgentState.DOWN)
         group.run(1)
         assert group.ran(first) == [2, 1]
 
     def test_target_that_hangs_gives_its_slot_back(self):
-        """
-        Symptom: an agent serves nothing though nothing runs.
-        Sequence: the target hangs on a request whose caller set a deadline.
-        Cause: only the target's answer frees a slot.
+        """An agent must keep serving when a target hangs.
+
+        The target hangs on a request whose caller set a deadline. The slot must be
+        freed although the target never answers.
         """
         group = Group("a", slots=1)
         group.request("a", 1, b"", deadline=group.now + 2, idempotent=True)
         group.run(2.2)
-        assert group.of("a", CancelRequest) == [CancelRequest(1)]
+        assert group.effects_of("a", CancelRequest) == [CancelRequest(1)]
         group.run(1.2)
         assert group.outcome("a", 1).code is Code.DEADLINE_EXPIRED
         assert group.cores["a"].busy == 0
@@ -203,7 +202,7 @@
         group = Group("a")
         group.request("a", 1, b"", idempotent=True)
         group.feed("a", RequestCancelled(1))
-        assert group.of("a", CancelRequest) == [CancelRequest(1)]
+        assert group.effects_of("a", CancelRequest) == [CancelRequest(1)]
         assert group.cores["a"].busy == 0
 
     def test_key_that_is_too_long_is_refused(self):
@@ -215,7 +214,7 @@
 class TestDrain:
     def test_new_work_goes_to_a_peer_and_old_work_finishes(self):
         group = Group("ab")
-        placed(group, "a", peer="b")
+        use_placement(group, "a", peer="b")
         group.request("a", 1, b"", idempotent=True)
         group.feed("a", DrainRequested(30.0))
         group.request("a", 2, b"", idempotent=True)
@@ -234,12 +233,12 @@
 
 
 class TestFence:
-    def test_nothing_from_before_runs_after_it(self):
-        """
-        Symptom: a doubled ticket after a process was stopped for a while.
-        Sequence: a request waits for its claim; the process is paused and
-        marked down; it wakes and gets the grant.
-        Cause: what was queued before the pause went on after it.
+    def test_nothing_queued_before_the_fence_runs_after_it(self):
+        """A ticket must not run twice after a process was paused.
+
+        A request waits for its claim; the process is paused and marked down; it
+        resumes and gets the grant. Requests queued before the pause must not continue
+        after it.
         """
         group = Group(slots=1)
         _owner, first, *_ = group.ranked()
@@ -248,21 +247,21 @@
         core = group.cores[first]
         effects = core.restart(group.now, 2)
         assert CancelRequest(1) in effects
-        group.set(first, AgentState.READY, incarnation=2)
+        group.set_state(first, AgentState.READY, incarnation=2)
         group.finish(first, 1, b"", DONE)
         group.run(2)
         assert group.ran(first) == [1]
         assert core.busy == core.queued == 0
 
-    def test_what_ran_before_it_is_unknown(self):
+    def test_request_that_ran_before_the_fence_is_unknown(self):
         group = Group("ab")
         runner = group.ranked()[1]
         group.request(runner, 1)
         group.cores[runner].restart(group.now, 2)
-        group.set(runner, AgentState.READY, incarnation=2)
+        group.set_state(runner, AgentState.READY, incarnation=2)
         group.run(1)
         group.request(runner, 2, attempt=2)
         assert group.ran(runner) == [1]
-        finished = group.of(runner, FinishRequest, 2)
+        finished = group.effects_of(runner, FinishRequest, 2)
         assert [effect.outcome.kind for effect in finished] == [OutcomeKind.UNKNOWN]
-        assert group.of(runner, Relay) == []
+        assert group.effects_of(runner, Relay) == []
--- a/packages/zinniahook-core/tests/test_routing.py
+++ b/packages/zinniahook-core/tests/test_routing.py
@@ -272,7 +272,7 @@
         An entry for thousands of services would use three times its memory limit if
         it kept every roster unpacked, although few services get openings.
         """
-        monkeypatch.setattr("zinniahook_core.entries.VIEWS_LIMIT", 8)
+        monkeypatch.setattr("zinniahook_core.entries.MAX_SERVICE_VIEWS", 8)
         services = self.services(40)
         rosters = {s.name: roster(s, 1, [member(s, 1)]) for s in services}
         core = EntryCore(random.Random(1), rosters.get)
@@ -351,9 +351,9 @@
         assert core.route(0.0, FEED, CALLER, b"x") == member(FEED, 1).tunnel
 
     def test_bounded(self, monkeypatch):
-        monkeypatch.setattr("zinniahook_core.entries.OWNERS_LIMIT", 10)
+        monkeypatch.setattr("zinniahook_core.entries.MAX_OWNER_HINTS", 10)
         one = member(FEED, 1)
         core = entry(roster(FEED, 1, [one]))
         for port in range(100):
             core.handle(0.0, AnswerSeen("feed", Address("192.0.2.1", port), one.tunnel))
-        assert len(core._owners) == 10
+        assert len(core._hints_by_flow) == 10
