--- a/packages/zinniahook-core/src/zinniahook_core/packets/__init__.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/__init__.py
@@ -9,9 +9,9 @@
 from .features import Features
 from .models import (
     Answer,
-    Beat,
     Codec,
     Flag,
+    Heartbeat,
     Links,
     Log,
     Packet,
@@ -27,7 +27,7 @@
 __all__ = [
     "Agent",
     "Answer",
-    "Beat",
+    "Heartbeat",
     "Codec",
     "ColdLimit",
     "Entry",
--- a/packages/zinniahook-core/src/zinniahook_core/packets/agent.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/agent.py
@@ -15,14 +15,14 @@
 from .homes import Home
 from .members import Roster
 from .membership import Membership
-from .models import Beat, Codec, Flag, Links, Log, Packet, route_key
+from .models import Codec, Flag, Heartbeat, Links, Log, Packet, route_key
 from .node import Node
 from .openings import Openings, standing
 from .pace import ColdLimit, Pace
 from .queueing import Queue
 from .registry import Registry
 from .requests import Requests
-from .searches import Taken
+from .searches import Acceptance
 from .target import Target
 from .trials import Trials
 from .tunnel import Head, Kind, Mark, Reason, tag, zone_tag
@@ -72,7 +72,7 @@
         self.membership = Membership(self, target, self.flows, incarnation)
         self.requests = Requests(self, target, self.flows)
         self.trials = Trials(
-            self.flows, target, links, self._found, self.membership.show
+            self.flows, target, links, self._found, self.membership.send_status
         )
         self._pace = Pace(cold_limit)
         self.queue = Queue(self, target, self.flows, self.membership, self.requests)
@@ -109,10 +109,10 @@
         if service == self.target.service:
             self.membership.learn_member(now, address, zone_tag(centre), order)
 
-    def _evacuated(self, now: float) -> None:
+    def _evacuations_changed(self, now: float) -> None:
         self.roster.closed = self.evacuations.tags
         self.target.doubt(now)
-        super()._evacuated(now)
+        super()._evacuations_changed(now)
         self.openings.tick(now)
         self.membership.tick(now)
 
@@ -124,12 +124,12 @@
     def leave(self, now: float) -> None:
         """Take no openings from now on and say so at once."""
         self.membership.leaving = True
-        self.home.hand_on()
+        self.home.hand_over()
         self.log.event("leaving", flows=len(self.flows), busy=self.flows.busy)
         self.queue.tick(now)
         self.membership.tick(now)
 
-    def beat(self, now: float, beat: Beat) -> bool:
+    def beat(self, now: float, beat: Heartbeat) -> bool:
         """Take a heartbeat of the target; return False if it can't be one.
 
         What goes wrong without the check: another writer names a service that
@@ -144,7 +144,7 @@
             until = self.target.former_until
             self.flows.forget_work()
             ended = self.endings.end_all("target.replaced", until)
-            self.registry.tell_ended(now, ended)
+            self.registry.announce_ended(now, ended)
             self.queue.admit(now)
         if beat.service != former:
             self._change_service(beat.service)
@@ -158,7 +158,7 @@
     def left(self, now: float, target: str, born: int | None = None) -> None:
         """Note that the target has ended."""
         self.target.left(target, born)
-        self.home.hand_on()
+        self.home.hand_over()
         self.membership.tick(now)
 
     def absent(self, now: float) -> None:
@@ -177,8 +177,8 @@
         The flows of a target that has ended go with it.
         """
         if self.target.gone:
-            self.registry.tell_ended(now, list(self.flows.by_key.values()))
-        self.membership.farewell(now)
+            self.registry.announce_ended(now, list(self.flows.by_key.values()))
+        self.membership.announce_end(now)
 
     def handle(self, now: float, sender: str, head: Head, body: bytes) -> None:
         """Handle a datagram of another daemon."""
@@ -186,21 +186,21 @@
             self._forwarded(now, sender, head, body)
         elif head.kind is Kind.STATUS:
             if self.membership.learn(now, sender, head.service, head.zone, body):
-                self.registry.restarted(sender)
-            self.home.told(now, sender)
+                self.registry.peer_restarted(sender)
+            self.home.load_reported(now, sender)
         elif head.kind is Kind.ROSTER:
-            rows = self.rosters(body).get(self.target.service, [])
+            rows = self.read_rosters(body).get(self.target.service, [])
             self.membership.learn_members(now, sender, rows)
         elif head.kind is Kind.HELLO:
-            self.membership.greet(now, sender, head.reason)
+            self.membership.answer_hello(now, sender, head.reason)
         elif head.kind is Kind.RETURN:
             packet = self.codec.from_client(body)
             if packet is not None:
                 self.home.refused(now, sender, head, packet)
         elif head.kind is Kind.RELAY:
-            self.registry.relays.send_on(now, sender, head, body)
+            self.registry.relays.forward(now, sender, head, body)
         else:
-            self.registry.told(now, sender, head, body)
+            self.registry.receive(now, sender, head, body)
 
     def tick(self, now: float) -> None:
         """Do what time demands; call it about twenty times a second."""
@@ -208,7 +208,7 @@
         self.openings.tick(now)
         if self.target.is_dead(now) and len(self.flows):
             ended = self.endings.end_all("target.silent", now)
-            self.registry.tell_ended(now, ended)
+            self.registry.announce_ended(now, ended)
         self.queue.tick(now)
         self.trials.tick(now)
         self.home.tick(now)
@@ -225,9 +225,9 @@
     def _review(self, now: float) -> None:
         """Look over who is present; flows may have other homes now."""
         changes = self.roster.refresh(now)
-        if changes.come or changes.gone:
-            self.log.event("roster", **changes.told())
-        if changes.homes:
+        if changes.arrived or changes.departed:
+            self.log.event("roster", **changes.log_fields())
+        if changes.homes_changed:
             self.registry.register_all()
 
     def _change_service(self, service: str) -> None:
@@ -329,7 +329,7 @@
             self._opened(now, flow)
         if flow.entry != head.entry or not head.marks & Mark.HINTED:
             flow.entry = head.entry
-            self.registry.tell_owner(now, head.entry, [flow.key])
+            self.registry.announce_owner(now, head.entry, [flow.key])
 
     def _answer_search(self, now: float, asker: str, flow: Flow) -> None:
         """Tell who searches for a flow, and its homes, that it is owned here.
@@ -338,7 +338,7 @@
         telling it: it goes on asking, and other targets get the packet.
         """
         if asker and asker != self.address:
-            self.registry.tell_owner(now, asker, [flow.key])
+            self.registry.announce_owner(now, asker, [flow.key])
         self.registry.register(now, flow, force=True)
 
     def _opened(self, now: float, flow: Flow) -> None:
@@ -355,7 +355,7 @@
             self.home.locate(now, head, packet)
             return
         taken = self.trials.begin(now, head, packet, sender)
-        if taken is not Taken.NO:
+        if taken is not Acceptance.NO:
             return
         self.registry.deny(now, sender, packet.flow)
         if head.marks & Mark.POINTED:
@@ -450,7 +450,7 @@
         self.openings.answered(flow)
         if flow.entry:
             # The client's next packet comes in a few milliseconds.
-            self.registry.tell_owner(now, flow.entry, [flow.key])
+            self.registry.announce_owner(now, flow.entry, [flow.key])
 
     def _bounced(self, now: float, packet: Packet) -> None:
         cleared = self.codec.cleared(packet.raw)
@@ -467,7 +467,7 @@
         self.flows.drop(flow.key)
         if flow.is_proven:
             self.endings.lost(flow, packet)
-            self.registry.tell_ended(now, [flow])
+            self.registry.announce_ended(now, [flow])
         else:
             self._disown(now, flow)
         self.queue.admit(now)
@@ -490,5 +490,5 @@
         # go on and bring the packet to other targets.
         self.home.learn(now, self.address, [flow.key])
         if flow.entry:
-            self.registry.tell_owner(now, flow.entry, [flow.key])
+            self.registry.announce_owner(now, flow.entry, [flow.key])
         self._answer_search(now, flow.asker, flow)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/circles.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/candidates.py
@@ -11,32 +11,38 @@
 
 from .member import Member
 from .models import State
-from .ring import Ring
+from .ring import HashRing
 
-__all__ = ["FIRST", "FIRST_NEAR", "LOST_AFTER", "WIDER", "Circles"]
+__all__ = [
+    "CANDIDATES",
+    "LOST_AFTER_SECONDS",
+    "WIDE_FACTOR",
+    "ZONE_CANDIDATES",
+    "CandidateSets",
+]
 
-FIRST = 8
+CANDIDATES = 8
 """Agents that a flow belongs to. In the model of placing, the least loaded of
 four of them keeps 99 of 100 requests from waiting for more than 35 ms; with
 fewer to choose from the one that a loss makes busy has nobody beside it."""
 
-FIRST_NEAR = 4
+ZONE_CANDIDATES = 4
 """Agents of the client's own data centre that may open its flow besides: among
 eight drawn of five data centres there often is none, and each byte between
 them is paid for."""
 
-WIDER = 4
+WIDE_FACTOR = 4
 """How many times more agents are asked for a flow that the first ones don't
 have. While half of all are away, flows are opened by agents as far as 30
 behind their key; while the service grows by half, the first eight become
 twelve."""
 
-LOST_AFTER = 4.5
+LOST_AFTER_SECONDS = 4.5
 """Seconds of silence after which nobody waits for a member's flows: longer
 than any pause that an agent outlives in service (4 s)."""
 
 
-class Circles:
+class CandidateSets:
     """The circles of a service's agents: one of all, one a data centre.
 
     Parameters
@@ -54,13 +60,13 @@
     ) -> None:
         self._by_address = by_address
         self._is_silent = is_silent
-        self._ring = Ring()
-        self._rings_by_zone: dict[int, Ring] = {}
+        self._ring = HashRing()
+        self._rings_by_zone: dict[int, HashRing] = {}
 
     def add(self, member: Member) -> None:
         """Give a member its places."""
         self._ring.add(member.address)
-        self._rings_by_zone.setdefault(member.zone, Ring()).add(member.address)
+        self._rings_by_zone.setdefault(member.zone, HashRing()).add(member.address)
 
     def drop(self, member: Member) -> None:
         """Take a member's places away."""
@@ -74,12 +80,12 @@
         asks it: entries never do, so for them it keeps its place for ever, and they
         send packets to other homes than the owners tell.
         """
-        silent_for = now - max(member.heard_at, member.vouched_at)
-        if silent_for <= LOST_AFTER:
+        silent_for = now - max(member.heard_at, member.heard_by_peer_at)
+        if silent_for <= LOST_AFTER_SECONDS:
             return False
         return member.state is State.ENDED or self._is_silent(now, member)
 
-    def placed(self, now: float) -> set[str]:
+    def on_ring(self, now: float) -> set[str]:
         """Return the members that take a place among those of a flow.
 
         All flows belong to everybody in a small service. In a larger one a flow
@@ -88,9 +94,9 @@
         agent becomes the home of flows that nobody tells it of, and searches for
         each of them.
         """
-        if len(self._by_address) <= FIRST:
+        if len(self._by_address) <= CANDIDATES:
             return set()
-        heard_after = now - LOST_AFTER
+        heard_after = now - LOST_AFTER_SECONDS
         return {
             member.address
             for member in self._by_address.values()
@@ -99,7 +105,7 @@
         }
 
     def _following(
-        self, now: float, ring: Ring, flow: bytes, most: int
+        self, now: float, ring: HashRing, flow: bytes, most: int
     ) -> Iterator[Member]:
         """Return the members that a flow belongs to.
 
@@ -114,44 +120,46 @@
             found += 1
             here += not self._is_silent(now, member)
             yield member
-            if found >= WIDER * most or (found >= most and 2 * here >= most):
+            if found >= WIDE_FACTOR * most or (found >= most and 2 * here >= most):
                 return
 
-    def first(self, now: float, flow: bytes, most: int = FIRST) -> list[Member]:
+    def for_flow(self, now: float, flow: bytes, most: int = CANDIDATES) -> list[Member]:
         """Return the members that a flow belongs to, for whichever client."""
         if len(self._by_address) <= most:
             return list(self._by_address.values())
         return list(self._following(now, self._ring, flow, most))
 
-    def near(self, now: float, flow: bytes, zone: int) -> list[Member]:
+    def for_zone(self, now: float, flow: bytes, zone: int) -> list[Member]:
         """Return the members that may have opened a flow of one data centre."""
-        members = self.first(now, flow)
+        members = self.for_flow(now, flow)
         ring = self._rings_by_zone.get(zone)
         if ring is None or len(members) == len(self._by_address):
             return members
         known = {member.address for member in members}
-        local = self._following(now, ring, flow, FIRST_NEAR)
+        local = self._following(now, ring, flow, ZONE_CANDIDATES)
         return members + [m for m in local if m.address not in known]
 
-    def far(self, now: float, flow: bytes) -> list[Member]:
+    def widened(self, now: float, flow: bytes) -> list[Member]:
         """Return the members that may have opened a flow, as others saw it.
 
         What goes wrong without: clients move to another data centre, agents
         join, or many were away as the flow was opened; its owner isn't among
         those that it belongs to now, and the flow is reset.
         """
-        by_address = {m.address: m for m in self.first(now, flow, WIDER * FIRST)}
+        by_address = {
+            m.address: m for m in self.for_flow(now, flow, WIDE_FACTOR * CANDIDATES)
+        }
         if len(by_address) == len(self._by_address):
             return list(by_address.values())
-        rings = [(self._ring, FIRST)]
-        rings += [(ring, 2 * FIRST_NEAR) for ring in self._rings_by_zone.values()]
+        rings = [(self._ring, CANDIDATES)]
+        rings += [(ring, 2 * ZONE_CANDIDATES) for ring in self._rings_by_zone.values()]
         for ring, most in rings:
             for member in self._ever_following(now, ring, flow, most):
                 by_address[member.address] = member
         return list(by_address.values())
 
     def _ever_following(
-        self, now: float, ring: Ring, flow: bytes, most: int
+        self, now: float, ring: HashRing, flow: bytes, most: int
     ) -> Iterator[Member]:
         """Return the members that a flow may ever have belonged to.
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/entry.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/entry.py
@@ -14,13 +14,13 @@
 
 from . import tunnel
 from .features import Features
-from .formers import Former
+from .formers import FormerService
 from .holding import Holding
-from .members import UNANSWERED_AFTER, Roster
+from .members import ENTRY_ANSWER_TIMEOUT_SECONDS, Roster
 from .models import Codec, Links, Log, Packet, Routes, route_key
 from .node import HOP_LIMIT, Node
 from .questions import Questions
-from .tunnel import Head, Kind, Mark, Reason, Wish, tag, zone_tag
+from .tunnel import Head, HelloRequest, Kind, Mark, Reason, tag, zone_tag
 from .unanswered import REPEAT_AFTER, REPEAT_KNOWN_AFTER, Asked, Unanswered
 
 __all__ = ["Entry"]
@@ -29,28 +29,28 @@
 """Owners remembered: four times the flows of an entry at the size designed
 for (120 million over 7,300), 16 MB."""
 
-GREETED = 16
+HELLO_AGENTS_LIMIT = 16
 """Agents of a service that an entry asks for their status as it learns of them.
 What goes wrong without: it takes those that have no target for homes, or that
 are gone, until packets are lost there. Of more it learns as it sends to them."""
 
-KEEP_ALIVE_EVERY = 0.5
+KEEP_ALIVE_INTERVAL_SECONDS = 0.5
 """Seconds between hellos to a few agents while no client sends, so that the
 configuration stays fresh here."""
 
-TRUSTED_FOR = 0.7
+HOME_TRUST_SECONDS = 0.7
 """Seconds since a home was heard for which copies of an opening go there too:
 it answers an entry that sends packets each 0.6 s."""
 
-ROSTERS_TOLD = 32
+ROSTERS_SENT_LIMIT = 32
 """Services whose agents are told to a daemon that starts, in one datagram; it
 looks up further ones when it needs them."""
 
-KEEP_ALIVE_WIDTH = 3
-NEIGHBOURS_WITHIN = 10.0
+KEEP_ALIVE_AGENTS = 3
+NEIGHBOUR_HEARD_WITHIN_SECONDS = 10.0
 
 
-SETTLED_FOR = 1.0
+OWNER_SETTLED_SECONDS = 1.0
 """Seconds after an owner was learned for which a service that gives the flow back
 has only not heard of it: above the longest that a search keeps packets."""
 
@@ -76,7 +76,7 @@
         self.last_client_at = float("-inf")
         self._holding = Holding()
         self._unanswered = Unanswered()
-        self._settled: dict[bytes, float] = {}
+        self._settled_at_by_flow: dict[bytes, float] = {}
         self._kept_alive_at = float("-inf")
 
     @property
@@ -100,7 +100,10 @@
     ) -> None:
         """Take an agent that announced itself in the store."""
         roster = self._roster(service)
-        if address not in roster.by_address and len(roster.by_address) < GREETED:
+        if (
+            address not in roster.by_address
+            and len(roster.by_address) < HELLO_AGENTS_LIMIT
+        ):
             self.hello(now, address)
         roster.add(now, address, zone_tag(centre))
 
@@ -110,7 +113,7 @@
             member.address
             for roster in self.rosters_by_service.values()
             for member in roster.by_address.values()
-            if now - member.heard_at < NEIGHBOURS_WITHIN
+            if now - member.heard_at < NEIGHBOUR_HEARD_WITHIN_SECONDS
         ]
         self.rng.shuffle(addresses)
         return addresses
@@ -138,14 +141,14 @@
             self._status(now, sender, head, body)
         elif head.kind is Kind.ROSTER:
             self._learn_members(now, body)
-        elif head.kind is Kind.HELLO and head.reason == Wish.MEMBERS:
-            self.send(now, sender, Kind.ROSTER, tunnel.control(self._rows(now)))
+        elif head.kind is Kind.HELLO and head.reason == HelloRequest.MEMBERS:
+            self.send(now, sender, Kind.ROSTER, tunnel.encode_rosters(self._rows(now)))
 
     def tick(self, now: float) -> None:
         """Do what time demands; call it about twenty times a second."""
         self.formers.tick(now)
         for roster in self.rosters_by_service.values():
-            for address in roster.unanswered(now):
+            for address in roster.hellos_due(now):
                 self.hello(now, address)
             if roster.is_due(now):
                 self._review(now, roster)
@@ -154,16 +157,16 @@
         self._holding.expire(now)
         self._ask_again(now)
         self._forget_settled(now)
-        if now - self._kept_alive_at >= KEEP_ALIVE_EVERY:
+        if now - self._kept_alive_at >= KEEP_ALIVE_INTERVAL_SECONDS:
             self._kept_alive_at = now
-            for address in self.neighbours(now)[:KEEP_ALIVE_WIDTH]:
+            for address in self.neighbours(now)[:KEEP_ALIVE_AGENTS]:
                 self.hello(now, address)
 
     def _review(self, now: float, roster: Roster) -> None:
         changes = roster.refresh(now)
-        if changes.come or changes.gone:
-            self.log.event("roster", service=roster.service, **changes.told())
-        for address in roster.probes(now):
+        if changes.arrived or changes.departed:
+            self.log.event("roster", service=roster.service, **changes.log_fields())
+        for address in roster.probes_due(now):
             self.hello(now, address)
 
     def _roster(self, service: str) -> Roster:
@@ -174,7 +177,7 @@
 
     def _rows(self, now: float) -> dict[str, Any]:
         """Return what another daemon that has just started needs to know."""
-        rosters = itertools.islice(self.rosters_by_service.items(), ROSTERS_TOLD)
+        rosters = itertools.islice(self.rosters_by_service.items(), ROSTERS_SENT_LIMIT)
         return {service: roster.rows(now) for service, roster in rosters}
 
     def _heard(self, now: float, sender: str, service: int) -> None:
@@ -190,11 +193,11 @@
     def _route(self, now: float, packet: Packet, head: Head | None) -> None:
         route = self.routes.by_address.get(route_key(packet.flow))
         if route is None:
-            self._unrouted(packet)
+            self._handle_unrouted(packet)
             return
         if packet.is_opening:
             self.hints_by_flow.pop(packet.flow, None)
-            self._settled.pop(packet.flow, None)
+            self._settled_at_by_flow.pop(packet.flow, None)
             self._forget_questions(packet.flow)
             service = route.services(packet.flow)[0]
             self._forward_home(now, packet, service, Mark.NONE, head)
@@ -224,7 +227,7 @@
                 self._unanswered.keep(now, packet, after)
                 return
             self.questions.unowned(now, packet, service, marks | Mark.UNSURE)
-        self._unowned(now, packet, services)
+        self._end_unowned(now, packet, services)
 
     def _ask_again(self, now: float) -> None:
         for asked in self._unanswered.due(now):
@@ -232,12 +235,12 @@
             self._unanswered.begun_at(asked)
 
     def _forget_settled(self, now: float) -> None:
-        for flow, at in list(self._settled.items()):
-            if now - at < SETTLED_FOR:
+        for flow, at in list(self._settled_at_by_flow.items()):
+            if now - at < OWNER_SETTLED_SECONDS:
                 break
-            del self._settled[flow]
+            del self._settled_at_by_flow[flow]
 
-    def _unowned(self, now: float, packet: Packet, services: list[str]) -> None:
+    def _end_unowned(self, now: float, packet: Packet, services: list[str]) -> None:
         """End a flow that no service holds.
 
         What goes wrong if a daemon does so that may lack a former service: the
@@ -262,7 +265,7 @@
             self.questions.forget(packet.flow)
             self._unanswered.keep(now, packet, REPEAT_AFTER)
 
-    def _unrouted(self, packet: Packet) -> None:
+    def _handle_unrouted(self, packet: Packet) -> None:
         version = self.routes.version
         if not version or self.may_lack_routes:
             # What goes wrong if it is reset: its route was added in the seconds
@@ -303,7 +306,7 @@
         if packet.is_opening and packet.acknowledged:
             # A copy of an opening tells that the first home may be gone.
             heard = roster.by_address[home].heard_at
-            if now - heard > TRUSTED_FOR:
+            if now - heard > HOME_TRUST_SECONDS:
                 home = homes[packet.acknowledged % len(homes)]
         self._forward(now, packet, roster, home, marks, head)
         return True
@@ -317,11 +320,11 @@
         marks: int,
         head: Head | None,
     ) -> None:
-        roster.sent(now, address)
+        roster.expect_answer(now, address)
         hops = head.hops + 1 if head else 0
         service = tag(roster.service)
         self.log.count("packets.forwarded")
-        if not roster.by_address[address].has_told and not hops:
+        if not roster.by_address[address].has_reported and not hops:
             self._holding.add(now, address, packet)
         self.send(
             now,
@@ -357,8 +360,8 @@
             self.hints_by_flow.pop(flow, None)
             self.hints_by_flow[flow] = owner
             if flow in self.questions:
-                self._settled.pop(flow, None)
-                self._settled[flow] = now
+                self._settled_at_by_flow.pop(flow, None)
+                self._settled_at_by_flow[flow] = now
             asked = self._forget_questions(flow)
             if asked is not None and sender != owner:
                 self._route(now, asked.packet, None)
@@ -406,8 +409,12 @@
 
     def _is_settled(self, now: float, flow: bytes) -> bool:
         """Tell whether the owner of a flow was learned while it was asked for."""
-        at = self._settled.get(flow)
-        return at is not None and now - at < SETTLED_FOR and flow in self.hints_by_flow
+        at = self._settled_at_by_flow.get(flow)
+        return (
+            at is not None
+            and now - at < OWNER_SETTLED_SECONDS
+            and flow in self.hints_by_flow
+        )
 
     def _drop_member(self, address: str, keep: int) -> None:
         """Forget an agent in the rosters of services that it doesn't serve.
@@ -421,9 +428,9 @@
                 self.log.event("member.moved", service=roster.service, agent=address)
 
     def _learn_members(self, now: float, body: bytes) -> None:
-        for service, rows in self.rosters(body).items():
+        for service, rows in self.read_rosters(body).items():
             for address, zone, age in rows:
-                if age is not None and age >= UNANSWERED_AFTER:
+                if age is not None and age >= ENTRY_ANSWER_TIMEOUT_SECONDS:
                     continue
                 roster = self._roster(service)
                 member = roster.add(now, address, zone)
@@ -448,7 +455,7 @@
         self,
         now: float,
         routes: Routes,
-        told: list[Former] | None = None,
+        told: list[FormerService] | None = None,
         whole: bool = True,
     ) -> bool:
         """Put a configuration in force; see `Node.configure`."""
--- a/packages/zinniahook-core/src/zinniahook_core/packets/evacuations.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/evacuations.py
@@ -22,28 +22,28 @@
 
 __all__ = ["Evacuations", "Stamp"]
 
-ASK_EVERY = 0.05
+REQUEST_INTERVAL_SECONDS = 0.05
 """Seconds between two questions for a newer set: each datagram of a daemon that
 has one shows it, a hundred in the moment after an order."""
 
-CLAIM_KEPT = 1.0
+CLAIM_EXPIRY_SECONDS = 1.0
 """Seconds for which a newer set that a datagram showed is waited for. Its sender may
 have died since, and nobody else has it: whoever looks at the store next does so
 within 1.5 s, well below the seconds in which orders must be in force. What goes
 wrong without an end: this daemon gives its target nothing ever again."""
 
-DOUBT_LONGEST = 0.4
+CLAIM_WAIT_SECONDS = 0.4
 """Seconds without the newer set after which this daemon looks at the store itself:
 eight questions got no answer."""
 
-RETAINED_FOR = 15.0
+RETAINED_SECONDS = 15.0
 """Seconds for which orders of a former era stay in force if the restored store
 lacks them. Its operator finds them gone and writes them again: some seconds of
 outage, a slow call and a second try. Too short, and flows are opened where power
 is about to be cut; too long, and a data centre whose order was taken back right
 then is spared for as long, while the others serve."""
 
-NOTHING: frozenset[str] = frozenset()
+NO_CENTRES: frozenset[str] = frozenset()
 """The set that needn't be asked for: its digest tells it."""
 
 
@@ -66,12 +66,12 @@
     """
 
     def __init__(self) -> None:
-        self.names: frozenset[str] = NOTHING
+        self.names: frozenset[str] = NO_CENTRES
         self.tags: frozenset[int] = frozenset()
-        self.retained: frozenset[str] = NOTHING
+        self.retained: frozenset[str] = NO_CENTRES
         self.stamp = Stamp()
         # What the store lists, which is what others are told.
-        self._listed: frozenset[str] = NOTHING
+        self._listed: frozenset[str] = NO_CENTRES
         self._retained_until: float | None = None
         # The latest position at which the listed set is known to hold.
         self._confirmed = 0
@@ -101,11 +101,11 @@
 
     def must_read(self, now: float) -> bool:
         """Tell whether this daemon should look at the store for a newer set."""
-        return self._is_behind(now) and now - self._claimed_since > DOUBT_LONGEST
+        return self._is_behind(now) and now - self._claimed_since > CLAIM_WAIT_SECONDS
 
     def _is_behind(self, now: float) -> bool:
         newer = self._claimed > self._confirmed
-        return newer and now - self._claimed_at <= CLAIM_KEPT
+        return newer and now - self._claimed_at <= CLAIM_EXPIRY_SECONDS
 
     def read(self, revision: int, names: frozenset[str], era: int = 0) -> bool:
         """Take what the store had at a revision; return whether it changes the set.
@@ -121,7 +121,7 @@
             return False
         return self._install(position, names)
 
-    def shown(self, now: float, stamp: Stamp) -> bool:
+    def compare(self, now: float, stamp: Stamp) -> bool:
         """Take what a datagram shows; return whether its sender has a newer set."""
         if not self.stamp.position < stamp.position < POSITION_LIMIT:
             return False
@@ -129,8 +129,10 @@
             self._confirmed = max(self._confirmed, stamp.position)
             self.stamp = stamp
             return False
-        if not self.stamp.position and stamp.digest == _digest(NOTHING, stamp.position):
-            self._install(stamp.position, NOTHING)
+        if not self.stamp.position and stamp.digest == _digest(
+            NO_CENTRES, stamp.position
+        ):
+            self._install(stamp.position, NO_CENTRES)
             return False
         if stamp.position <= self._confirmed:
             # This daemon's set is the newer one. What goes wrong without: others
@@ -153,14 +155,14 @@
         """Tell whether a daemon that shows a stamp has the same set."""
         return stamp.position > 0 and stamp.digest == self.stamp.digest
 
-    def may_ask(self, now: float) -> bool:
+    def may_request(self, now: float) -> bool:
         """Tell whether it is time to ask for a newer set, and note that it is done."""
-        if now - self._asked_at < ASK_EVERY:
+        if now - self._asked_at < REQUEST_INTERVAL_SECONDS:
             return False
         self._asked_at = now
         return True
 
-    def told(self, body: bytes) -> bool | None:
+    def merge(self, body: bytes) -> bool | None:
         """Take a whole set of another daemon; return whether it changes this one.
 
         None if the body is malformed.
@@ -186,10 +188,10 @@
         if not self.retained:
             return False
         if self._retained_until is None:
-            self._retained_until = now + RETAINED_FOR
+            self._retained_until = now + RETAINED_SECONDS
         if now < self._retained_until:
             return False
-        self.retained = NOTHING
+        self.retained = NO_CENTRES
         self._enforce()
         return True
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/features.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/features.py
@@ -10,7 +10,7 @@
 
 from .models import Routes
 
-__all__ = ["FEATURE_NAMES", "Features", "Switch", "has_rivals"]
+__all__ = ["FEATURE_NAMES", "Features", "FeatureSwitch", "has_competing_routes"]
 
 
 class Features(NamedTuple):
@@ -48,13 +48,13 @@
         ``wanted`` is the part's field. Where the settings leave it open, it is on
         if requests of unlike urgency compete for the service's targets.
         """
-        return has_rivals(routes, service) if wanted is None else wanted
+        return has_competing_routes(routes, service) if wanted is None else wanted
 
 
 FEATURE_NAMES: Final = frozenset(Features._fields)
 
 
-class Switch:
+class FeatureSwitch:
     """Whether a part is on for a service, worked out once per configuration.
 
     Parameters
@@ -80,7 +80,7 @@
         return self._is_on
 
 
-def has_rivals(routes: Routes, service: str) -> bool:
+def has_competing_routes(routes: Routes, service: str) -> bool:
     """Tell whether routes of unlike urgency with goals lead to a service.
 
     Only then is there anything to decide when it has too little room.
--- a/packages/zinniahook-core/src/zinniahook_core/packets/formers.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/formers.py
@@ -18,9 +18,9 @@
 
 __all__ = [
     "BUCKETS",
-    "FLOW_LONGEST",
-    "Former",
-    "Formers",
+    "FLOW_MAX_AGE_SECONDS",
+    "FormerService",
+    "FormerServices",
     "Record",
     "decode",
     "decode_rows",
@@ -29,13 +29,13 @@
     "merged",
 ]
 
-FLOW_LONGEST = 60.0
+FLOW_MAX_AGE_SECONDS = 60.0
 """Seconds that a flow may be old, and so that a former service counts."""
 
 ADDRESS_SIZE = 6
 
 
-class Former(NamedTuple):
+class FormerService(NamedTuple):
     """A service that a route led to, and for how many seconds it counts yet."""
 
     address: bytes
@@ -43,7 +43,7 @@
     left: float
 
 
-class Formers:
+class FormerServices:
     """What one daemon knows of former services.
 
     ``is_complete`` tells whether nothing older than this daemon is missing. As
@@ -72,22 +72,22 @@
                 self._until_by_address.pop(address, None)
             elif kept.shares != route.shares:
                 for service in route.names - kept.names:
-                    self._add(address, service, now + FLOW_LONGEST)
+                    self._add(address, service, now + FLOW_MAX_AGE_SECONDS)
 
-    def learn(self, now: float, told: list[Former], whole: bool = True) -> None:
+    def learn(self, now: float, told: list[FormerService], whole: bool = True) -> None:
         """Take what a peer or the record tells; nothing older is missing then.
 
         Unless it isn't ``whole``, as the record of a restored store may not be.
         """
         for former in told:
-            left = min(FLOW_LONGEST, max(0.0, former.left))
+            left = min(FLOW_MAX_AGE_SECONDS, max(0.0, former.left))
             self._add(former.address, former.service, now + left)
         self.is_complete = self.is_complete or whole
 
-    def rows(self, now: float) -> list[Former]:
+    def rows(self, now: float) -> list[FormerService]:
         """Return what is known, for others to learn from."""
         return [
-            Former(address, service, until - now)
+            FormerService(address, service, until - now)
             for address, untils in self._until_by_address.items()
             for service, until in untils.items()
             if until > now
@@ -107,7 +107,7 @@
 
     def tick(self, now: float) -> None:
         """Note the time: no flow is older than this daemon after a while."""
-        if not self.is_complete and now - self._begun > FLOW_LONGEST:
+        if not self.is_complete and now - self._begun > FLOW_MAX_AGE_SECONDS:
             self.is_complete = True
 
     def _add(self, address: bytes, service: str, until: float) -> None:
@@ -138,7 +138,7 @@
     services_by_address: dict[bytes, frozenset[str]]
 
     @classmethod
-    def of(cls, now: float, routes: Routes, formers: Formers) -> Record:
+    def of(cls, now: float, routes: Routes, formers: FormerServices) -> Record:
         """Return what a daemon would write."""
         known: dict[bytes, set[str]] = {
             address: set(route.names) for address, route in routes.by_address.items()
@@ -147,13 +147,13 @@
             known.setdefault(former.address, set()).add(former.service)
         return cls({address: frozenset(names) for address, names in known.items()})
 
-    def formers(self, routes: Routes) -> list[Former]:
+    def formers(self, routes: Routes) -> list[FormerService]:
         """Return the former services of routes that are in force.
 
         The record tells no times, as clocks may jump: each counts in full.
         """
         return [
-            Former(address, service, FLOW_LONGEST)
+            FormerService(address, service, FLOW_MAX_AGE_SECONDS)
             for address, names in self.services_by_address.items()
             if address in routes.by_address
             for service in names - routes.by_address[address].names
@@ -177,7 +177,7 @@
         )
 
 
-def encode_rows(rows: list[Former]) -> bytes:
+def encode_rows(rows: list[FormerService]) -> bytes:
     """Return former services as daemons tell each other."""
     return json.dumps(
         [[row.address.hex(), row.service, round(row.left, 1)] for row in rows],
@@ -185,12 +185,12 @@
     ).encode()
 
 
-def decode_rows(value: bytes) -> list[Former] | None:
+def decode_rows(value: bytes) -> list[FormerService] | None:
     """Read what another daemon tells; None if it is malformed."""
     try:
         rows = json.loads(value)
         return [
-            Former(bytes.fromhex(address), str(service), float(left))
+            FormerService(bytes.fromhex(address), str(service), float(left))
             for address, service, left in rows
         ]
     except (ValueError, TypeError):
--- a/packages/zinniahook-core/src/zinniahook_core/packets/freshness.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/freshness.py
@@ -12,15 +12,15 @@
 
 __all__ = ["Freshness"]
 
-LOOK_AFTER = 0.9
+READ_AFTER_SECONDS = 0.9
 """Seconds without a fresh confirmation until a daemon looks for itself. A
 watcher confirms each 0.4 s, and a change must be everywhere in 3 s: 0.9 s, the
 spread, a slow answer (0.25 s) and two hops (0.5 s) fit in."""
 
-LOOK_SPREAD = 0.6
+READ_SPREAD_SECONDS = 0.6
 """Seconds over which daemons spread, so that few look at the same time."""
 
-YIELD_WITHIN = 0.5
+YIELD_WITHIN_SECONDS = 0.5
 """A watcher stops for another of a lower address that confirmed so lately."""
 
 
@@ -41,15 +41,15 @@
         self.wait_until = float("-inf")
         self.watcher = own
         self._own = own
-        self._patience = LOOK_AFTER + LOOK_SPREAD * rng.random()
-        self._rival_at = float("-inf")
+        self._read_after = READ_AFTER_SECONDS + READ_SPREAD_SECONDS * rng.random()
+        self._other_watcher_at = float("-inf")
 
     def wait(self, now: float) -> None:
         """Give others time to tell, at the start of a daemon that isn't asked.
 
         An agent does without a configuration as long as entries have one.
         """
-        self.wait_until = now + self._patience
+        self.wait_until = now + self._read_after
 
     def age(self, now: float) -> float | None:
         """Return how long ago the version was the newest, None if unknown."""
@@ -80,20 +80,20 @@
         if age is not None and now - age > self.confirmed_at:
             self.confirmed_at = now - age
             self.watcher = watcher
-        if age is not None and age < YIELD_WITHIN and watcher < self._own:
-            self._rival_at = now - age
+        if age is not None and age < YIELD_WITHIN_SECONDS and watcher < self._own:
+            self._other_watcher_at = now - age
         return False
 
-    def must_look(self, now: float) -> bool:
+    def must_read(self, now: float) -> bool:
         """Tell whether this daemon should look at the store itself."""
         if now < self.wait_until:
             return False
-        return now - self.confirmed_at > self._patience
+        return now - self.confirmed_at > self._read_after
 
-    def rest(self, now: float) -> float:
+    def seconds_until_read(self, now: float) -> float:
         """Return for how many seconds this daemon needn't look for sure."""
-        return max(self.wait_until, self.confirmed_at + self._patience) - now
+        return max(self.wait_until, self.confirmed_at + self._read_after) - now
 
     def may_yield(self, now: float) -> bool:
         """Tell whether another daemon is watching, so this one need not."""
-        return now - self._rival_at < YIELD_WITHIN
+        return now - self._other_watcher_at < YIELD_WITHIN_SECONDS
--- a/packages/zinniahook-core/src/zinniahook_core/packets/health.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/health.py
@@ -100,14 +100,14 @@
 """Seconds in which a target's share of openings grows from nothing to all."""
 
 FIRST_SHARE = 0.2
-"""Share that it begins with: above any trickle, see `member.ASIDE_BELOW`."""
+"""Share that it begins with: above any trickle, see `member.EJECTED_BELOW_SHARE`."""
 
 TRICKLE = 0.08
 TRICKLE_LEAST = 0.01
 """Share of the usual openings that a target gets while it is set aside, halved with
-each bad answer in a row, down to the second. Below `member.ASIDE_BELOW`, by which
-others see that it is set aside. One that fails half still answers some; one that
-hangs loses each request that it gets."""
+each bad answer in a row, down to the second. Below `member.EJECTED_BELOW_SHARE`, by
+which others see that it is set aside. One that fails half still answers some; one
+that hangs loses each request that it gets."""
 
 KINDS_LIMIT = 256
 BAD_FLOWS_LIMIT = 1024
@@ -349,7 +349,7 @@
         others = [
             member
             for member in roster.by_address.values()
-            if member.address != own and member.told_at >= since
+            if member.address != own and member.status_received_at >= since
         ]
         self._peers_at = now
         self._peers = compared(now, others)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/homes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/homes.py
@@ -11,46 +11,46 @@
 from collections.abc import Callable, Sequence
 
 from . import placement, tunnel
-from .features import Switch
-from .inquiries import Inquiries, Inquiry, freshest
+from .features import FeatureSwitch
 from .member import Member
 from .members import Roster
 from .models import Packet, State, Urgency, route_key
 from .node import HOP_LIMIT, Node
 from .overload import Overload
 from .placements import Placement
+from .polls import LoadPoll, LoadPolls, with_known_load
 from .rejections import Rejections
-from .searches import ASKED, Searches, Taken
+from .searches import ENTRY_MARKS, Acceptance, Searches
 from .tunnel import Head, Kind, Mark, Reason
 from .work import Work
 
 __all__ = ["Home"]
 
 POINTERS_LIMIT = 65536
-HANDED_PER_TICK = 90
+POINTERS_HANDED_OVER_PER_TICK = 90
 """Pointers handed on in a tick by a home that leaves: 1,800 a second, in
 datagrams that no link splits."""
 
-HOMES_NEXT = 3
+HANDOVER_HOMES = 3
 """Homes of a flow, the best first, that a pointer is handed on to: one more than
 owners tell, as this agent is one of them."""
 
-PLACEMENTS_KEPT = 5.0
+PLACEMENT_EXPIRY_SECONDS = 5.0
 """Seconds a placement is remembered: a client repeats its opening for 1.4 s,
 and may use a port again after seconds."""
 
-ROOM_KEPT = 0.25
+FREE_SLOT_TRUST_SECONDS = 0.25
 """Seconds for which a peer's free slot is believed when an opening that waits
 here could go there; a status to each peer of a small service comes in 0.2 s."""
 
-HOME_HEARD_WITHIN = 0.4
+HOME_HEARD_WITHIN_SECONDS = 0.4
 """Seconds since a home was heard for which packets go there unasked."""
 
-COPY_PATIENCE = 0.15
+DUPLICATE_WITHIN_SECONDS = 0.15
 """Seconds within which a repeated opening goes to the same agent again: it is
 a duplicate of the network, not a client that waited for 0.2 s."""
 
-BUSY = frozenset((Reason.FULL, Reason.LEAVING, Reason.EVACUATED))
+LASTING_REASONS = frozenset((Reason.FULL, Reason.LEAVING, Reason.EVACUATED))
 """Reasons for which an agent won't take the client's next copy either."""
 
 NO_TAKER = "drop.no_taker"
@@ -80,7 +80,7 @@
         node: Node,
         roster: Roster,
         open_here: Callable[[float, str, Head, Packet], Reason],
-        search_here: Callable[[float, Head, Packet], Taken],
+        search_here: Callable[[float, Head, Packet], Acceptance],
         ask: Callable[[float, str], None],
         work: Work,
     ) -> None:
@@ -89,16 +89,16 @@
         self._open_here = open_here
         self._ask = ask
         self._searches = Searches(node, roster, search_here)
-        self._inquiries = Inquiries(node.address, node.rng, ask, self._loads_told)
+        self._load_polls = LoadPolls(node.address, node.rng, ask, self._loads_received)
         self.volumes = placement.Volumes()
         self._overload = Overload(node, roster)
         self.room = self._overload.room
         self._work = work
         self._rejections = Rejections(self.room, node.rng, self._first_takers)
         features = node.features
-        self._expects_work = Switch(features, features.expected_work)
+        self._expects_work = FeatureSwitch(features, features.expected_work)
         self._pointers: dict[bytes, str] = {}
-        self._to_hand_on: list[bytes] = []
+        self._to_hand_over: list[bytes] = []
         self._placements: dict[bytes, Placement] = {}
 
     @property
@@ -121,38 +121,38 @@
     def place(self, now: float, head: Head, packet: Packet) -> None:
         """Choose the agent that opens a flow."""
         self._searches.opened(packet.flow)
-        made = self._placements.get(packet.flow)
-        if made is None or made.sequence != packet.sequence:
-            made = Placement(packet.sequence, now)
-            self._placements[packet.flow] = made
-            self._inquiries.forget(packet.flow)
+        attempt = self._placements.get(packet.flow)
+        if attempt is None or attempt.sequence != packet.sequence:
+            attempt = Placement(packet.sequence, now)
+            self._placements[packet.flow] = attempt
+            self._load_polls.forget(packet.flow)
             self._rejections.forget(packet.flow)
-        if packet.flow in self._inquiries:
+        if packet.flow in self._load_polls:
             return
-        if packet.flow in self._rejections or made.rejected:
+        if packet.flow in self._rejections or attempt.rejected:
             if not packet.acknowledged:
                 # The network doubled it.
                 return
             # Its client has got no reset.
             self._rejections.forget(packet.flow)
-        if made.tried and self._still_good(now, made):
-            self._offer(now, head, packet, made, made.tried[-1])
+        if attempt.tried and self._is_at_same_agent(now, attempt):
+            self._offer(now, head, packet, attempt, attempt.tried[-1])
             return
-        self._place_elsewhere(now, head, packet, made)
+        self._place_elsewhere(now, head, packet, attempt)
 
-    def _still_good(self, now: float, made: Placement) -> bool:
+    def _is_at_same_agent(self, now: float, attempt: Placement) -> bool:
         """Tell whether a copy goes to the agent that has the opening already.
 
         One that has been heard since is alive and may let it wait; a second
         agent would only serve it twice.
         """
-        again = made.tried[-1]
-        if again in made.refused or not self.roster.is_here(now, again):
+        former = attempt.tried[-1]
+        if former in attempt.refused or not self.roster.is_reachable(now, former):
             return False
-        if now - made.at < COPY_PATIENCE or again == self.node.address:
+        if now - attempt.at < DUPLICATE_WITHIN_SECONDS or former == self.node.address:
             return True
-        member = self.roster.by_address[again]
-        return member.heard_at > made.at and member.state is not State.DOWN
+        member = self.roster.by_address[former]
+        return member.heard_at > attempt.at and member.state is not State.DOWN
 
     def move(self, now: float, head: Head, packet: Packet) -> bool:
         """Hand an opening that waits here to a peer that surely has a free slot."""
@@ -160,84 +160,84 @@
         free = [
             member
             for member in self.roster.takers(now, packet.flow, head.zone, own)
-            if member.has_room
-            and now - member.told_at <= ROOM_KEPT
-            and not member.is_lost
+            if member.has_free_slot
+            and now - member.status_received_at <= FREE_SLOT_TRUST_SECONDS
+            and not member.fails_mostly
         ]
         chosen = self._choose(free, head, packet)
         if chosen is None:
             return False
-        made = Placement(packet.sequence, now, [chosen.address])
-        self._placements[packet.flow] = made
-        self._tell(packet, made, chosen, free)
-        self._offer(now, head, packet, made, chosen.address)
+        attempt = Placement(packet.sequence, now, [chosen.address])
+        self._placements[packet.flow] = attempt
+        self._log_placed(packet, attempt, chosen, free)
+        self._offer(now, head, packet, attempt, chosen.address)
         return True
 
     def refused(self, now: float, sender: str, head: Head, packet: Packet) -> None:
         """Place an opening again that an agent gave back."""
-        made = self._placements.get(packet.flow)
-        if made is None or made.sequence != packet.sequence:
-            made = Placement(packet.sequence, now, [sender])
-            self._placements[packet.flow] = made
-        made.refused[sender] = head.reason
+        attempt = self._placements.get(packet.flow)
+        if attempt is None or attempt.sequence != packet.sequence:
+            attempt = Placement(packet.sequence, now, [sender])
+            self._placements[packet.flow] = attempt
+        attempt.refused[sender] = head.reason
         if head.hops >= HOP_LIMIT:
-            self._give_up(now, packet, made)
+            self._give_up(now, packet, attempt)
             return
-        self._place_elsewhere(now, head, packet, made)
+        self._place_elsewhere(now, head, packet, attempt)
 
     def _place_elsewhere(
-        self, now: float, head: Head, packet: Packet, made: Placement
+        self, now: float, head: Head, packet: Packet, attempt: Placement
     ) -> None:
-        takers = self._takers(now, head, packet, made)
-        if not self._inquiries.begin(now, head, packet, takers):
-            self._place_among(now, head, packet, made, takers)
+        takers = self._takers(now, head, packet, attempt)
+        if not self._load_polls.begin(now, head, packet, takers):
+            self._place_among(now, head, packet, attempt, takers)
 
     def _takers(
-        self, now: float, head: Head, packet: Packet, made: Placement
+        self, now: float, head: Head, packet: Packet, attempt: Placement
     ) -> list[Member]:
-        flow, zone, tried = packet.flow, head.zone, {*made.tried, *made.refused}
+        flow, zone, tried = packet.flow, head.zone, {*attempt.tried, *attempt.refused}
         takers = self.roster.takers(now, flow, zone, tried)
         # If all were tried, one whose answer got lost may take a copy.
-        return takers or self.roster.takers(now, flow, zone, made.refused)
+        return takers or self.roster.takers(now, flow, zone, attempt.refused)
 
-    def _loads_told(self, now: float, inquiry: Inquiry) -> None:
+    def _loads_received(self, now: float, poll: LoadPoll) -> None:
         """Place an opening whose takers have told their loads."""
-        head, packet = inquiry.head, inquiry.packet
-        made = self._placements.get(packet.flow)
-        if made is None or made.sequence != packet.sequence:
+        head, packet = poll.head, poll.packet
+        attempt = self._placements.get(packet.flow)
+        if attempt is None or attempt.sequence != packet.sequence:
             return
-        takers = self._takers(now, head, packet, made)
-        self._place_among(now, head, packet, made, takers)
+        takers = self._takers(now, head, packet, attempt)
+        self._place_among(now, head, packet, attempt, takers)
 
     def _place_among(
         self,
         now: float,
         head: Head,
         packet: Packet,
-        made: Placement,
+        attempt: Placement,
         takers: list[Member],
     ) -> None:
-        if self._hold(now, head, packet, made):
+        if self._hold(now, head, packet, attempt):
             return
-        self._place_at_one(now, head, packet, made, takers)
+        self._place_at_best(now, head, packet, attempt, takers)
 
-    def _place_at_one(
+    def _place_at_best(
         self,
         now: float,
         head: Head,
         packet: Packet,
-        made: Placement,
+        attempt: Placement,
         takers: list[Member],
     ) -> None:
-        takers = freshest(now, self.node.address, takers)
+        takers = with_known_load(now, self.node.address, takers)
         chosen = self._choose(takers, head, packet)
         if chosen is None:
-            self._give_up(now, packet, made)
+            self._give_up(now, packet, attempt)
             return
-        made.tried.append(chosen.address)
-        made.at = now
-        self._tell(packet, made, chosen, takers)
-        self._offer(now, head, packet, made, chosen.address)
+        attempt.tried.append(chosen.address)
+        attempt.at = now
+        self._log_placed(packet, attempt, chosen, takers)
+        self._offer(now, head, packet, attempt, chosen.address)
 
     def _choose(
         self, takers: Sequence[Member], head: Head, packet: Packet
@@ -252,13 +252,18 @@
 
     # Room of the service
 
-    def _hold(self, now: float, head: Head, packet: Packet, made: Placement) -> bool:
+    def _hold(self, now: float, head: Head, packet: Packet, attempt: Placement) -> bool:
         """Hold an opening that the service has no room for; return whether it did.
 
         Only one that was certainly placed nowhere: a copy may follow one that
         another home has placed, and whose target has answered.
         """
-        if self.room.since is None or made.tried or made.refused or made.rejected:
+        if (
+            self.room.since is None
+            or attempt.tried
+            or attempt.refused
+            or attempt.rejected
+        ):
             return False
         if packet.acknowledged:
             return False
@@ -270,21 +275,21 @@
         """Return who may take an opening that was offered to nobody yet."""
         return self.roster.takers(now, packet.flow, head.zone)
 
-    def _end_holding(self, now: float) -> None:
+    def _release_held(self, now: float) -> None:
         """Reject what was held, or place it if there is room after all."""
         for held, is_excess in self._rejections.due(now):
-            made = self._placements.get(held.packet.flow)
-            if made is None or made.sequence != held.packet.sequence:
+            attempt = self._placements.get(held.packet.flow)
+            if attempt is None or attempt.sequence != held.packet.sequence:
                 continue
             if is_excess:
-                made.rejected = True
+                attempt.rejected = True
                 self._overload.reject(held)
             else:
-                takers = self._takers(now, held.head, held.packet, made)
-                self._place_at_one(now, held.head, held.packet, made, takers)
+                takers = self._takers(now, held.head, held.packet, attempt)
+                self._place_at_best(now, held.head, held.packet, attempt, takers)
 
-    def _tell(
-        self, packet: Packet, made: Placement, chosen: Member, takers: list[Member]
+    def _log_placed(
+        self, packet: Packet, attempt: Placement, chosen: Member, takers: list[Member]
     ) -> None:
         self.node.log.event(
             "flow.placed",
@@ -292,14 +297,14 @@
             opening=packet.sequence,
             agent=chosen.address,
             copy=packet.acknowledged,
-            tried=len(made.tried),
+            tried=len(attempt.tried),
             busy=chosen.busy,
             placed=chosen.placed,
             takers=len(takers),
         )
 
     def _offer(
-        self, now: float, head: Head, packet: Packet, made: Placement, address: str
+        self, now: float, head: Head, packet: Packet, attempt: Placement, address: str
     ) -> None:
         if address != self.node.address:
             self.node.send(
@@ -310,40 +315,40 @@
                 marks=Mark.PLACED,
                 hops=head.hops + 1,
                 service=head.service,
-                like=head,
+                origin=head,
             )
             return
         reason = self._open_here(now, address, head, packet)
         if reason is not Reason.NONE:
-            made.refused[address] = reason
-            self._place_elsewhere(now, head, packet, made)
+            attempt.refused[address] = reason
+            self._place_elsewhere(now, head, packet, attempt)
 
-    def _give_up(self, now: float, packet: Packet, made: Placement) -> None:
+    def _give_up(self, now: float, packet: Packet, attempt: Placement) -> None:
         """End an opening that certainly can't be served, at once.
 
         Only if every agent tried was full, or all are evacuated: one that is
         restarting or whose target has just died may take the client's next copy.
         """
-        outcome = self._outcome(now, packet, made)
+        outcome = self._outcome(now, packet, attempt)
         self.node.log.event(
             outcome,
             flow=packet.flow,
             opening=packet.sequence,
-            tried=made.tried,
-            refused=made.refused,
+            tried=attempt.tried,
+            refused=attempt.refused,
         )
         if outcome != NO_TAKER:
             reset = self.node.codec.reset(packet.flow, packet.acknowledged)
             self.node.links.to_client(packet.flow, reset)
 
-    def _outcome(self, now: float, packet: Packet, made: Placement) -> str:
+    def _outcome(self, now: float, packet: Packet, attempt: Placement) -> str:
         """Return how an opening that nobody takes ends."""
-        reasons = set(made.refused.values())
-        if Reason.FULL in reasons and reasons <= BUSY:
+        reasons = set(attempt.refused.values())
+        if Reason.FULL in reasons and reasons <= LASTING_REASONS:
             return "reset.full"
         # A copy may follow one that another home has placed, and whose target
         # has answered: a reset would end an open flow.
-        first = not made.tried and not packet.acknowledged
+        first = not attempt.tried and not packet.acknowledged
         certain = self.node.evacuations.is_certain(now)
         if first and certain and self.roster.is_closed(now):
             return "reset.evacuated"
@@ -357,37 +362,37 @@
             self._pointers.pop(flow, None)
             self._pointers[flow] = owner
             for head, packet in self._searches.found(flow):
-                self._point(now, head, packet, owner)
+                self._send_to_owner(now, head, packet, owner)
         while len(self._pointers) > POINTERS_LIMIT:
             del self._pointers[next(iter(self._pointers))]
 
-    def hand_on(self) -> None:
+    def hand_over(self) -> None:
         """Begin to hand the pointers on: this agent leaves.
 
         Owners tell the best two homes and notice after a while who comes next.
         What goes wrong without: agents leave one after the other, and the third
         home of a flow searches for it among the service.
         """
-        self._to_hand_on = list(self._pointers)
+        self._to_hand_over = list(self._pointers)
 
-    def _hand_on_some(self, now: float) -> None:
-        some = self._to_hand_on[-HANDED_PER_TICK:]
-        del self._to_hand_on[-HANDED_PER_TICK:]
-        flows_by_way: dict[tuple[str, str], list[bytes]] = {}
-        for flow in some:
+    def _hand_over_some(self, now: float) -> None:
+        batch = self._to_hand_over[-POINTERS_HANDED_OVER_PER_TICK:]
+        del self._to_hand_over[-POINTERS_HANDED_OVER_PER_TICK:]
+        flows_by_home_and_owner: dict[tuple[str, str], list[bytes]] = {}
+        for flow in batch:
             owner = self._pointers.get(flow)
             if owner is None or self.roster.has_ended(owner):
                 continue
-            homes = self.roster.homes(now, flow, HOMES_NEXT)
+            homes = self.roster.homes(now, flow, HANDOVER_HOMES)
             for home in homes:
                 if home not in (owner, self.node.address):
-                    flows_by_way.setdefault((home, owner), []).append(flow)
+                    flows_by_home_and_owner.setdefault((home, owner), []).append(flow)
         service = tunnel.tag(self.roster.service)
-        for (home, owner), flows in flows_by_way.items():
-            body = tunnel.owner(owner, flows)
+        for (home, owner), flows in flows_by_home_and_owner.items():
+            body = tunnel.encode_owner(owner, flows)
             self.node.send(now, home, Kind.OWNER, body, service=service)
 
-    def handed(self, now: float, owner: str, flows: list[bytes]) -> None:
+    def learn_handed_over(self, now: float, owner: str, flows: list[bytes]) -> None:
         """Take pointers of a home that leaves, of flows not known here yet."""
         self.learn(now, owner, [flow for flow in flows if flow not in self._pointers])
 
@@ -404,9 +409,9 @@
         """Forget a pointer that turned out to be wrong."""
         if self._pointers.get(flow) == owner:
             del self._pointers[flow]
-        made = self._placements.get(flow)
-        if made is not None and owner in made.tried:
-            made.tried.remove(owner)
+        attempt = self._placements.get(flow)
+        if attempt is not None and owner in attempt.tried:
+            attempt.tried.remove(owner)
 
     def locate(self, now: float, head: Head, packet: Packet) -> None:
         """Bring a packet of a flow that isn't owned here to its owner."""
@@ -418,7 +423,7 @@
         if owner not in (None, self.node.address):
             # Also if it is silent: it may be back at any moment, and the
             # packet must reach no other target.
-            self._point(now, head, packet, owner)
+            self._send_to_owner(now, head, packet, owner)
             return
         if flow in self._searches:
             self._searches.wait(now, head, packet)
@@ -444,13 +449,13 @@
         died is noticed after seconds, and until then each packet that the next
         one gets in its place is sent to it.
         """
-        if now - self.roster.by_address[home].heard_at > HOME_HEARD_WITHIN:
+        if now - self.roster.by_address[home].heard_at > HOME_HEARD_WITHIN_SECONDS:
             self._ask(now, home)
-        self.node.pass_on(now, head, packet, home, head.marks & ASKED)
+        self.node.pass_on(now, head, packet, home, head.marks & ENTRY_MARKS)
 
-    def told(self, now: float, sender: str) -> None:
+    def load_reported(self, now: float, sender: str) -> None:
         """Take note that a peer has told its load."""
-        self._inquiries.heard(now, sender)
+        self._load_polls.heard(now, sender)
 
     def denied(self, now: float, sender: str, flows: list[bytes]) -> None:
         """Note that an agent doesn't own flows."""
@@ -461,13 +466,13 @@
     def tick(self, now: float) -> None:
         """End what is overdue."""
         self._searches.tick(now)
-        self._inquiries.tick(now)
-        if self._to_hand_on:
-            self._hand_on_some(now)
+        self._load_polls.tick(now)
+        if self._to_hand_over:
+            self._hand_over_some(now)
         self._overload.review(now)
-        self._end_holding(now)
-        for flow, made in list(self._placements.items())[:64]:
-            if now - made.at <= PLACEMENTS_KEPT:
+        self._release_held(now)
+        for flow, attempt in list(self._placements.items())[:64]:
+            if now - attempt.at <= PLACEMENT_EXPIRY_SECONDS:
                 break
             del self._placements[flow]
 
@@ -477,19 +482,23 @@
         One whose target has ended owns nothing any more.
         """
         owner = self._pointers.get(flow)
-        if owner is None and (made := self._placements.get(flow)) is not None:
-            owner = made.tried[-1] if made.tried else None
+        if owner is None and (attempt := self._placements.get(flow)) is not None:
+            owner = attempt.tried[-1] if attempt.tried else None
         if owner is not None and self.roster.has_ended(owner):
             self.forget(flow, owner)
             return None
         return owner
 
-    def _point(self, now: float, head: Head, packet: Packet, owner: str) -> None:
-        if not self.roster.is_here(now, owner):
+    def _send_to_owner(
+        self, now: float, head: Head, packet: Packet, owner: str
+    ) -> None:
+        if not self.roster.is_reachable(now, owner):
             # The entry's way to it may be open.
-            self._tell_entry(now, head, packet.flow, owner)
-        self.node.pass_on(now, head, packet, owner, Mark.POINTED | head.marks & ASKED)
+            self._notify_entry(now, head, packet.flow, owner)
+        self.node.pass_on(
+            now, head, packet, owner, Mark.POINTED | head.marks & ENTRY_MARKS
+        )
 
-    def _tell_entry(self, now: float, head: Head, flow: bytes, owner: str) -> None:
-        body = tunnel.owner(owner, [flow])
+    def _notify_entry(self, now: float, head: Head, flow: bytes, owner: str) -> None:
+        body = tunnel.encode_owner(owner, [flow])
         self.node.send(now, head.entry, Kind.OWNER, body, service=head.service)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/incarnations.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/incarnations.py
@@ -11,20 +11,20 @@
 import enum
 from typing import NamedTuple
 
-from .models import Beat
+from .models import Heartbeat
 
-__all__ = ["Incarnations", "Verdict"]
+__all__ = ["Incarnations", "HeartbeatOrigin"]
 
-FORMERS_LIMIT = 64
+FORMER_TARGETS_LIMIT = 64
 """Names of earlier targets that are remembered; late heartbeats are of the last
 few."""
 
-RIVAL_SPACING = 0.5
+NEW_START_SPACING = 0.5
 """Intervals between two heartbeats that prove a start by themselves. Delayed
 ones come all at once when a cut ends."""
 
 
-class Verdict(enum.Enum):
+class HeartbeatOrigin(enum.Enum):
     """What a heartbeat is."""
 
     CURRENT = "current"
@@ -42,7 +42,7 @@
     born: int | None
 
 
-class _Rival(NamedTuple):
+class _Unconfirmed(NamedTuple):
     """A heartbeat that may be late, or the first of a start."""
 
     start: _Start
@@ -64,9 +64,9 @@
         self._current: _Start | None = None
         self._number = -1
         self._born_by_former: dict[str, int | None] = {}
-        self._rival: _Rival | None = None
+        self._unconfirmed: _Unconfirmed | None = None
 
-    def judge(self, now: float, beat: Beat) -> Verdict:
+    def classify(self, now: float, beat: Heartbeat) -> HeartbeatOrigin:
         """Take a heartbeat and tell what it is."""
         start = _Start(beat.target, beat.born)
         current = self._current
@@ -74,12 +74,12 @@
             return self._begin(start, beat)
         if self._is_current(current, start) and beat.number > self._number:
             self._number = beat.number
-            self._rival = None
-            return Verdict.CURRENT
+            self._unconfirmed = None
+            return HeartbeatOrigin.CURRENT
         if self._is_later(current, start) or self._persists(now, start, beat.number):
             self._retire(current)
             return self._begin(start, beat)
-        return Verdict.LATE
+        return HeartbeatOrigin.LATE
 
     def is_former(self, target: str, born: int | None) -> bool:
         """Tell whether what a target says of itself is of an earlier start."""
@@ -88,11 +88,11 @@
             return target in self._born_by_former
         return _is_later(current.born, born)
 
-    def _begin(self, start: _Start, beat: Beat) -> Verdict:
+    def _begin(self, start: _Start, beat: Heartbeat) -> HeartbeatOrigin:
         self._current = start
         self._number = beat.number
-        self._rival = None
-        return Verdict.STARTED
+        self._unconfirmed = None
+        return HeartbeatOrigin.STARTED
 
     def _is_current(self, current: _Start, start: _Start) -> bool:
         same = start.born == current.born or None in (start.born, current.born)
@@ -114,16 +114,20 @@
         doesn't tell when it was born, starts again, passes for late, and counts
         as silent for ever.
         """
-        rival = self._rival
-        if rival is None or rival.start != start or number <= rival.number:
-            self._rival = _Rival(start, number, now)
+        unconfirmed = self._unconfirmed
+        if (
+            unconfirmed is None
+            or unconfirmed.start != start
+            or number <= unconfirmed.number
+        ):
+            self._unconfirmed = _Unconfirmed(start, number, now)
             return False
-        return now - rival.at >= RIVAL_SPACING * self._beat_interval
+        return now - unconfirmed.at >= NEW_START_SPACING * self._beat_interval
 
     def _retire(self, former: _Start) -> None:
         self._born_by_former.pop(former.target, None)
         self._born_by_former[former.target] = former.born
-        while len(self._born_by_former) > FORMERS_LIMIT:
+        while len(self._born_by_former) > FORMER_TARGETS_LIMIT:
             del self._born_by_former[next(iter(self._born_by_former))]
 
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/member.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/member.py
@@ -10,28 +10,28 @@
 from .sections import Section
 from .tunnel import Status
 
-__all__ = ["TOLD_STATES", "Member", "Row"]
+__all__ = ["REPORTED_STATES", "Member", "RosterRow"]
 
-EMPTY_STATES = frozenset((State.STARTING, State.ENDED))
+NO_TARGET_STATES = frozenset((State.STARTING, State.ENDED))
 """States of an agent that knows of no target."""
 
-UNTOLD_STATES = frozenset((State.STARTING, State.ANSWERING))
+UNREPORTED_STATES = frozenset((State.STARTING, State.ANSWERING))
 """States of an agent that has heard no heartbeat of its target yet."""
 
-TOLD_STATES = frozenset((State.READY, State.LEAVING))
+REPORTED_STATES = frozenset((State.READY, State.LEAVING))
 """States of an agent that knows its target's slots from a heartbeat."""
 
 
-ASIDE_BELOW = 0.1
+EJECTED_BELOW_SHARE = 0.1
 """Share of the usual openings below which a target counts as set aside: between
 `health.TRICKLE` and `health.FIRST_SHARE`."""
 
-FAILING_MOST = 0.5
+EJECTED_FAILURES_LIMIT = 0.5
 """Share of failures up to which a target that was set aside is still used while no
 other has a free slot: more is answered than lost, and waiting may lose it too."""
 
 
-class Row(NamedTuple):
+class RosterRow(NamedTuple):
     """An agent as a roster tells of it.
 
     ``zone`` is the tag of its data centre, ``age`` how many seconds ago the
@@ -45,23 +45,59 @@
 
 @dataclass(slots=True)
 class Member:
-    """One agent: what it last said and when it was heard.
-
-    ``zone`` is the tag of its data centre, ``vouched_at`` when a peer last heard
-    it, as far as that peer has told.
-
-    ``answer_time`` is the mean time until an answer begins, in seconds.
-    ``busy`` and ``slots`` count requests, ``flows`` open flows, ``placed``
-    what this daemon has sent there since the last status, ``told_at`` when that
-    was. ``waiting_since`` is since when it owes an answer, ``asked_at`` when it
-    was last asked for it, ``probe_at`` and ``probe_pause`` when and how rarely
-    it is asked while it is silent, ``known_at`` since when it is known here,
-    ``since`` when its process was first heard, ``order`` after whom it joined,
-    ``sections`` what features told with its last status, ``changed`` the
-    roster's epoch in which it came, came back, or started again, ``health`` and
-    ``cold`` what was read of the sections: how its target answers, and how much
-    longer it takes while it is cold, None if that isn't told, ``told_members_at``
-    when it last told whom it hears.
+    """An agent, with its last status and the times at which it was heard.
+
+    Times are seconds of the monotonic clock.
+
+    Attributes
+    ----------
+    address : str
+        IP address of the agent.
+    zone : int
+        Tag of its data centre.
+    incarnation : int
+        Number of its process; 0 until a status of its own was received.
+    state : State
+        State that it last reported.
+    slots : int
+        Requests that its target works on at a time.
+    busy : float
+        Requests in progress.
+    flows : int
+        Open flows.
+    warming : float
+        Seconds for which its target stays slow.
+    answer_time : float
+        Mean time until an answer begins, in seconds.
+    placed : float
+        Requests that this daemon has sent there since the last status.
+    heard_at, heard_by_peer_at : float
+        When this daemon last heard it, and when a peer last heard it, as far as
+        that peer has reported.
+    confirmed : bool
+        Whether this daemon has ever heard it.
+    waiting_since, asked_at : float
+        Since when it owes an answer, None if it owes none, and when it was last
+        asked for one.
+    probe_at, probe_interval : float
+        When it is probed next while it is silent, and seconds between probes.
+    known_at : float
+        Since when this daemon knows it.
+    status_received_at, roster_received_at : float
+        When its last status and its last roster were received.
+    process_heard_at : float
+        When its current process was first heard.
+    order : int
+        Grows with the moment at which it joined.
+    sections : dict
+        Optional sections of its last status.
+    changed_epoch : int
+        Epoch of the roster in which it joined, came back or restarted.
+    health : HealthReport or None
+        How its target answers, None if it doesn't report that.
+    cold : float or None
+        How much longer a request takes while its target is cold, None if it
+        doesn't report that.
     """
 
     address: str
@@ -75,29 +111,29 @@
     answer_time: float = 0.0
     placed: float = 0.0
     heard_at: float = 0.0
-    vouched_at: float = float("-inf")
+    heard_by_peer_at: float = float("-inf")
     confirmed: bool = False
     waiting_since: float | None = None
     asked_at: float = 0.0
     probe_at: float = 0.0
-    probe_pause: float = 0.0
+    probe_interval: float = 0.0
     known_at: float = 0.0
-    told_at: float = float("-inf")
-    since: float = 0.0
+    status_received_at: float = float("-inf")
+    process_heard_at: float = 0.0
     order: int = 0
     sections: dict[int, bytes] = field(default_factory=dict)
-    changed: int = 0
+    changed_epoch: int = 0
     health: HealthReport | None = None
     cold: float | None = None
-    told_members_at: float = float("-inf")
+    roster_received_at: float = float("-inf")
 
-    def take(self, status: Status, now: float) -> None:
+    def update(self, status: Status, now: float) -> None:
         """Take what the member itself has just said."""
         if status.incarnation != self.incarnation:
-            self.since = now
+            self.process_heard_at = now
         self.incarnation = status.incarnation
         state = status.state
-        if state not in UNTOLD_STATES or self.state is not State.LEAVING:
+        if state not in UNREPORTED_STATES or self.state is not State.LEAVING:
             # What goes wrong without the check: the agent of a leaving target
             # restarts, doesn't know that it leaves, and gets openings.
             self.state = state
@@ -109,7 +145,7 @@
         if self.sections or status.sections:
             self._read(status.sections)
         self.placed = 0.0
-        self.told_at = now
+        self.status_received_at = now
         self.heard(now)
 
     def _read(self, sections: dict[int, bytes]) -> None:
@@ -126,38 +162,42 @@
         return 1.0 if self.health is None else self.health.trust
 
     @property
-    def is_aside(self) -> bool:
+    def is_ejected(self) -> bool:
         """Whether its target was set aside by its answers."""
-        return self.health is not None and self.health.trust < ASIDE_BELOW
+        return self.health is not None and self.health.trust < EJECTED_BELOW_SHARE
 
     @property
-    def is_lost(self) -> bool:
+    def fails_mostly(self) -> bool:
         """Whether it was set aside and fails more than it answers."""
         health = self.health
-        return health is not None and self.is_aside and health.failing > FAILING_MOST
+        return (
+            health is not None
+            and self.is_ejected
+            and health.failing > EJECTED_FAILURES_LIMIT
+        )
 
     @property
-    def has_room(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Whether a request that is sent there now needn't wait."""
         return self.busy + self.placed < self.slots
 
     @property
-    def has_told(self) -> bool:
+    def has_reported(self) -> bool:
         """Whether a status of its own was heard."""
         return self.incarnation > 0
 
     @property
     def was_heard(self) -> bool:
         """Whether this daemon or a peer has ever heard it."""
-        return self.confirmed or self.vouched_at > float("-inf")
+        return self.confirmed or self.heard_by_peer_at > float("-inf")
 
     @property
-    def is_empty(self) -> bool:
+    def has_no_target(self) -> bool:
         """Whether it says that it hasn't seen a target yet, or not any more."""
-        return self.has_told and self.state in EMPTY_STATES
+        return self.has_reported and self.state in NO_TARGET_STATES
 
     @property
-    def may_serve_unseen(self) -> bool:
+    def may_hold_flows(self) -> bool:
         """Whether its target may hold flows although it isn't heard any more.
 
         What goes wrong if one passes for empty that hasn't seen its target yet: every
@@ -172,4 +212,4 @@
         self.heard_at = now
         self.confirmed = True
         self.waiting_since = None
-        self.probe_at = self.probe_pause = 0.0
+        self.probe_at = self.probe_interval = 0.0
--- a/packages/zinniahook-core/src/zinniahook_core/packets/membership.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/membership.py
@@ -3,51 +3,51 @@
 from __future__ import annotations
 
 from . import tunnel
-from .features import Switch
+from .features import FeatureSwitch
 from .flows import Flows
 from .health import PEERS_ASKED
-from .member import Row
-from .members import ASKED_AGAIN_AFTER, Roster
+from .member import RosterRow
+from .members import HELLO_RETRY_SECONDS, Roster
 from .models import State
 from .node import Node
 from .reports import encode_cold, encode_health
 from .room import Census
 from .sections import Section
 from .target import Target
-from .tunnel import Kind, Status, Wish, tag
+from .tunnel import HelloRequest, Kind, Status, tag
 from .waiting import Waiting
 from .work import Work
 
 __all__ = ["Membership"]
 
-ENTRY_STATUS_EVERY = 0.4
+ENTRY_STATUS_INTERVAL_SECONDS = 0.4
 """Seconds between statuses to an entry that sends packets here."""
 
-ROSTER_EVERY = 4.0
+ENTRY_ROSTER_INTERVAL_SECONDS = 4.0
 """Seconds between rosters to an entry drawn by lot. What goes wrong without:
 an entry that has missed a new agent never sends anything there."""
 
-MEMBERS_ASKED = 4
+STARTUP_PEERS_ASKED = 4
 """Peers that an agent asks at its start; some may be away themselves."""
 
-TURNS = 2
+STATUS_BATCHES_LIMIT = 2
 """Parts into which the statuses of one interval are split at most."""
 
-TELLERS = 8
+NEW_MEMBER_REPORTERS = 8
 """Agents that tell an entry of a new one, drawn by lot among all that know it. If
 all did, a new agent would cost a datagram from each agent to each entry."""
 
-NEWS_EVERY = 1.0
+JOIN_REPORT_INTERVAL_SECONDS = 1.0
 """Seconds between two messages to a peer about those that joined lately."""
 
-NEWS_FOR = 30.0
+RECENT_JOIN_SECONDS = 30.0
 """Seconds for which a member counts as one that joined lately."""
 
-NEWS_MOST = 40
+JOIN_REPORT_ROWS_LIMIT = 40
 """Members told of at once: 1,200 bytes, which no link splits."""
 
 ENTRIES_LIMIT = 1024
-ENTRY_KEPT = 30.0
+ENTRY_EXPIRY_SECONDS = 30.0
 """Seconds for which an entry that sent packets hears of changes here."""
 
 NEVER = float("-inf")
@@ -78,21 +78,21 @@
         self._target = target
         self._flows = flows
         self._incarnation = incarnation
-        self._told_state = State.STARTING
-        self._said_at = NEVER
-        self._due = 0.0
+        self._announced_state = State.STARTING
+        self._statuses_counted_at = NEVER
+        self._statuses_due = 0.0
         self._rotation: list[str] = []
         # In order, as a set's would differ from process to process.
-        self._owed: dict[str, None] = {}
-        self._roster_at = NEVER
-        self._news_at = NEVER
-        self._members_asked = 0
-        self._seen_by_entry: dict[str, float] = {}
-        self._told_by_entry: dict[str, float] = {}
+        self._entries_owed: dict[str, None] = {}
+        self._roster_sent_at = NEVER
+        self._joins_reported_at = NEVER
+        self._peers_asked = 0
+        self._seen_at_by_entry: dict[str, float] = {}
+        self._answered_at_by_entry: dict[str, float] = {}
         self.roster = self._new_roster()
         features = node.features
-        self.shares_room = Switch(features, bool(features.shared_room))
-        self.expects_work = Switch(features, features.expected_work)
+        self.shares_capacity = FeatureSwitch(features, bool(features.shared_room))
+        self.expects_work = FeatureSwitch(features, features.expected_work)
         self.work = Work(flows)
         self.openings_waiting = Waiting()
         self._census = Census(flows)
@@ -100,7 +100,7 @@
     @property
     def entries(self) -> list[str]:
         """The entries that sent packets here lately."""
-        return list(self._seen_by_entry)
+        return list(self._seen_at_by_entry)
 
     @property
     def service(self) -> int:
@@ -115,7 +115,7 @@
         whose target's heartbeat is due in a second offers it a single request
         at a time, while openings wait.
         """
-        return self._target.usable_slots or self.roster.usual_slots()
+        return self._target.usable_slots or self.roster.median_slots()
 
     def restart(self) -> None:
         """Begin with an empty roster: the target serves another service."""
@@ -148,37 +148,37 @@
         """Tell what has changed, and what is due."""
         if self.expects_work.is_on(self._node.routes, self._target.service):
             self._learn_work(now)
-        judged = self._judge(now)
+        health_changed = self._update_health(now)
         state = self.state(now)
-        if state is not self._told_state:
+        if state is not self._announced_state:
             self._node.log.event(
                 "target.state",
-                former=self._told_state.name,
+                former=self._announced_state.name,
                 state=state.name,
                 target=self._target.name,
                 flows=len(self._flows),
             )
-            self._tell_all(now)
-        elif judged:
-            self._tell_all(now)
+            self._announce_to_all(now)
+        elif health_changed:
+            self._announce_to_all(now)
         else:
-            self._tell_some(now)
-        self._tell_entries(now)
-        self._tell_news(now)
-        for address in self.roster.unanswered(now):
+            self._send_due_statuses(now)
+        self._answer_entries(now)
+        self._report_joins(now)
+        for address in self.roster.hellos_due(now):
             self._node.hello(now, address)
 
-    def _judge(self, now: float) -> bool:
+    def _update_health(self, now: float) -> bool:
         """Judge the target by its answers; return whether others should hear."""
         health = self._target.health
         if health is None:
             return False
         changed = health.tick(now, self.roster, self._node.address)
         if health.suspect_since == now:
-            self._ask_some(now)
+            self._ask_random_peers(now)
         return changed
 
-    def _ask_some(self, now: float) -> None:
+    def _ask_random_peers(self, now: float) -> None:
         """Ask a few peers for their word on a suspicion."""
         peers = [a for a in self.roster.present(now) if a != self._node.address]
         count = min(PEERS_ASKED, len(peers))
@@ -198,34 +198,34 @@
         member = self.roster.by_address.get(address)
         if member is None or address == self._node.address:
             return
-        if member.waiting_since is None or now - member.asked_at >= ASKED_AGAIN_AFTER:
-            self.roster.sent(now, address)
+        if member.waiting_since is None or now - member.asked_at >= HELLO_RETRY_SECONDS:
+            self.roster.expect_answer(now, address)
             member.asked_at = now
             self._node.hello(now, address)
 
-    def show(self, now: float, address: str) -> None:
+    def send_status(self, now: float, address: str) -> None:
         """Show an agent that this one runs."""
         if address != self._node.address:
             self._send(now, address, self._status(now))
 
-    def greet(self, now: float, address: str, wish: int) -> None:
+    def answer_hello(self, now: float, address: str, request: int) -> None:
         """Answer a hello."""
-        if wish == Wish.NOTHING:
+        if request == HelloRequest.NOTHING:
             return
         to_entry = address not in self.roster.by_address
         self._send(now, address, self._status(now, to_entry))
-        if wish == Wish.MEMBERS:
+        if request == HelloRequest.MEMBERS:
             self._send_rows(now, address, self.roster.rows(now))
 
-    def farewell(self, now: float) -> None:
+    def announce_end(self, now: float) -> None:
         """Tell everybody once more, as this process ends.
 
         What goes wrong without: the one datagram that told of the end got lost,
         and its receiver waits for flows that nobody holds.
         """
-        self._tell_all(now)
+        self._announce_to_all(now)
 
-    def introduce(self, now: float, address: str) -> None:
+    def announce_to(self, now: float, address: str) -> None:
         """Tell an agent that has just become known of this one.
 
         The first few are asked whom they hear. What goes wrong without: this
@@ -233,9 +233,9 @@
         it for long gone, and resets the flows that its target holds.
         """
         self._send(now, address, self._status(now))
-        if self._members_asked < MEMBERS_ASKED:
-            self._members_asked += 1
-            self._node.hello(now, address, Wish.MEMBERS)
+        if self._peers_asked < STARTUP_PEERS_ASKED:
+            self._peers_asked += 1
+            self._node.hello(now, address, HelloRequest.MEMBERS)
 
     def note_entry(self, now: float, entry: str) -> None:
         """Note that an entry sent a packet, and answer it now and then.
@@ -243,41 +243,44 @@
         What goes wrong if the answer waits for the statuses to peers, which are
         seconds apart in a large service: the entry takes this agent for gone.
         """
-        known = entry in self._seen_by_entry
-        if not known and len(self._seen_by_entry) >= ENTRIES_LIMIT:
+        known = entry in self._seen_at_by_entry
+        if not known and len(self._seen_at_by_entry) >= ENTRIES_LIMIT:
             return
-        self._seen_by_entry[entry] = now
-        if now - self._told_by_entry.get(entry, NEVER) >= ENTRY_STATUS_EVERY:
-            self._tell_entry(now, entry, self._status(now, to_entry=True))
+        self._seen_at_by_entry[entry] = now
+        if (
+            now - self._answered_at_by_entry.get(entry, NEVER)
+            >= ENTRY_STATUS_INTERVAL_SECONDS
+        ):
+            self._answer_entry(now, entry, self._status(now, to_entry=True))
         else:
-            self._owed[entry] = None
+            self._entries_owed[entry] = None
 
-    def _tell_all(self, now: float) -> None:
+    def _announce_to_all(self, now: float) -> None:
         """Tell everybody that the state has changed."""
-        self._said_at = now
-        self._told_state = self.state(now)
+        self._statuses_counted_at = now
+        self._announced_state = self.state(now)
         body = self._status(now)
         for address in list(self.roster.by_address):
             if address != self._node.address:
                 self._send(now, address, body)
         brief = self._status(now, to_entry=True)
-        for entry in self._seen_by_entry:
-            self._tell_entry(now, entry, brief)
+        for entry in self._seen_at_by_entry:
+            self._answer_entry(now, entry, brief)
 
-    def _tell_some(self, now: float) -> None:
+    def _send_due_statuses(self, now: float) -> None:
         """Tell the peers whose turn it is.
 
         In turns and not all at once: what is known of the configuration spreads
         with each datagram, and so arrives everywhere all the time.
         """
         peers = len(self.roster.by_address) - 1
-        passed = min(now - self._said_at, self.roster.status_interval)
-        self._said_at = now
-        self._due += peers * passed / self.roster.status_interval
-        count = min(int(self._due), peers)
-        if count < max(1, peers // TURNS):
+        passed = min(now - self._statuses_counted_at, self.roster.status_interval)
+        self._statuses_counted_at = now
+        self._statuses_due += peers * passed / self.roster.status_interval
+        count = min(int(self._statuses_due), peers)
+        if count < max(1, peers // STATUS_BATCHES_LIMIT):
             return
-        self._due -= count
+        self._statuses_due -= count
         body = self._status(now)
         for _ in range(count):
             self._send(now, self._next_peer(), body)
@@ -291,60 +294,63 @@
             if address in self.roster.by_address:
                 return address
 
-    def _tell_news(self, now: float) -> None:
+    def _report_joins(self, now: float) -> None:
         """Tell a peer, drawn by lot, of members that joined lately.
 
         What goes wrong without: two agents couldn't read the store as the other one
         announced itself and never learn of each other. A home that doesn't know an
         owner doesn't ask it, and resets its flows.
         """
-        if now - self._news_at < NEWS_EVERY:
+        if now - self._joins_reported_at < JOIN_REPORT_INTERVAL_SECONDS:
             return
-        self._news_at = now
-        if now - self.roster.newest_at > NEWS_FOR:
+        self._joins_reported_at = now
+        if now - self.roster.last_joined_at > RECENT_JOIN_SECONDS:
             return
         own = self._node.address
         peers = [address for address in self.roster.present(now) if address != own]
         rows = [
             row
-            for row in self.roster.rows(now, now - NEWS_FOR)
-            if self.roster.is_here(now, row.address)
+            for row in self.roster.rows(now, now - RECENT_JOIN_SECONDS)
+            if self.roster.is_reachable(now, row.address)
         ]
         if peers and rows:
-            some = self._node.rng.sample(rows, min(NEWS_MOST, len(rows)))
-            self._send_rows(now, self._node.rng.choice(peers), some)
+            sample = self._node.rng.sample(rows, min(JOIN_REPORT_ROWS_LIMIT, len(rows)))
+            self._send_rows(now, self._node.rng.choice(peers), sample)
 
-    def _tell_entries(self, now: float) -> None:
+    def _answer_entries(self, now: float) -> None:
         """Answer entries that are owed an answer, and one now and then."""
-        for entry in list(self._owed):
-            if now - self._told_by_entry.get(entry, NEVER) >= ENTRY_STATUS_EVERY:
-                self._tell_entry(now, entry, self._status(now, to_entry=True))
-        if now - self._roster_at < ROSTER_EVERY:
+        for entry in list(self._entries_owed):
+            if (
+                now - self._answered_at_by_entry.get(entry, NEVER)
+                >= ENTRY_STATUS_INTERVAL_SECONDS
+            ):
+                self._answer_entry(now, entry, self._status(now, to_entry=True))
+        if now - self._roster_sent_at < ENTRY_ROSTER_INTERVAL_SECONDS:
             return
-        self._roster_at = now
-        for entry, seen in list(self._seen_by_entry.items()):
-            if now - seen > ENTRY_KEPT:
-                self._seen_by_entry.pop(entry)
-                self._told_by_entry.pop(entry, None)
-        if self._seen_by_entry:
-            entry = self._node.rng.choice(list(self._seen_by_entry))
+        self._roster_sent_at = now
+        for entry, seen in list(self._seen_at_by_entry.items()):
+            if now - seen > ENTRY_EXPIRY_SECONDS:
+                self._seen_at_by_entry.pop(entry)
+                self._answered_at_by_entry.pop(entry, None)
+        if self._seen_at_by_entry:
+            entry = self._node.rng.choice(list(self._seen_at_by_entry))
             self._send_rows(now, entry, self.roster.rows(now))
 
-    def _tell_entry(self, now: float, entry: str, body: bytes) -> None:
-        told = self._told_by_entry.get(entry, NEVER)
-        self._told_by_entry[entry] = now
-        self._owed.pop(entry, None)
+    def _answer_entry(self, now: float, entry: str, body: bytes) -> None:
+        told = self._answered_at_by_entry.get(entry, NEVER)
+        self._answered_at_by_entry[entry] = now
+        self._entries_owed.pop(entry, None)
         self._send(now, entry, body)
-        if self.roster.newest_at <= told or told == NEVER:
+        if self.roster.last_joined_at <= told or told == NEVER:
             return
-        if self._node.rng.random() * len(self.roster.by_address) < TELLERS:
+        if self._node.rng.random() * len(self.roster.by_address) < NEW_MEMBER_REPORTERS:
             self._send_rows(now, entry, self.roster.rows(now, told))
 
     def _send(self, now: float, address: str, body: bytes) -> None:
         self._node.send(now, address, Kind.STATUS, body, service=self.service)
 
-    def _send_rows(self, now: float, address: str, rows: list[Row]) -> None:
-        body = tunnel.control({self._target.service: rows})
+    def _send_rows(self, now: float, address: str, rows: list[RosterRow]) -> None:
+        body = tunnel.encode_rosters({self._target.service: rows})
         self._node.send(now, address, Kind.ROSTER, body, service=self.service)
 
     def _status(self, now: float, to_entry: bool = False) -> bytes:
@@ -381,9 +387,9 @@
         routes, service = self._node.routes, self._target.service
         if self.expects_work.is_on(routes, service):
             sections[Section.WORK] = self.work.section()
-        if len(self.openings_waiting) and self.shares_room.is_on(routes, service):
+        if len(self.openings_waiting) and self.shares_capacity.is_on(routes, service):
             waiting = self.openings_waiting.counts
-            sections[Section.ROOM] = self._census.section(now, routes, waiting)
+            sections[Section.DEMAND] = self._census.section(now, routes, waiting)
         if self._target.health is not None:
             sections[Section.HEALTH] = encode_health(self._target.health.report(now))
         if self._target.capacity is not None and self._target.capacity.cold:
@@ -410,20 +416,20 @@
             )
         return fresh
 
-    def learn_members(self, now: float, sender: str, rows: list[Row]) -> None:
+    def learn_members(self, now: float, sender: str, rows: list[RosterRow]) -> None:
         """Take who else there is; those not known yet are greeted."""
-        teller = self.roster.by_address.get(sender)
+        reporter = self.roster.by_address.get(sender)
         # News of who joined lately lacks the teller itself, and whoever is silent.
-        if teller is not None and any(row.address == sender for row in rows):
-            teller.told_members_at = now
+        if reporter is not None and any(row.address == sender for row in rows):
+            reporter.roster_received_at = now
         for address, zone, age in rows:
             if address == self._node.address:
                 continue
             known = address in self.roster.by_address
             self.roster.add(now, address, zone, age or 0.0)
-            self.roster.vouch(now, address, age)
+            self.roster.learn_heard_by_peer(now, address, age)
             if not known:
-                self.introduce(now, address)
+                self.announce_to(now, address)
 
     def learn_member(
         self, now: float, address: str, zone: int, order: int | None
@@ -434,4 +440,4 @@
         if order is not None:
             member.order = order
         if not known:
-            self.introduce(now, address)
+            self.announce_to(now, address)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/models.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/models.py
@@ -15,7 +15,7 @@
 
 __all__ = [
     "Answer",
-    "Beat",
+    "Heartbeat",
     "Codec",
     "Flag",
     "Links",
@@ -138,7 +138,7 @@
     """The target has ended, or there is none: it holds no flows any more."""
 
 
-class Beat(NamedTuple):
+class Heartbeat(NamedTuple):
     """A heartbeat of a target.
 
     ``warming`` is for how many seconds it stays slow, ``born`` the millisecond
@@ -197,11 +197,11 @@
         """
         if len(self.shares) == 1:
             return [self.shares[0].service]
-        first = self._drawn(flow)
+        first = self._pick(flow)
         others = sorted(self.shares, key=lambda share: -share.weight)
         return [first, *(s.service for s in others if s.service != first)]
 
-    def _drawn(self, flow: bytes) -> str:
+    def _pick(self, flow: bytes) -> str:
         total = sum(share.weight for share in self.shares)
         point = rendezvous.fraction(flow) * total
         for share in self.shares:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/node.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/node.py
@@ -9,11 +9,11 @@
 from .eras import revision_of
 from .evacuations import Evacuations, Stamp
 from .features import Features
-from .formers import Former, Formers
+from .formers import FormerService, FormerServices
 from .freshness import Freshness
-from .member import Row
+from .member import RosterRow
 from .models import Codec, Links, Log, Packet, Routes, route_key
-from .tunnel import Head, Kind, Wish, zone_tag
+from .tunnel import Head, HelloRequest, Kind, zone_tag
 
 __all__ = ["HOP_LIMIT", "Node"]
 
@@ -24,11 +24,11 @@
 
 
 ADDRESS_PARTS = 4
-BYTE_MOST = 255
-AGE_MOST = 1e6
+BYTE_MAX = 255
+AGE_MAX_SECONDS = 1e6
 """Seconds of an age in a roster, above the life of any process that matters."""
 
-NEWS_WIDTH = 8
+ANNOUNCEMENT_FANOUT = 8
 """Daemons told at once of a new configuration. Each tells as many others, so one
 in 3,000 isn't told directly; it sees the version in the next datagram."""
 
@@ -73,7 +73,7 @@
         self.features = features
         self.routes = Routes.none()
         self.freshness = Freshness(address, rng)
-        self.formers = Formers()
+        self.formers = FormerServices()
         self.evacuations = Evacuations()
         self.zone = zone_tag(data_centre)
         self.data_centres: frozenset[str] = frozenset()
@@ -83,7 +83,7 @@
         self,
         now: float,
         routes: Routes,
-        told: list[Former] | None = None,
+        told: list[FormerService] | None = None,
         whole: bool = True,
     ) -> bool:
         """Put a configuration in force; an older one is refused.
@@ -108,7 +108,7 @@
             former=former,
             routes=len(routes.by_address),
         )
-        self.show(now)
+        self.announce(now)
         return True
 
     @property
@@ -120,11 +120,11 @@
         """
         return self.evacuations.era > 0 and not self.formers.is_complete
 
-    def show(self, now: float) -> None:
+    def announce(self, now: float) -> None:
         """Show a few daemons what this one knows; they show it to others."""
         others = self.neighbours(now)
-        for address in self.rng.sample(others, min(NEWS_WIDTH, len(others))):
-            self.hello(now, address, Wish.NOTHING)
+        for address in self.rng.sample(others, min(ANNOUNCEMENT_FANOUT, len(others))):
+            self.hello(now, address, HelloRequest.NOTHING)
 
     def evacuate(
         self, now: float, revision: int, names: frozenset[str], era: int = 0
@@ -132,9 +132,9 @@
         """Take which data centres the store lists as evacuated at a revision."""
         changed = self.evacuations.read(revision, names, era)
         if self.evacuations.expire(now) or changed:
-            self._evacuated(now)
+            self._evacuations_changed(now)
 
-    def _evacuated(self, now: float) -> None:
+    def _evacuations_changed(self, now: float) -> None:
         """Note that another set of evacuated data centres is in force."""
         self.log.event(
             "evacuations.installed",
@@ -144,7 +144,7 @@
             revision=revision_of(self.evacuations.stamp.position),
             unknown=self._unknown_centres(),
         )
-        self.show(now)
+        self.announce(now)
 
     def _unknown_centres(self) -> list[str]:
         """Return the evacuated data centres that the deployment doesn't have.
@@ -169,9 +169,11 @@
         """Return the daemons to be told of a new configuration."""
         raise NotImplementedError
 
-    def hello(self, now: float, address: str, wish: Wish = Wish.STATUS) -> None:
+    def hello(
+        self, now: float, address: str, request: HelloRequest = HelloRequest.STATUS
+    ) -> None:
         """Show this daemon's configuration to another, and ask for something."""
-        self.send(now, address, Kind.HELLO, reason=wish)
+        self.send(now, address, Kind.HELLO, reason=request)
 
     def send(
         self,
@@ -184,9 +186,9 @@
         hops: int = 0,
         reason: int = 0,
         service: int = 0,
-        like: Head | None = None,
+        origin: Head | None = None,
     ) -> None:
-        """Send a datagram; ``like`` gives the origin of a client's packet."""
+        """Send a datagram; ``origin`` gives the origin of a client's packet."""
         freshness = self.freshness
         head = Head(
             kind,
@@ -195,9 +197,9 @@
             reason,
             self.routes.version,
             freshness.age(now),
-            like.zone if like else self.zone,
+            origin.zone if origin else self.zone,
             service,
-            like.entry if like else self.address,
+            origin.entry if origin else self.address,
             freshness.watcher,
             *self.evacuations.stamp,
         )
@@ -216,7 +218,7 @@
             marks=marks,
             hops=head.hops + 1,
             service=head.service,
-            like=head,
+            origin=head,
         )
 
     def receive(self, now: float, sender: str, data: bytes) -> None:
@@ -226,56 +228,58 @@
             self.log.count("datagrams.malformed")
             return
         head, body = decoded
-        self._compare(now, sender, head)
+        self._compare_versions(now, sender, head)
         if head.kind is Kind.EVACUATIONS:
-            self._evacuations_told(now, body)
-        elif head.kind is Kind.HELLO and head.reason == Wish.EVACUATIONS:
+            self._receive_evacuations(now, body)
+        elif head.kind is Kind.HELLO and head.reason == HelloRequest.EVACUATIONS:
             self.send(now, sender, Kind.EVACUATIONS, self.evacuations.encode())
         else:
             self.handle(now, sender, head, body)
 
-    def _compare(self, now: float, sender: str, head: Head) -> None:
+    def _compare_versions(self, now: float, sender: str, head: Head) -> None:
         """Ask a daemon for what it has newer than this one.
 
         Its confirmation counts only if both have the same evacuations: it is one
         of both documents.
         """
         stamp = Stamp(head.evacuated_at, head.evacuated)
-        if self.evacuations.shown(now, stamp) and self.evacuations.may_ask(now):
-            self.hello(now, sender, Wish.EVACUATIONS)
+        if self.evacuations.compare(now, stamp) and self.evacuations.may_request(now):
+            self.hello(now, sender, HelloRequest.EVACUATIONS)
         if self.evacuations.expire(now):
-            self._evacuated(now)
+            self._evacuations_changed(now)
         age = head.age if self.evacuations.agrees(stamp) else None
         if self.freshness.heard(now, head.watcher, head.version, age):
             self.links.fetch(sender)
 
-    def _evacuations_told(self, now: float, body: bytes) -> None:
-        changed = self.evacuations.told(body)
+    def _receive_evacuations(self, now: float, body: bytes) -> None:
+        changed = self.evacuations.merge(body)
         if changed is None:
             self.log.count("datagrams.malformed")
         elif self.evacuations.expire(now) or changed:
-            self._evacuated(now)
+            self._evacuations_changed(now)
 
     def handle(self, now: float, sender: str, head: Head, body: bytes) -> None:
         """Handle a datagram whose head was read."""
         raise NotImplementedError
 
-    def rosters(self, body: bytes) -> dict[str, list[Row]]:
+    def read_rosters(self, body: bytes) -> dict[str, list[RosterRow]]:
         """Read the body of a roster; what is malformed is counted and left out."""
-        fields = tunnel.decode_control(body)
+        fields = tunnel.decode_rosters(body)
         if fields is None:
             self.log.count("datagrams.malformed")
             return {}
-        rows_by_service: dict[str, list[Row]] = {}
+        rows_by_service: dict[str, list[RosterRow]] = {}
         for service, rows in fields.items():
-            read = [_row(row) for row in rows] if isinstance(rows, list) else [None]
+            read = (
+                [_decode_row(row) for row in rows] if isinstance(rows, list) else [None]
+            )
             rows_by_service[service] = [row for row in read if row is not None]
             if None in read:
                 self.log.count("datagrams.malformed")
         return rows_by_service
 
 
-def _row(fields: Any) -> Row | None:
+def _decode_row(fields: Any) -> RosterRow | None:
     """Read a row of a roster; None if it is malformed.
 
     What goes wrong without the check: a daemon of another version tells rows of
@@ -283,7 +287,7 @@
     """
     match fields:
         case [str(address), int(zone), age] if _is_address(address) and _is_age(age):
-            return Row(address, zone, age)
+            return RosterRow(address, zone, age)
     return None
 
 
@@ -291,10 +295,10 @@
     """Tell whether a text is an IP address as datagrams carry it."""
     parts = text.split(".")
     return len(parts) == ADDRESS_PARTS and all(
-        part.isascii() and part.isdigit() and int(part) <= BYTE_MOST for part in parts
+        part.isascii() and part.isdigit() and int(part) <= BYTE_MAX for part in parts
     )
 
 
 def _is_age(age: Any) -> bool:
     """Tell whether an age is one; what isn't a number compares false."""
-    return age is None or (isinstance(age, int | float) and 0 <= age < AGE_MOST)
+    return age is None or (isinstance(age, int | float) and 0 <= age < AGE_MAX_SECONDS)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/openings.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/openings.py
@@ -278,7 +278,7 @@
             hops=head.hops + 1,
             reason=reason,
             service=tag(self._target.service),
-            like=head,
+            origin=head,
         )
 
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/outcomes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/outcomes.py
@@ -103,7 +103,7 @@
     """Add up what peers told lately, by kind of route."""
     rows_by_kind: dict[int, list[KindRow]] = {}
     for member in members:
-        if member.health is None or now - member.told_at > FADE_TIME:
+        if member.health is None or now - member.status_received_at > FADE_TIME:
             continue
         for row in member.health.rows:
             rows_by_kind.setdefault(row.kind, []).append(row)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/overload.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/overload.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .features import Switch
+from .features import FeatureSwitch
 from .members import Roster
 from .node import Node
 from .rejections import HeldOpening
@@ -26,7 +26,7 @@
         self.room = Room()
         self._node = node
         self._roster = roster
-        self._switch = Switch(node.features, bool(node.features.shared_room))
+        self._switch = FeatureSwitch(node.features, bool(node.features.shared_room))
 
     def review(self, now: float) -> None:
         """Look over the room of the service, if it is time."""
--- a/packages/zinniahook-core/src/zinniahook_core/packets/placement.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/placement.py
@@ -201,19 +201,19 @@
     """
     if all(member.trust >= 1 for member in members):
         return members
-    aside = [member for member in members if member.is_aside]
+    aside = [member for member in members if member.is_ejected]
     tried = _tried(aside, len(members), rng)
     if tried is not None:
         return [tried]
     aside.sort(key=lambda member: member.health.failing if member.health else 0.0)
     too_many = max(0, len(aside) - int(ASIDE_SHARE_MOST * len(members)))
-    others = [member for member in members if not member.is_aside]
+    others = [member for member in members if not member.is_ejected]
     used = [m for m in others if m.trust >= 1 or rng.random() < m.trust]
     used += aside[:too_many]
-    if any(member.has_room for member in used):
+    if any(member.has_free_slot for member in used):
         return used
     returning = [m for m in others if m not in used]
-    spare = [m for m in aside[too_many:] if m.has_room and not m.is_lost]
+    spare = [m for m in aside[too_many:] if m.has_free_slot and not m.fails_mostly]
     return [*used, *returning, *spare] or members
 
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/inquiries.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/polls.py
@@ -18,25 +18,25 @@
 from .models import Packet
 from .tunnel import Head
 
-__all__ = ["Inquiries", "Inquiry", "freshest"]
+__all__ = ["LoadPolls", "LoadPoll", "with_known_load"]
 
-CHOICES = 4
+KNOWN_LOADS = 4
 """Agents whose loads are known when one is chosen: with two the 99th of 100
 requests waits 90 ms in the model, with three 50, with four 35."""
 
-LOAD_KEPT = 0.05
+LOAD_FRESH_SECONDS = 0.05
 """Seconds for which a load counts as known: about the work on one request."""
 
-PATIENCE = 0.02
+POLL_TIMEOUT_SECONDS = 0.02
 """Seconds for the answers, above two trips between data centres (3 ms). Who
 hasn't answered by then isn't chosen if others have."""
 
-LIMIT = 1024
+POLLS_LIMIT = 1024
 """Openings that wait for loads at most; further ones are placed at once."""
 
 
 @dataclass(slots=True)
-class Inquiry:
+class LoadPoll:
     """One opening, and who hasn't told its load yet."""
 
     at: float
@@ -45,7 +45,7 @@
     waiting: set[str]
 
 
-class Inquiries:
+class LoadPolls:
     """The openings of one home that wait for loads.
 
     Parameters
@@ -65,13 +65,13 @@
         own: str,
         rng: random.Random,
         ask: Callable[[float, str], None],
-        done: Callable[[float, Inquiry], None],
+        done: Callable[[float, LoadPoll], None],
     ) -> None:
         self._own = own
         self._rng = rng
         self._ask = ask
         self._done = done
-        self._by_flow: dict[bytes, Inquiry] = {}
+        self._by_flow: dict[bytes, LoadPoll] = {}
 
     def __contains__(self, flow: bytes) -> bool:
         return flow in self._by_flow
@@ -81,23 +81,23 @@
     ) -> bool:
         """Ask for loads, if too few are known; return whether it did."""
         unknown = [m for m in takers if not self._is_known(now, m)]
-        missing = min(CHOICES - (len(takers) - len(unknown)), len(unknown))
-        if missing <= 0 or len(self._by_flow) >= LIMIT:
+        missing = min(KNOWN_LOADS - (len(takers) - len(unknown)), len(unknown))
+        if missing <= 0 or len(self._by_flow) >= POLLS_LIMIT:
             return False
-        asked = self._drawn(unknown, head.zone, missing)
+        asked = self._sample(unknown, head.zone, missing)
         waiting = {member.address for member in asked}
-        self._by_flow[packet.flow] = Inquiry(now, head, packet, waiting)
+        self._by_flow[packet.flow] = LoadPoll(now, head, packet, waiting)
         for address in sorted(waiting):
             self._ask(now, address)
         return True
 
     def heard(self, now: float, address: str) -> None:
         """Take note that a member has told its load."""
-        for inquiry in list(self._by_flow.values()):
-            if address in inquiry.waiting:
-                inquiry.waiting.discard(address)
-                if not inquiry.waiting:
-                    self._end(now, inquiry)
+        for poll in list(self._by_flow.values()):
+            if address in poll.waiting:
+                poll.waiting.discard(address)
+                if not poll.waiting:
+                    self._end(now, poll)
 
     def forget(self, flow: bytes) -> None:
         """End an inquiry whose opening is no longer to be placed."""
@@ -105,18 +105,21 @@
 
     def tick(self, now: float) -> None:
         """End those that have waited for long enough."""
-        for inquiry in list(self._by_flow.values()):
-            if now - inquiry.at >= PATIENCE:
-                self._end(now, inquiry)
+        for poll in list(self._by_flow.values()):
+            if now - poll.at >= POLL_TIMEOUT_SECONDS:
+                self._end(now, poll)
 
-    def _end(self, now: float, inquiry: Inquiry) -> None:
-        del self._by_flow[inquiry.packet.flow]
-        self._done(now, inquiry)
+    def _end(self, now: float, poll: LoadPoll) -> None:
+        del self._by_flow[poll.packet.flow]
+        self._done(now, poll)
 
     def _is_known(self, now: float, member: Member) -> bool:
-        return member.address == self._own or now - member.told_at <= LOAD_KEPT
+        return (
+            member.address == self._own
+            or now - member.status_received_at <= LOAD_FRESH_SECONDS
+        )
 
-    def _drawn(self, members: list[Member], zone: int, count: int) -> list[Member]:
+    def _sample(self, members: list[Member], zone: int, count: int) -> list[Member]:
         """Draw whom to ask: half of them in the client's data centre."""
         local = [member for member in members if member.zone == zone]
         first = self._rng.sample(local, min((count + 1) // 2, len(local)))
@@ -125,11 +128,12 @@
         return first + self._rng.sample(others, count - len(first))
 
 
-def freshest(now: float, own: str, takers: list[Member]) -> list[Member]:
+def with_known_load(now: float, own: str, takers: list[Member]) -> list[Member]:
     """Return those whose loads are known, all if none is."""
     known = [
         member
         for member in takers
-        if member.address == own or now - member.told_at <= LOAD_KEPT + PATIENCE
+        if member.address == own
+        or now - member.status_received_at <= LOAD_FRESH_SECONDS + POLL_TIMEOUT_SECONDS
     ]
     return known or takers
--- a/packages/zinniahook-core/src/zinniahook_core/packets/questions.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/questions.py
@@ -17,32 +17,32 @@
 
 __all__ = ["Question", "Questions"]
 
-KNOWN_PATIENCE = 0.15
+KNOWN_TIMEOUT_SECONDS = 0.15
 """Seconds until another home is asked first though one hasn't answered: below the
 0.2 s after which a client repeats its packet. No answer doesn't mean that it
 doesn't know: it has passed the packet on, and the way to the owner may be cut.
 What goes wrong if it does: the other services are searched, and their targets
 get packets of a flow whose owner is known."""
 
-SEARCH_PATIENCE = 0.35
+SERVICE_SEARCH_TIMEOUT_SECONDS = 0.35
 """The same for a search: above the 0.2 s in which an agent finds out that its
 target holds a flow, below the 0.6 s of a client's second repetition. What goes
 wrong without: a home that waits for a silent agent keeps every packet from the
 service that owns the flow."""
 
-TURN_WITHIN = 2.0
+LAST_ASKED_EXPIRY_SECONDS = 2.0
 """Seconds after which a service's silence says nothing more: above the 1.6 s at
 which a client repeats a packet at the longest."""
 
-UNKNOWING_KEPT = 0.1
+NO_POINTER_SECONDS = 0.1
 """Seconds for which a home that doesn't know the owner isn't asked again: it may
 learn it at any moment. What goes wrong with more: a search has found the owner
 long since, and other targets get the packet."""
 
-KEPT = 4.0
+ANSWERS_EXPIRY_SECONDS = 4.0
 """Seconds for which answers count: as long as agents keep what they denied."""
 
-LIMIT = 65536
+QUESTIONS_LIMIT = 65536
 
 
 class Question(NamedTuple):
@@ -52,38 +52,40 @@
     marks: int
 
 
-class Turn(NamedTuple):
+class LastAsked(NamedTuple):
     """The service that was asked last, and when."""
 
     service: str
     at: float
 
 
-NOBODY = Turn("", float("-inf"))
+NOT_ASKED = LastAsked("", float("-inf"))
 
 
 @dataclass(slots=True)
-class _Asked:
+class _Answers:
     """What the services have answered for one flow."""
 
     begun: float
     acknowledged: int
-    unknowing: dict[str, float] = field(default_factory=dict)
+    without_pointer: dict[str, float] = field(default_factory=dict)
     denied: set[str] = field(default_factory=set)
     unsure: set[str] = field(default_factory=set)
-    last_known: Turn = NOBODY
-    last_search: Turn = NOBODY
+    last_known: LastAsked = NOT_ASKED
+    last_search: LastAsked = NOT_ASKED
 
-    def unknowing_at(self, now: float) -> set[str]:
+    def without_pointer_at(self, now: float) -> set[str]:
         """Return the services whose homes have just not known the owner."""
-        return {s for s, at in self.unknowing.items() if now - at < UNKNOWING_KEPT}
+        return {
+            s for s, at in self.without_pointer.items() if now - at < NO_POINTER_SECONDS
+        }
 
 
 class Questions:
     """The questions of one entry, by flow."""
 
     def __init__(self) -> None:
-        self._by_flow: dict[bytes, _Asked] = {}
+        self._by_flow: dict[bytes, _Answers] = {}
 
     def __contains__(self, flow: bytes) -> bool:
         return flow in self._by_flow
@@ -94,64 +96,76 @@
 
     def next(self, now: float, packet: Packet, services: list[str]) -> Question | None:
         """Return whom to ask with a packet, None if nobody is left."""
-        asked = self._get(now, packet)
+        answers = self._get(now, packet)
         if len(services) > 1:
-            known = self._left(services, asked.unknowing_at(now) | asked.denied)
+            known = self._left(
+                services, answers.without_pointer_at(now) | answers.denied
+            )
             if known:
-                asked.last_known = _turn(now, asked.last_known, known, KNOWN_PATIENCE)
-                return Question(asked.last_known.service, Mark.SHARED | Mark.KNOWN)
-        left = self._left(services, asked.denied | asked.unsure)
+                answers.last_known = _next_asked(
+                    now, answers.last_known, known, KNOWN_TIMEOUT_SECONDS
+                )
+                return Question(answers.last_known.service, Mark.SHARED | Mark.KNOWN)
+        left = self._left(services, answers.denied | answers.unsure)
         if not left:
             return None
-        asked.last_search = _turn(now, asked.last_search, left, SEARCH_PATIENCE)
-        return Question(asked.last_search.service, Mark.SHARED)
+        answers.last_search = _next_asked(
+            now, answers.last_search, left, SERVICE_SEARCH_TIMEOUT_SECONDS
+        )
+        return Question(answers.last_search.service, Mark.SHARED)
 
     def unowned(self, now: float, packet: Packet, service: str, marks: int) -> None:
         """Note that a service has given a packet back."""
-        asked = self._get(now, packet)
+        answers = self._get(now, packet)
         if not marks & Mark.UNSURE:
-            asked.denied.add(service)
-            asked.unsure.discard(service)
+            answers.denied.add(service)
+            answers.unsure.discard(service)
         elif marks & Mark.KNOWN:
-            asked.unknowing[service] = now
+            answers.without_pointer[service] = now
         else:
-            asked.unsure.add(service)
+            answers.unsure.add(service)
 
     def is_sure(self, flow: bytes) -> bool:
         """Tell whether every answer was certain."""
-        asked = self._by_flow.get(flow)
-        return asked is not None and not asked.unsure
+        answers = self._by_flow.get(flow)
+        return answers is not None and not answers.unsure
 
     def unsure(self, flow: bytes) -> list[str]:
         """Return the services that couldn't tell for sure."""
-        asked = self._by_flow.get(flow)
-        return sorted(asked.unsure) if asked is not None else []
+        answers = self._by_flow.get(flow)
+        return sorted(answers.unsure) if answers is not None else []
 
     def _left(self, services: list[str], answered: set[str]) -> list[str]:
         return [service for service in services if service not in answered]
 
-    def _get(self, now: float, packet: Packet) -> _Asked:
-        asked = self._by_flow.get(packet.flow)
-        if asked is None or now - asked.begun > KEPT or not _same(asked, packet):
-            asked = _Asked(now, packet.acknowledged)
+    def _get(self, now: float, packet: Packet) -> _Answers:
+        answers = self._by_flow.get(packet.flow)
+        if (
+            answers is None
+            or now - answers.begun > ANSWERS_EXPIRY_SECONDS
+            or not _is_same_flow(answers, packet)
+        ):
+            answers = _Answers(now, packet.acknowledged)
             self._by_flow.pop(packet.flow, None)
-            self._by_flow[packet.flow] = asked
-            while len(self._by_flow) > LIMIT:
+            self._by_flow[packet.flow] = answers
+            while len(self._by_flow) > QUESTIONS_LIMIT:
                 del self._by_flow[next(iter(self._by_flow))]
-        return asked
+        return answers
 
 
-def _turn(now: float, last: Turn, left: list[str], patience: float) -> Turn:
+def _next_asked(
+    now: float, last: LastAsked, left: list[str], patience: float
+) -> LastAsked:
     """Return whom to ask: the same again for a while, then the next in turn."""
     silent_for = now - last.at
-    if last.service not in left or silent_for >= TURN_WITHIN:
-        return Turn(left[0], now)
+    if last.service not in left or silent_for >= LAST_ASKED_EXPIRY_SECONDS:
+        return LastAsked(left[0], now)
     if silent_for < patience:
         return last
-    return Turn(left[(left.index(last.service) + 1) % len(left)], now)
+    return LastAsked(left[(left.index(last.service) + 1) % len(left)], now)
 
 
-def _same(asked: _Asked, packet: Packet) -> bool:
+def _is_same_flow(answers: _Answers, packet: Packet) -> bool:
     """Tell whether a packet is of the same flow, not of a later one of its port."""
-    ahead = (packet.acknowledged - asked.acknowledged) % SEQUENCE_SPAN
+    ahead = (packet.acknowledged - answers.acknowledged) % SEQUENCE_SPAN
     return min(ahead, SEQUENCE_SPAN - ahead) <= WINDOW
--- a/packages/zinniahook-core/src/zinniahook_core/packets/registry.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/registry.py
@@ -48,11 +48,11 @@
         self._pending: list[bytes] = []
         self._restarted: set[str] = set()
 
-    def tell_owner(self, now: float, address: str, keys: list[bytes]) -> None:
+    def announce_owner(self, now: float, address: str, keys: list[bytes]) -> None:
         """Tell a daemon that this agent owns flows."""
         for start in range(0, len(keys), KEYS_PER_DATAGRAM):
-            some = keys[start : start + KEYS_PER_DATAGRAM]
-            body = tunnel.owner(self._node.address, some)
+            batch = keys[start : start + KEYS_PER_DATAGRAM]
+            body = tunnel.encode_owner(self._node.address, batch)
             service = self._membership.service
             self._node.send(now, address, Kind.OWNER, body, service=service)
 
@@ -63,34 +63,34 @@
             return
         flow.homes = homes
         for home in homes:
-            self._tell_home(now, home, [flow.key])
+            self._notify_home(now, home, [flow.key])
 
     def register_all(self) -> None:
         """Look at every flow again, some in each tick: homes may have changed."""
         self._pending = list(self._flows.by_key)
 
-    def restarted(self, address: str) -> None:
+    def peer_restarted(self, address: str) -> None:
         """Tell a peer that has just started every flow that it is a home of."""
         self._restarted.add(address)
         self.register_all()
 
     def tick(self, now: float) -> None:
         """Tell some of the flows that are due."""
-        some = self._pending[-REGISTERED_PER_TICK:]
+        batch = self._pending[-REGISTERED_PER_TICK:]
         del self._pending[-REGISTERED_PER_TICK:]
         keys_by_home: dict[str, list[bytes]] = {}
-        for key in some:
+        for key in batch:
             flow = self._flows.get(key)
             if flow is None or not flow.is_awaited:
                 continue
-            for home in self._untold(now, flow):
+            for home in self._homes_to_notify(now, flow):
                 keys_by_home.setdefault(home, []).append(key)
         for home, keys in keys_by_home.items():
-            self._tell_home(now, home, keys)
+            self._notify_home(now, home, keys)
         if not self._pending:
             self._restarted.clear()
 
-    def _untold(self, now: float, flow: Flow) -> list[str]:
+    def _homes_to_notify(self, now: float, flow: Flow) -> list[str]:
         """Return the homes of a flow that don't know it; take note of them.
 
         What goes wrong if every home is told again: one agent comes or goes, and
@@ -100,7 +100,7 @@
         flow.homes = tuple(self._membership.roster.homes(now, flow.key))
         return [home for home in flow.homes if home not in known]
 
-    def tell_ended(self, now: float, flows: list[Flow]) -> None:
+    def announce_ended(self, now: float, flows: list[Flow]) -> None:
         """Tell the homes of flows that they have ended together with the target.
 
         What goes wrong without: each of the two searches the whole service for
@@ -111,24 +111,24 @@
         for flow in flows:
             if flow.first is None or flow.standing is Standing.OFFERED:
                 continue
-            ended = Ended(flow.key, flow.acknowledged)
+            ended_flow = Ended(flow.key, flow.acknowledged)
             for home in dict.fromkeys((*flow.homes, self._node.address)):
-                ended_by_home.setdefault(home, []).append(ended)
-        for home, told in ended_by_home.items():
-            self._tell_home_ended(now, home, told)
+                ended_by_home.setdefault(home, []).append(ended_flow)
+        for home, ended in ended_by_home.items():
+            self._send_ended(now, home, ended)
 
-    def _tell_home_ended(self, now: float, home: str, ended: list[Ended]) -> None:
+    def _send_ended(self, now: float, home: str, ended: list[Ended]) -> None:
         if home == self._node.address:
             self._home.ended(now, home, ended)
             return
         service = self._membership.service
         for start in range(0, len(ended), ENDED_PER_DATAGRAM):
-            body = tunnel.ended(ended[start : start + ENDED_PER_DATAGRAM])
+            body = tunnel.encode_ended(ended[start : start + ENDED_PER_DATAGRAM])
             self._node.send(now, home, Kind.ENDED, body, service=service)
 
-    def _tell_home(self, now: float, home: str, keys: list[bytes]) -> None:
+    def _notify_home(self, now: float, home: str, keys: list[bytes]) -> None:
         if home != self._node.address:
-            self.tell_owner(now, home, keys)
+            self.announce_owner(now, home, keys)
         else:
             self._home.learn(now, home, keys)
 
@@ -137,27 +137,27 @@
         if asker == self._node.address or not asker:
             self._home.denied(now, self._node.address, [key])
             return
-        body = tunnel.owner(self._node.address, [key])
+        body = tunnel.encode_owner(self._node.address, [key])
         service = self._membership.service
         self._node.send(now, asker, Kind.DENIAL, body, service=service)
 
-    def told(self, now: float, sender: str, head: Head, body: bytes) -> None:
+    def receive(self, now: float, sender: str, head: Head, body: bytes) -> None:
         """Take what a peer tells of flows."""
         if head.service != self._membership.service:
             self._node.log.count("datagrams.malformed")
         elif head.kind is Kind.ENDED:
-            self._ended_told(now, sender, body)
+            self._receive_ended(now, sender, body)
         else:
-            self._owner_told(now, sender, head, body)
+            self._receive_owner(now, sender, head, body)
 
-    def _ended_told(self, now: float, sender: str, body: bytes) -> None:
+    def _receive_ended(self, now: float, sender: str, body: bytes) -> None:
         ended = tunnel.decode_ended(body)
         if ended is None:
             self._node.log.count("datagrams.malformed")
             return
         self._home.ended(now, sender, ended)
 
-    def _owner_told(self, now: float, sender: str, head: Head, body: bytes) -> None:
+    def _receive_owner(self, now: float, sender: str, head: Head, body: bytes) -> None:
         decoded = tunnel.decode_owner(body)
         if decoded is None:
             self._node.log.count("datagrams.malformed")
@@ -169,4 +169,4 @@
             self._home.learn(now, owner, flows)
             self.relays.found(now, owner, flows)
         else:
-            self._home.handed(now, owner, flows)
+            self._home.learn_handed_over(now, owner, flows)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/relays.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/relays.py
@@ -12,7 +12,7 @@
 __all__ = ["Relays"]
 
 RELAYED_LIMIT = 4096
-RELAYED_FOR = 2.0
+RELAY_EXPIRY_SECONDS = 2.0
 """Seconds for which who asked hears of an owner: a target that doesn't answer is on
 trial for 1.5 s."""
 
@@ -40,7 +40,7 @@
         self._roster = roster
         self._by_flow: dict[bytes, _Relayed] = {}
 
-    def send_on(self, now: float, sender: str, head: Head, body: bytes) -> None:
+    def forward(self, now: float, sender: str, head: Head, body: bytes) -> None:
         """Send a searched packet on to the agent that the body names.
 
         Only to a member of the service: others have nothing to deny.
@@ -62,7 +62,7 @@
             marks=Mark.SEARCH,
             hops=head.hops + 1,
             service=head.service,
-            like=head,
+            origin=head,
         )
 
     def _note(self, flow: bytes, relayed: _Relayed) -> None:
@@ -79,7 +79,7 @@
         """
         for flow in flows:
             relayed = self._by_flow.pop(flow, None)
-            if relayed is not None and now - relayed.at < RELAYED_FOR:
-                body = tunnel.owner(owner, [flow])
+            if relayed is not None and now - relayed.at < RELAY_EXPIRY_SECONDS:
+                body = tunnel.encode_owner(owner, [flow])
                 service = tunnel.tag(self._roster.service)
                 self._node.send(now, relayed.home, Kind.OWNER, body, service=service)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/ring.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/ring.py
@@ -14,14 +14,14 @@
 
 from xxhash import xxh3_64_intdigest
 
-__all__ = ["Ring"]
+__all__ = ["HashRing"]
 
-POINTS_EACH = 16
+POINTS_PER_NAME = 16
 """Points of one name. Shares of the circle then differ by a quarter; with one
 point each some names would own five times as much as others."""
 
 
-class Ring:
+class HashRing:
     """Names around a circle."""
 
     def __init__(self) -> None:
@@ -58,4 +58,4 @@
 
 def _points(name: str) -> list[int]:
     encoded = name.encode()
-    return [xxh3_64_intdigest(encoded, seed) for seed in range(POINTS_EACH)]
+    return [xxh3_64_intdigest(encoded, seed) for seed in range(POINTS_PER_NAME)]
--- a/packages/zinniahook-core/src/zinniahook_core/packets/room.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/room.py
@@ -227,9 +227,9 @@
         if member.state is not State.READY:
             continue
         total += 1
-        if now - member.told_at <= COUNTS_KEPT:
+        if now - member.status_received_at <= COUNTS_KEPT:
             heard += 1
-            known.add(member, decode_counts(member.sections.get(Section.ROOM, b"")))
+            known.add(member, decode_counts(member.sections.get(Section.DEMAND, b"")))
     if not heard or heard < SAMPLE_LEAST * total:
         return None
     wants = {c: n.busy + n.waiting for c, n in known.counts_by_cell.items()}
@@ -379,9 +379,9 @@
     One whose counts are old may have a free slot.
     """
     for member in takers:
-        if now - member.told_at > COUNTS_KEPT or member.has_room:
+        if now - member.status_received_at > COUNTS_KEPT or member.has_free_slot:
             return False
-        counts = decode_counts(member.sections.get(Section.ROOM, b""))
+        counts = decode_counts(member.sections.get(Section.DEMAND, b""))
         if not any(count.waiting for count in counts.values()):
             return False
     return True
--- a/packages/zinniahook-core/src/zinniahook_core/packets/searches.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/searches.py
@@ -11,69 +11,69 @@
 
 from collections.abc import Callable, Iterable
 
-from .detours import Detours
+from .indirect import IndirectQueries
 from .member import Member
-from .members import NAMES_TOLD, Roster
+from .members import LOGGED_NAMES_LIMIT, Roster
 from .models import Packet
 from .node import Node
-from .search import RELAY_AFTER, Search, Taken
+from .search import RELAY_AFTER_SECONDS, Acceptance, Search
 from .tunnel import Head, Kind, Mark, Reason
-from .verdicts import FOR_EVER, Verdicts
+from .verdicts import PERMANENT_EPOCH, Verdicts
 
-__all__ = ["ASKED", "Searches", "Taken"]
+__all__ = ["ENTRY_MARKS", "Searches", "Acceptance"]
 
-SEARCH_LONGEST = 5.0
+SEARCH_TIMEOUT_SECONDS = 5.0
 """Seconds for a search: above the time for which a silent agent may still hold
 flows. A search that ended sooner would leave the client to its next packet,
 which comes up to 1.6 s later."""
 
-SEARCH_REPEAT = 0.06
+SEARCH_RETRY_SECONDS = 0.06
 """Seconds until those that haven't answered are asked again: above the time in
 which a target returns a packet. What goes wrong without: the question to the
 owner gets lost, and only other targets have seen the packet."""
 
-WAVE_PATIENCE = 0.22
+WAVE_TIMEOUT_SECONDS = 0.22
 """Seconds until more are asked although some haven't answered: above the time
 in which an agent finds out that its target kept the packet twice (twice 0.05 s
 and a tick).
 What goes wrong without: the owner is just about to claim the flow, and three
 more targets get its packet."""
 
-SEARCH_HURRY = 0.5
+SEARCH_FAST_RETRY_PHASE_SECONDS = 0.5
 """Seconds of a search after which the silent are asked at longer pauses: most
 of them are gone."""
 
-SEARCH_REPEAT_LATE = 0.2
+SEARCH_SLOW_RETRY_SECONDS = 0.2
 
 HELD_LIMIT = 16
 """Packets kept for a search: what a client may have in flight."""
 
-WAVE = 2
+WAVE_AGENTS = 2
 """Agents asked at a time: after a restart of all agents each one asked has to
 try the packet at its target, and a flow counts as broken if three others get
 packets and its own target none. A wave takes 3 ms."""
 
-WAVES = 8
+WAVES_LIMIT = 8
 """Waves in which even the wider circle is asked."""
 
 SEARCHES_LIMIT = 4096
 
-GIVE_BACK_AFTER = 0.25
+GIVE_BACK_AFTER_SECONDS = 0.25
 """Seconds of a search after which packets go to other services that may own the
 flow: above the 0.2 s in which an agent finds out that its target holds it. What
 goes wrong without: one target is down, its agent has no verdict for 1.5 s, and
 the service that owns the flow isn't asked."""
 
-GIVE_BACK_LATEST = 0.5
+GIVE_BACK_LATEST_SECONDS = 0.5
 """The same while agents are left to ask: they are asked first. What goes wrong
 without: the owner is among them, and all targets of other services come before."""
 
-CIRCLE_KEPT = 0.2
+CANDIDATES_CACHE_SECONDS = 0.2
 """Seconds for which a search keeps whom it may ask, if nobody comes meanwhile:
 who goes is left out anyway. What goes wrong without: they are worked out anew
 for each few answers, which costs more than the questions."""
 
-ASKED = Mark.SHARED | Mark.KNOWN
+ENTRY_MARKS = Mark.SHARED | Mark.KNOWN
 """What the entry asked with a packet, told on with it."""
 
 
@@ -94,14 +94,14 @@
         self,
         node: Node,
         roster: Roster,
-        search_here: Callable[[float, Head, Packet], Taken],
+        search_here: Callable[[float, Head, Packet], Acceptance],
     ) -> None:
         self.node = node
         self.roster = roster
         self._search_here = search_here
         self._by_flow: dict[bytes, Search] = {}
         self._verdicts = Verdicts()
-        self._detours = Detours(node, roster, self._circle)
+        self._indirect = IndirectQueries(node, roster, self._candidates)
 
     def __contains__(self, flow: bytes) -> bool:
         return flow in self._by_flow
@@ -117,13 +117,13 @@
             self.node.log.count("searches.refused")
             self.give_back(now, head, packet, Mark.UNSURE)
             return
-        search = Search(now, now + SEARCH_REPEAT, head, packet)
+        search = Search(now, now + SEARCH_RETRY_SECONDS, head, packet)
         search.epoch = self.roster.epoch
         again = self._recall_denials(now, search)
-        here = Taken.NO
+        here = Acceptance.NO
         if self.node.address not in search.denied:
             here = self._search_here(now, head, packet)
-        if here is Taken.YES:
+        if here is Acceptance.YES:
             return
         self._by_flow[packet.flow] = search
         self.node.log.event(
@@ -131,13 +131,13 @@
             flow=packet.flow,
             packet=packet.kind,
             length=packet.length,
-            agents=len(self._left(now, search)),
+            agents=len(self._not_asked(now, search)),
         )
-        if here is Taken.OPEN:
-            search.waved_at = now
+        if here is Acceptance.OPEN:
+            search.wave_at = now
             search.waiting[self.node.address] = now
             return
-        self._go_on(now, packet.flow, search)
+        self._continue(now, packet.flow, search)
 
     def _recall_denials(self, now: float, search: Search) -> bool:
         """Take over who has denied a flow before; return whether anybody has.
@@ -150,8 +150,8 @@
         search.is_wide = True
         search.denied = {
             member.address
-            for member in self._circle(now, search)
-            if verdict.covers(member.address, member.changed)
+            for member in self._candidates(now, search)
+            if verdict.covers(member.address, member.changed_epoch)
         }
         if verdict.covers(self.node.address, 0):
             search.denied.add(self.node.address)
@@ -167,13 +167,13 @@
         if verdict is None or verdict.missing:
             return False
         if verdict.epoch < self.roster.epoch:
-            if not self._still_holds(now, head, packet):
+            if not self._is_still_valid(now, head, packet):
                 return False
             verdict.epoch = self.roster.epoch
         self.node.log.count("packets.recalled")
-        alone = self._is_alone(now, head, packet.flow)
+        alone = self._is_only_service(now, head, packet.flow)
         if alone and packet.is_resettable:
-            self._tell_end(packet, alone, 0)
+            self._log_end(packet, alone, 0)
         self._answer(now, head, packet, alone)
         return True
 
@@ -184,20 +184,20 @@
             return False
         return self.recall(now, head, packet)
 
-    def _still_holds(self, now: float, head: Head, packet: Packet) -> bool:
+    def _is_still_valid(self, now: float, head: Head, packet: Packet) -> bool:
         """Tell whether nobody has come who may own a flow that nobody owned."""
         search = Search(now, now, head, packet)
         self._recall_denials(now, search)
-        unseen = self.roster.unseen(now, self._circle(now, search))
-        return not unseen and not self._left(now, search)
+        unseen = self.roster.unseen(now, self._candidates(now, search))
+        return not unseen and not self._not_asked(now, search)
 
     def ended(self, now: float, flow: bytes, acknowledged: int) -> None:
         """Note that a flow has ended together with its target."""
-        self._verdicts.keep(now, flow, acknowledged, FOR_EVER)
-        for head, packet in self.found_nobody(flow):
+        self._verdicts.keep(now, flow, acknowledged, PERMANENT_EPOCH)
+        for head, packet in self.remove(flow):
             self.recall(now, head, packet)
 
-    def found_nobody(self, flow: bytes) -> list[tuple[Head, Packet]]:
+    def remove(self, flow: bytes) -> list[tuple[Head, Packet]]:
         """End a search that needn't go on; return all of its packets."""
         search = self._by_flow.pop(flow, None)
         if search is None:
@@ -220,12 +220,12 @@
         if search.waiting:
             self._ask_again(now, packet.flow, search)
         else:
-            self._go_on(now, packet.flow, search)
+            self._continue(now, packet.flow, search)
 
     def found(self, flow: bytes) -> list[tuple[Head, Packet]]:
         """End a search whose owner is known, asked or not; return its packets."""
         self._verdicts.forget(flow)
-        return self.found_nobody(flow)
+        return self.remove(flow)
 
     def opened(self, flow: bytes) -> None:
         """Forget what was denied: a flow with the same key is opened here."""
@@ -238,28 +238,28 @@
             return
         search.waiting.pop(sender, None)
         search.denied.add(sender)
-        if not self._is_held_up(now, search):
-            self._go_on(now, flow, search)
+        if not self._must_wait(now, search):
+            self._continue(now, flow, search)
         elif not search.given_back and not search.is_wide:
-            self._ask(now, search, search.last_to_answer(self.node.address))
+            self._ask(now, search, search.take_last_unanswered(self.node.address))
 
     def tick(self, now: float) -> None:
         """End what is overdue, and ask again."""
         for flow, search in list(self._by_flow.items()):
-            if now >= search.begun + SEARCH_LONGEST:
+            if now >= search.begun + SEARCH_TIMEOUT_SECONDS:
                 del self._by_flow[flow]
                 self._time_out(now, flow, search)
             elif now >= search.ask_at and search.given_back:
-                self._plan(now, search)
-                self._detours.watch(now, search)
+                self._schedule_retry(now, search)
+                self._indirect.request_rosters(now, search)
             elif now >= search.ask_at:
                 self._ask_again(now, flow, search)
 
     def _time_out(self, now: float, flow: bytes, search: Search) -> None:
         """End a search in which somebody hasn't answered; remember who has."""
-        circle = self._circle(now, search)
-        unseen = self.roster.unseen(now, circle)
-        missing = {*search.waiting, *unseen, *self._left(now, search)}
+        candidates = self._candidates(now, search)
+        unseen = self.roster.unseen(now, candidates)
+        missing = {*search.waiting, *unseen, *self._not_asked(now, search)}
         self._keep(now, search, frozenset(missing))
         self.node.log.event(
             "search.timeout",
@@ -267,7 +267,7 @@
             packet=search.packet.kind,
             length=search.packet.length,
             silent=sorted(search.waiting),
-            unseen=unseen[:NAMES_TOLD],
+            unseen=unseen[:LOGGED_NAMES_LIMIT],
         )
 
     def _keep(self, now: float, search: Search, missing: frozenset[str]) -> None:
@@ -282,26 +282,26 @@
         An agent that went silent is asked again if it comes back; until then
         the search waits for as long as it may hold the flow.
         """
-        self._plan(now, search)
+        self._schedule_retry(now, search)
         search.waiting = {
             name: at
             for name, at in search.waiting.items()
             if self._may_answer(now, name)
         }
         self._ask(now, search, search.waiting.keys() - {self.node.address})
-        if now - search.begun >= RELAY_AFTER:
-            self._detours.ask(now, search)
+        if now - search.begun >= RELAY_AFTER_SECONDS:
+            self._indirect.ask(now, search)
         asked_for = now - search.asked_at
-        if asked_for >= GIVE_BACK_LATEST:
-            self._let_others_be_asked(now, flow, search)
-        if not self._is_held_up(now, search):
-            self._go_on(now, flow, search)
+        if asked_for >= GIVE_BACK_LATEST_SECONDS:
+            self._give_back_if_shared(now, flow, search)
+        if not self._must_wait(now, search):
+            self._continue(now, flow, search)
         if flow not in self._by_flow:
             return
-        if asked_for >= GIVE_BACK_AFTER and not self._left(now, search):
-            self._let_others_be_asked(now, flow, search)
+        if asked_for >= GIVE_BACK_AFTER_SECONDS and not self._not_asked(now, search):
+            self._give_back_if_shared(now, flow, search)
 
-    def _is_held_up(self, now: float, search: Search) -> bool:
+    def _must_wait(self, now: float, search: Search) -> bool:
         """Tell whether one that was asked may be about to claim the flow.
 
         One that is silent is waited for until it would have shown that it runs, one
@@ -309,61 +309,65 @@
         """
         for address, asked_at in search.waiting.items():
             member = self.roster.by_address.get(address)
-            shown = member is not None and member.told_at >= asked_at
+            shown = member is not None and member.status_received_at >= asked_at
             shown = shown or address == self.node.address
-            if now - asked_at < (WAVE_PATIENCE if shown else SEARCH_REPEAT):
+            if now - asked_at < (
+                WAVE_TIMEOUT_SECONDS if shown else SEARCH_RETRY_SECONDS
+            ):
                 return True
         return False
 
-    def _plan(self, now: float, search: Search) -> None:
+    def _schedule_retry(self, now: float, search: Search) -> None:
         """Set when the silent are asked again."""
-        hurry = now < search.begun + SEARCH_HURRY
-        search.ask_at = now + (SEARCH_REPEAT if hurry else SEARCH_REPEAT_LATE)
+        fast = now < search.begun + SEARCH_FAST_RETRY_PHASE_SECONDS
+        search.ask_at = now + (
+            SEARCH_RETRY_SECONDS if fast else SEARCH_SLOW_RETRY_SECONDS
+        )
 
-    def _circle(self, now: float, search: Search) -> list[Member]:
+    def _candidates(self, now: float, search: Search) -> list[Member]:
         """Return the members that may own the flow, as far as is searched yet."""
-        kept = now - search.circle_at < CIRCLE_KEPT
-        if not kept or search.circle_epoch != self.roster.epoch:
-            search.circle = self._find_circle(now, search)
-            search.circle_at = now
-            search.circle_epoch = self.roster.epoch
-        return search.circle
-
-    def _find_circle(self, now: float, search: Search) -> list[Member]:
+        kept = now - search.candidates_at < CANDIDATES_CACHE_SECONDS
+        if not kept or search.candidates_epoch != self.roster.epoch:
+            search.candidates = self._compute_candidates(now, search)
+            search.candidates_at = now
+            search.candidates_epoch = self.roster.epoch
+        return search.candidates
+
+    def _compute_candidates(self, now: float, search: Search) -> list[Member]:
         flow, zone = search.packet.flow, search.head.zone
-        near = self.roster.near(now, flow, zone)
+        near = self.roster.candidates(now, flow, zone)
         if not search.is_wide:
             return near
         known = {member.address for member in near}
-        far = self.roster.far(now, flow)
+        far = self.roster.wide_candidates(now, flow)
         return near + [member for member in far if member.address not in known]
 
-    def _go_on(self, now: float, flow: bytes, search: Search) -> None:
+    def _continue(self, now: float, flow: bytes, search: Search) -> None:
         """Ask the next few agents; end the search if none is left to ask."""
-        left = self._left(now, search)
+        left = self._not_asked(now, search)
         if not left and not search.is_wide:
             search.is_wide = True
-            search.circle_at = float("-inf")
-            left = self._left(now, search)
+            search.candidates_at = float("-inf")
+            left = self._not_asked(now, search)
         if left and search.given_back:
             # Another service is being asked, and may have found the owner.
             return
-        width = max(WAVE, len(left) // WAVES)
+        width = max(WAVE_AGENTS, len(left) // WAVES_LIMIT)
         wave = self.node.rng.sample(left, min(width, len(left)))
-        search.waved_at = now
+        search.wave_at = now
         self._ask(now, search, wave)
         if search.waiting:
             return
         # An agent that is silent may be cut off from here only and hold it.
-        unseen = self.roster.unseen(now, self._circle(now, search))
-        unseen = unseen or self._detours.unconfirmed(now, search)
+        unseen = self.roster.unseen(now, self._candidates(now, search))
+        unseen = unseen or self._indirect.unconfirmed(now, search)
         if not unseen:
             self._conclude(now, flow, search)
         else:
-            self._tell_unsure(now, flow, search, unseen)
-            self._let_others_be_asked(now, flow, search)
+            self._log_unsure(now, flow, search, unseen)
+            self._give_back_if_shared(now, flow, search)
 
-    def _tell_unsure(
+    def _log_unsure(
         self, now: float, flow: bytes, search: Search, unseen: list[str]
     ) -> None:
         """Write a line, once, about who keeps a search from ending."""
@@ -377,31 +381,31 @@
             packet=search.packet.kind,
             length=search.packet.length,
             denied=len(search.denied),
-            unseen=unseen[:NAMES_TOLD],
-            more=max(0, len(unseen) - NAMES_TOLD),
+            unseen=unseen[:LOGGED_NAMES_LIMIT],
+            more=max(0, len(unseen) - LOGGED_NAMES_LIMIT),
             members=len(self.roster.by_address),
             silent_for=round(now - first.heard_at, 2),
             heard=first.confirmed,
-            vouched=first.vouched_at > float("-inf"),
+            vouched=first.heard_by_peer_at > float("-inf"),
         )
 
-    def _left(self, now: float, search: Search) -> list[str]:
+    def _not_asked(self, now: float, search: Search) -> list[str]:
         """Return who is present and hasn't been asked yet."""
         asked = {*search.waiting, *search.denied, self.node.address}
         return [
             member.address
-            for member in self._circle(now, search)
+            for member in self._candidates(now, search)
             if member.address not in asked and self._may_answer(now, member.address)
         ]
 
     def _may_answer(self, now: float, address: str) -> bool:
         """Tell whether a member's answer is worth waiting for."""
         roster = self.roster
-        return roster.is_here(now, address) and not roster.has_ended(address)
+        return roster.is_reachable(now, address) and not roster.has_ended(address)
 
-    def _let_others_be_asked(self, now: float, flow: bytes, search: Search) -> None:
+    def _give_back_if_shared(self, now: float, flow: bytes, search: Search) -> None:
         """Give packets back while a search goes on, if others may own the flow."""
-        if not self._is_alone(now, search.head, flow):
+        if not self._is_only_service(now, search.head, flow):
             self._give_back_all(now, search, Mark.UNSURE)
 
     def _ask(self, now: float, search: Search, names: Iterable[str]) -> None:
@@ -416,17 +420,17 @@
         What goes wrong without telling: the client repeats its packets until
         its time is over, instead of trying anew at another target.
         """
-        packets = self.found_nobody(flow)
-        alone = self._is_alone(now, search.head, flow)
+        packets = self.remove(flow)
+        alone = self._is_only_service(now, search.head, flow)
         self._keep(now, search, frozenset())
-        self._tell_end(search.packet, alone, len(search.denied))
+        self._log_end(search.packet, alone, len(search.denied))
         # Also if it was given back as unsure before. What goes wrong without: the
         # entry hears of the verdict with the client's next packet only, up to
         # 1.6 s later.
         for head, packet in packets[:1] if alone else packets:
             self._answer(now, head, packet, alone)
 
-    def _tell_end(self, packet: Packet, alone: bool, asked: int) -> None:
+    def _log_end(self, packet: Packet, alone: bool, asked: int) -> None:
         self.node.log.event(
             "reset.no_owner" if alone and packet.is_resettable else "drop.no_owner",
             flow=packet.flow,
@@ -446,7 +450,7 @@
 
     # Flows that another service may own
 
-    def _is_alone(self, now: float, head: Head, flow: bytes) -> bool:
+    def _is_only_service(self, now: float, head: Head, flow: bytes) -> bool:
         """Tell whether no other service can own a flow.
 
         Neither the entry nor this agent may know one; an agent without a
@@ -465,8 +469,8 @@
                 "search.given_back",
                 flow=search.packet.flow,
                 denied=len(search.denied),
-                silent=sorted(search.waiting)[:NAMES_TOLD],
-                left=len(self._left(now, search)),
+                silent=sorted(search.waiting)[:LOGGED_NAMES_LIMIT],
+                left=len(self._not_asked(now, search)),
                 marks=marks,
             )
             for head, packet in [(search.head, search.packet), *search.held]:
@@ -487,5 +491,5 @@
             hops=head.hops + 1,
             reason=Reason.UNOWNED,
             service=head.service,
-            like=head,
+            origin=head,
         )
--- a/packages/zinniahook-core/src/zinniahook_core/packets/sections.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/sections.py
@@ -10,16 +10,16 @@
 
 from typing import Final
 
-__all__ = ["SECTION_LONGEST", "Section", "decode_sections", "encode_sections"]
+__all__ = ["SECTION_MAX_BYTES", "Section", "decode_sections", "encode_sections"]
 
-HEAD_SIZE = 2
-SECTION_LONGEST: Final = 255
+SECTION_HEAD_BYTES = 2
+SECTION_MAX_BYTES: Final = 255
 
 
 class Section:
     """The sections that exist; plain numbers as with `Flag`."""
 
-    ROOM: Final = 1
+    DEMAND: Final = 1
     """Demand and capacity of the sender's target, by kind."""
 
     HEALTH: Final = 2
@@ -38,7 +38,7 @@
     Raises
     ------
     ValueError
-        If one is longer than `SECTION_LONGEST` bytes.
+        If one is longer than `SECTION_MAX_BYTES` bytes.
     """
     return b"".join(
         bytes((kind, len(body))) + body for kind, body in sorted(by_kind.items())
@@ -50,10 +50,10 @@
     by_kind: dict[int, bytes] = {}
     at = 0
     while at < len(data):
-        if len(data) - at < HEAD_SIZE:
+        if len(data) - at < SECTION_HEAD_BYTES:
             return None
         kind, length = data[at], data[at + 1]
-        at += HEAD_SIZE
+        at += SECTION_HEAD_BYTES
         if len(data) - at < length:
             return None
         by_kind[kind] = data[at : at + length]
--- a/packages/zinniahook-core/src/zinniahook_core/packets/target.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/target.py
@@ -6,8 +6,8 @@
 from .features import Features
 from .flows import Flows
 from .health import Health
-from .incarnations import Incarnations, Verdict
-from .models import Beat, Log, State
+from .incarnations import HeartbeatOrigin, Incarnations
+from .models import Heartbeat, Log, State
 
 __all__ = ["Target"]
 
@@ -93,17 +93,17 @@
         self._since = now
         self.doubt(now)
 
-    def beat(self, now: float, beat: Beat) -> bool:
+    def beat(self, now: float, beat: Heartbeat) -> bool:
         """Take a heartbeat; return whether a new target has started.
 
         A late one of an earlier target, or one that was overtaken, changes
         nothing: it would make a leaving target ready again.
         """
-        verdict = self._incarnations.judge(now, beat)
-        if verdict is Verdict.LATE:
+        verdict = self._incarnations.classify(now, beat)
+        if verdict is HeartbeatOrigin.LATE:
             return False
-        replaced = verdict is Verdict.STARTED and bool(self.name)
-        if verdict is Verdict.STARTED:
+        replaced = verdict is HeartbeatOrigin.STARTED and bool(self.name)
+        if verdict is HeartbeatOrigin.STARTED:
             self._started(now, beat)
         self.name = beat.target
         self.service = beat.service
@@ -116,7 +116,7 @@
         self.heard(now)
         return replaced
 
-    def _started(self, now: float, beat: Beat) -> None:
+    def _started(self, now: float, beat: Heartbeat) -> None:
         """Note that the target of a heartbeat has started.
 
         It is younger than this agent if the one before it was seen running. What
@@ -147,7 +147,7 @@
             return self.slots
         return self.capacity.slots(self.slots)
 
-    def _is_first(self, now: float, beat: Beat) -> bool:
+    def _is_first(self, now: float, beat: Heartbeat) -> bool:
         """Tell whether a target has surely started while this agent ran.
 
         What goes wrong with the number alone: a target takes flows before its
--- a/packages/zinniahook-core/src/zinniahook_core/packets/trials.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/trials.py
@@ -12,7 +12,7 @@
 
 from .flows import Flow, Flows, Standing
 from .models import Links, Packet
-from .searches import Taken
+from .searches import Acceptance
 from .target import Target
 from .tunnel import Head
 
@@ -90,7 +90,9 @@
         """Begin; flows may be older than this process for a while."""
         self._started = now
 
-    def begin(self, now: float, head: Head, packet: Packet, asker: str = "") -> Taken:
+    def begin(
+        self, now: float, head: Head, packet: Packet, asker: str = ""
+    ) -> Acceptance:
         """Try a packet, if its flow may be older than this agent.
 
         One that is on trial already is open. What goes wrong without: another
@@ -100,17 +102,19 @@
         key = packet.flow
         known = self._flows.get(key)
         if known is not None:
-            return Taken.OPEN if known.standing is Standing.TRIED else Taken.NO
+            return (
+                Acceptance.OPEN if known.standing is Standing.TRIED else Acceptance.NO
+            )
         if not self._may_hold_unknown(now):
-            return Taken.NO
+            return Acceptance.NO
         if now < self._denied_until.get(key, 0.0):
-            return Taken.NO
+            return Acceptance.NO
         flow = Flow(key, Standing.TRIED, now, head.entry, asker)
         flow.acknowledged = packet.acknowledged
         self._flows.add(flow)
         self._by_flow[key] = _Trial(now, now, packet.raw)
         self._links.to_target(packet.raw)
-        return Taken.OPEN
+        return Acceptance.OPEN
 
     def denied(self, now: float, key: bytes) -> None:
         """Note that the target returned a packet; try none for a while.
--- a/packages/zinniahook-core/src/zinniahook_core/packets/tunnel.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/tunnel.py
@@ -25,10 +25,10 @@
     "Mark",
     "Reason",
     "Status",
-    "Wish",
-    "control",
+    "HelloRequest",
+    "encode_rosters",
     "decode",
-    "decode_control",
+    "decode_rosters",
     "decode_ended",
     "decode_owner",
     "decode_relay",
@@ -36,9 +36,9 @@
     "Ended",
     "encode",
     "encode_status",
-    "ended",
-    "owner",
-    "relay",
+    "encode_ended",
+    "encode_owner",
+    "encode_relay",
     "tag",
     "zone_tag",
 ]
@@ -51,17 +51,17 @@
 AGE_UNIT = 0.01
 """Seconds a unit of an age on the wire; two bytes reach 655 s."""
 
-BYTE = 0xFF
-SHORT = 0xFFFF
+BYTE_MAX = 0xFF
+SHORT_MAX = 0xFFFF
 BUSY_UNITS = 100
 WARMING_UNITS = 10
 TIME_UNITS = 1000
 """Steps a request, and steps a second, of the numbers in a status."""
 
 STATES = {int(state): state for state in State}
-NOBODY = "0.0.0.0"
+NO_ADDRESS = "0.0.0.0"
 AGE_UNKNOWN = 0xFFFF
-ADDRESSES_KEPT = 65536
+ADDRESSES_CACHED = 65536
 """IP addresses kept in both forms; a daemon meets fewer peers than that."""
 
 MAGIC = 0x50
@@ -148,7 +148,7 @@
     """The operator wants nothing new to go to the agent's data centre."""
 
 
-class Wish(enum.IntEnum):
+class HelloRequest(enum.IntEnum):
     """What a hello asks for, told in place of a reason."""
 
     STATUS = 0
@@ -182,23 +182,23 @@
     age: float | None = None
     zone: int = 0
     service: int = 0
-    entry: str = NOBODY
-    watcher: str = NOBODY
+    entry: str = NO_ADDRESS
+    watcher: str = NO_ADDRESS
     evacuated_at: int = 0
     evacuated: int = 0
 
 
-@functools.lru_cache(maxsize=ADDRESSES_KEPT)
-def _packed(address: str) -> bytes:
+@functools.lru_cache(maxsize=ADDRESSES_CACHED)
+def _pack_address(address: str) -> bytes:
     return bytes(map(int, address.split(".")))
 
 
-@functools.lru_cache(maxsize=ADDRESSES_KEPT)
-def _text(packed: bytes) -> str:
+@functools.lru_cache(maxsize=ADDRESSES_CACHED)
+def _unpack_address(packed: bytes) -> str:
     return ".".join(map(str, packed))
 
 
-@functools.lru_cache(maxsize=ADDRESSES_KEPT)
+@functools.lru_cache(maxsize=ADDRESSES_CACHED)
 def tag(name: str) -> int:
     """Return a short tag of a service's name, the same everywhere."""
     return zlib.crc32(name.encode())
@@ -226,8 +226,8 @@
         units,
         head.zone,
         head.service,
-        _packed(head.entry),
-        _packed(head.watcher),
+        _pack_address(head.entry),
+        _pack_address(head.watcher),
         head.evacuated_at,
         head.evacuated,
     )
@@ -265,8 +265,8 @@
         age,
         zone,
         service,
-        _text(entry),
-        _text(watcher),
+        _unpack_address(entry),
+        _unpack_address(watcher),
         evacuated_at,
         evacuated,
     )
@@ -294,11 +294,11 @@
     return STATUS.pack(
         status.incarnation,
         status.state,
-        min(SHORT, status.slots),
-        min(SHORT, round(status.busy * BUSY_UNITS)),
-        min(SHORT, status.flows),
-        min(BYTE, math.ceil(status.warming * WARMING_UNITS)),
-        min(SHORT, round(status.answer_time * TIME_UNITS)),
+        min(SHORT_MAX, status.slots),
+        min(SHORT_MAX, round(status.busy * BUSY_UNITS)),
+        min(SHORT_MAX, status.flows),
+        min(BYTE_MAX, math.ceil(status.warming * WARMING_UNITS)),
+        min(SHORT_MAX, round(status.answer_time * TIME_UNITS)),
     ) + encode_sections(status.sections)
 
 
@@ -322,12 +322,12 @@
     )
 
 
-def control(fields: dict[str, Any]) -> bytes:
+def encode_rosters(fields: dict[str, Any]) -> bytes:
     """Return the body of a roster."""
     return json.dumps(fields, separators=(",", ":")).encode()
 
 
-def decode_control(body: bytes) -> dict[str, Any] | None:
+def decode_rosters(body: bytes) -> dict[str, Any] | None:
     """Read the body of a roster; None if it is malformed."""
     try:
         fields = json.loads(body) if body else {}
@@ -336,21 +336,21 @@
     return fields if isinstance(fields, dict) else None
 
 
-def relay(address: str, raw: bytes) -> bytes:
+def encode_relay(address: str, raw: bytes) -> bytes:
     """Return the body that asks for a packet to be sent on to an address."""
-    return _packed(address) + raw
+    return _pack_address(address) + raw
 
 
 def decode_relay(body: bytes) -> tuple[str, bytes] | None:
     """Return the address and the packet, None if it is malformed."""
     if len(body) <= ADDRESS_SIZE:
         return None
-    return _text(body[:ADDRESS_SIZE]), body[ADDRESS_SIZE:]
+    return _unpack_address(body[:ADDRESS_SIZE]), body[ADDRESS_SIZE:]
 
 
-def owner(address: str, flows: list[bytes]) -> bytes:
+def encode_owner(address: str, flows: list[bytes]) -> bytes:
     """Return the body that tells who owns flows."""
-    return _packed(address) + b"".join(flows)
+    return _pack_address(address) + b"".join(flows)
 
 
 def decode_owner(body: bytes) -> tuple[str, list[bytes]] | None:
@@ -358,7 +358,9 @@
     if len(body) < ADDRESS_SIZE or (len(body) - ADDRESS_SIZE) % FLOW_SIZE:
         return None
     starts = range(ADDRESS_SIZE, len(body), FLOW_SIZE)
-    return _text(body[:ADDRESS_SIZE]), [body[at : at + FLOW_SIZE] for at in starts]
+    return _unpack_address(body[:ADDRESS_SIZE]), [
+        body[at : at + FLOW_SIZE] for at in starts
+    ]
 
 
 class Ended(NamedTuple):
@@ -372,7 +374,7 @@
     acknowledged: int
 
 
-def ended(flows: list[Ended]) -> bytes:
+def encode_ended(flows: list[Ended]) -> bytes:
     """Return the body that tells of flows that have ended."""
     return b"".join(ENDED.pack(*each) for each in flows)
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/verdicts.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/verdicts.py
@@ -11,19 +11,19 @@
 from dataclasses import dataclass
 
 from .flows import SEQUENCE_SPAN
-from .formers import FLOW_LONGEST
+from .formers import FLOW_MAX_AGE_SECONDS
 from .models import Packet
 
-__all__ = ["FOR_EVER", "SearchVerdict", "Verdicts"]
+__all__ = ["PERMANENT_EPOCH", "SearchVerdict", "Verdicts"]
 
 VERDICTS_LIMIT = 16384
 """Verdicts kept, 4 MB; the oldest is forgotten, and its flow searched for again."""
 
-FOR_EVER = 1 << 62
+PERMANENT_EPOCH = 1 << 62
 """Epoch of a verdict that no agent's coming changes: the flow has ended at its
 own target."""
 
-SAME_FLOW = 1 << 16
+SAME_FLOW_BYTES = 1 << 16
 """Bytes around what the client acknowledged: more than a target has in flight.
 What goes wrong with more: the client opens another flow from the same port, and
 its packets are taken for those of the former one."""
@@ -46,19 +46,19 @@
     @property
     def has_ended(self) -> bool:
         """Whether the agent of the flow's own target has told its end."""
-        return self.epoch == FOR_EVER
+        return self.epoch == PERMANENT_EPOCH
 
-    def covers(self, address: str, changed: int) -> bool:
+    def covers(self, address: str, changed_epoch: int) -> bool:
         """Tell whether it rests on an answer of an agent as it is now.
 
         Parameters
         ----------
         address : str
             The agent's.
-        changed : int
+        changed_epoch : int
             Epoch in which it came, came back, or started again.
         """
-        return changed <= self.epoch and address not in self.missing
+        return changed_epoch <= self.epoch and address not in self.missing
 
 
 class Verdicts:
@@ -76,7 +76,7 @@
         if verdict is None or now >= verdict.until:
             return None
         ahead = (packet.acknowledged - verdict.acknowledged) % SEQUENCE_SPAN
-        near = min(ahead, SEQUENCE_SPAN - ahead) <= SAME_FLOW
+        near = min(ahead, SEQUENCE_SPAN - ahead) <= SAME_FLOW_BYTES
         return verdict if near else None
 
     def keep(
@@ -89,7 +89,7 @@
     ) -> None:
         """Remember what a search has found out, in place of what was known."""
         self._by_flow.pop(flow, None)
-        until = now + FLOW_LONGEST
+        until = now + FLOW_MAX_AGE_SECONDS
         self._by_flow[flow] = SearchVerdict(until, acknowledged, epoch, missing)
         while len(self._by_flow) > VERDICTS_LIMIT:
             del self._by_flow[next(iter(self._by_flow))]
--- a/packages/zinniahook-core/tests/health_fakes.py
+++ b/packages/zinniahook-core/tests/health_fakes.py
@@ -144,7 +144,7 @@
         if changed or self.now >= self._tell_at:
             self._tell_at = self.now + STATUS
             for target in self.targets:
-                target.told.take(target.status(self.now), self.now)
+                target.told.update(target.status(self.now), self.now)
 
     def _place(self, kind):
         takers = [target.told for target in self.targets]
--- a/packages/zinniahook-core/tests/test_packet_evacuations.py
+++ b/packages/zinniahook-core/tests/test_packet_evacuations.py
@@ -1,8 +1,8 @@
 """Which set of evacuated data centres is in force at one daemon."""
 
 from zinniahook_core.packets.evacuations import (
-    CLAIM_KEPT,
-    DOUBT_LONGEST,
+    CLAIM_EXPIRY_SECONDS,
+    CLAIM_WAIT_SECONDS,
     Evacuations,
     Stamp,
 )
@@ -21,8 +21,8 @@
 
 def tell(teller, hearer):
     """Let one daemon's datagram arrive at another, which asks if it must."""
-    if hearer.shown(NOW, teller.stamp):
-        hearer.told(teller.encode())
+    if hearer.compare(NOW, teller.stamp):
+        hearer.merge(teller.encode())
 
 
 class TestReadingTheStore:
@@ -44,7 +44,7 @@
         Cause: the answer passes for the newest because it came last.
         """
         known = knowing(5, A)
-        known.told(knowing(8, NONE).encode())
+        known.merge(knowing(8, NONE).encode())
         assert not known.read(6, A)
         assert known.names == NONE
 
@@ -55,21 +55,21 @@
 class TestHearingOthers:
     def test_a_newer_set_is_asked_for_and_taken(self):
         hearer, teller = knowing(5, NONE), knowing(9, A)
-        assert hearer.shown(NOW, teller.stamp)
+        assert hearer.compare(NOW, teller.stamp)
         assert not hearer.is_certain(NOW)
-        assert hearer.told(teller.encode())
+        assert hearer.merge(teller.encode())
         assert hearer.is_certain(NOW)
         assert hearer.names == A
 
     def test_an_older_set_is_not(self):
         hearer, teller = knowing(9, A), knowing(5, NONE)
-        assert not hearer.shown(NOW, teller.stamp)
-        assert not hearer.told(teller.encode())
+        assert not hearer.compare(NOW, teller.stamp)
+        assert not hearer.merge(teller.encode())
         assert hearer.names == A
 
     def test_a_daemon_that_starts_need_not_ask_for_nothing(self):
         hearer = Evacuations()
-        assert not hearer.shown(NOW, knowing(9, NONE).stamp)
+        assert not hearer.compare(NOW, knowing(9, NONE).stamp)
         assert hearer.is_certain(NOW)
 
     def test_a_daemon_that_starts_asks_for_orders(self):
@@ -79,12 +79,12 @@
 
     def test_one_that_knows_nothing_shows_nothing(self):
         hearer = knowing(5, A)
-        assert not hearer.shown(NOW, Evacuations().stamp)
+        assert not hearer.compare(NOW, Evacuations().stamp)
         assert hearer.names == A
 
     def test_the_same_set_under_a_later_revision_is_not_asked_for(self):
         hearer, teller = knowing(5, A), knowing(9, A)
-        assert not hearer.shown(NOW, teller.stamp)
+        assert not hearer.compare(NOW, teller.stamp)
         assert hearer.agrees(teller.stamp)
 
     def test_a_malformed_set_changes_nothing(self):
@@ -100,15 +100,15 @@
             b"[-1]",
             b"[%d]" % 2**64,
         ):
-            assert known.told(body) is None
+            assert known.merge(body) is None
         assert known.names == A
         assert known.stamp.position == 5
 
     def test_questions_are_spaced(self):
         known = knowing(5, A)
-        assert known.may_ask(1.0)
-        assert not known.may_ask(1.01)
-        assert known.may_ask(1.1)
+        assert known.may_request(1.0)
+        assert not known.may_request(1.01)
+        assert known.may_request(1.1)
 
 
 class TestOrderGivenTakenBackAndGivenAgain:
@@ -147,7 +147,7 @@
         known, seen = Evacuations(), []
         history = [(2, NONE), (4, A), (6, NONE), (8, A), (9, AB)]
         for revision, names in (history[1], history[0], history[3], history[2]):
-            known.told(knowing(revision, names).encode())
+            known.merge(knowing(revision, names).encode())
             seen.append(known.stamp.position)
         known.read(*history[4])
         assert seen == sorted(seen)
@@ -172,18 +172,18 @@
 
     def test_is_waited_for_and_then_looked_up(self):
         known = knowing(5, NONE)
-        assert known.shown(NOW, knowing(9, A).stamp)
+        assert known.compare(NOW, knowing(9, A).stamp)
         assert not known.is_certain(NOW)
         assert not known.must_read(NOW)
-        assert known.must_read(NOW + DOUBT_LONGEST + 0.01)
+        assert known.must_read(NOW + CLAIM_WAIT_SECONDS + 0.01)
         known.read(9, A)
-        assert known.is_certain(NOW + DOUBT_LONGEST + 0.02)
+        assert known.is_certain(NOW + CLAIM_WAIT_SECONDS + 0.02)
 
     def test_is_not_waited_for_ever(self):
         known = knowing(5, NONE)
-        known.shown(NOW, knowing(9, A).stamp)
-        assert not known.is_certain(NOW + CLAIM_KEPT)
-        assert known.is_certain(NOW + CLAIM_KEPT + 0.01)
+        known.compare(NOW, knowing(9, A).stamp)
+        assert not known.is_certain(NOW + CLAIM_EXPIRY_SECONDS)
+        assert known.is_certain(NOW + CLAIM_EXPIRY_SECONDS + 0.01)
 
     def test_a_daemon_that_knows_no_set_waits_for_one(self):
-        assert not Evacuations().is_certain(NOW + 100 * CLAIM_KEPT)
+        assert not Evacuations().is_certain(NOW + 100 * CLAIM_EXPIRY_SECONDS)
--- a/packages/zinniahook-core/tests/test_packet_long_flows.py
+++ b/packages/zinniahook-core/tests/test_packet_long_flows.py
@@ -14,9 +14,9 @@
 import pytest
 from zinniahook_core.packets import State
 from zinniahook_core.packets.flows import Flow, Flows, Standing
-from zinniahook_core.packets.inquiries import CHOICES
 from zinniahook_core.packets.member import Member
 from zinniahook_core.packets.placement import choose
+from zinniahook_core.packets.polls import KNOWN_LOADS
 from zinniahook_core.packets.sections import Section
 from zinniahook_core.packets.tunnel import Status
 from zinniahook_core.packets.work import Work
@@ -103,12 +103,12 @@
             WORK,
             sections if self.by_work else {},
         )
-        home[target.address].take(status, self.now)
+        home[target.address].update(status, self.now)
 
     def open(self, route):
         home = self.rng.choice(self.homes)
         living = [t for t in self.targets if t is not None]
-        asked = self.rng.sample(living, min(CHOICES, len(living)))
+        asked = self.rng.sample(living, min(KNOWN_LOADS, len(living)))
         for target in asked:
             self.tell(target, home)
         members = [home[target.address] for target in asked]
--- a/packages/zinniahook-core/tests/test_packet_members.py
+++ b/packages/zinniahook-core/tests/test_packet_members.py
@@ -5,8 +5,8 @@
 import pytest
 from zinniahook_core.packets import State
 from zinniahook_core.packets.evacuations import Evacuations, Stamp
-from zinniahook_core.packets.members import FORGET_AFTER, Roster
-from zinniahook_core.packets.node import _row
+from zinniahook_core.packets.members import MEMBER_EXPIRY_SECONDS, Roster
+from zinniahook_core.packets.node import _decode_row
 from zinniahook_core.packets.tunnel import Status
 
 OWN = "10.0.0.1"
@@ -35,7 +35,7 @@
         made = roster()
         lost = made.by_address[PEER]
         made.drop(PEER)
-        assert made.unseen(FORGET_AFTER + 1.0, [lost]) == []
+        assert made.unseen(MEMBER_EXPIRY_SECONDS + 1.0, [lost]) == []
 
 
 class TestMemberThatComesBack:
@@ -52,9 +52,9 @@
             made.learn(later, f"10.0.{number // 250}.{number % 250}", 1, status())
         member = made.by_address[PEER]
         assert not made.is_silent(later, member)
-        before = member.changed
+        before = member.changed_epoch
         made.learn(later, PEER, 1, status())
-        assert member.changed > before
+        assert member.changed_epoch > before
 
 
 class TestMemberThatHasEnded:
@@ -67,9 +67,9 @@
         """
         made = roster(3)
         made.learn(1.0, PEER, 1, status(State.ENDED))
-        made.vouch(1.4, PEER, 0.3)
+        made.learn_heard_by_peer(1.4, PEER, 0.3)
         assert made.has_ended(PEER)
-        made.vouch(4.0, PEER, 0.1)
+        made.learn_heard_by_peer(4.0, PEER, 0.1)
         assert not made.has_ended(PEER)
         assert made.unseen(6.5, [made.by_address[PEER]]) == [PEER]
 
@@ -90,16 +90,16 @@
     )
     def test_what_is_no_address_is_left_out(self, address):
         """A question to it later ended the process."""
-        assert _row([address, 1, 0.5]) is None
+        assert _decode_row([address, 1, 0.5]) is None
 
     @pytest.mark.parametrize("age", [math.nan, math.inf, -1.0, 1e300, "1"])
     def test_what_is_no_age_is_left_out(self, age):
         """A member with it would never pass for silent."""
-        assert _row([PEER, 1, age]) is None
+        assert _decode_row([PEER, 1, age]) is None
 
     @pytest.mark.parametrize("age", [None, 0, 0.25, 60.0])
     def test_others_are_taken(self, age):
-        assert _row([PEER, 1, age]) == (PEER, 1, age)
+        assert _decode_row([PEER, 1, age]) == (PEER, 1, age)
 
 
 class TestStampsOfDatagrams:
@@ -112,6 +112,6 @@
         evacuations = Evacuations()
         nothing = Evacuations()
         nothing.read(1, frozenset())
-        assert not evacuations.shown(0.0, Stamp((1 << 64) - 1, nothing.stamp.digest))
+        assert not evacuations.compare(0.0, Stamp((1 << 64) - 1, nothing.stamp.digest))
         assert evacuations.position == 0
         assert evacuations.read(5, frozenset({"a"}))
--- a/packages/zinniahook-core/tests/test_packet_neighbours.py
+++ b/packages/zinniahook-core/tests/test_packet_neighbours.py
@@ -4,12 +4,17 @@
 import random
 
 import pytest
-from zinniahook_core.packets.circles import FIRST, FIRST_NEAR
-from zinniahook_core.packets.inquiries import CHOICES, PATIENCE, Inquiries, freshest
+from zinniahook_core.packets.candidates import CANDIDATES, ZONE_CANDIDATES
 from zinniahook_core.packets.member import Member
-from zinniahook_core.packets.members import PROBE_LONGEST, Roster
+from zinniahook_core.packets.members import PROBE_MAX_SECONDS, Roster
 from zinniahook_core.packets.models import Packet
-from zinniahook_core.packets.ring import Ring
+from zinniahook_core.packets.polls import (
+    KNOWN_LOADS,
+    POLL_TIMEOUT_SECONDS,
+    LoadPolls,
+    with_known_load,
+)
+from zinniahook_core.packets.ring import HashRing
 from zinniahook_core.packets.tunnel import Head, Kind
 
 NAMES = [f"10.0.0.{number}" for number in range(1, 101)]
@@ -17,7 +22,7 @@
 
 
 def ring_of(names):
-    ring = Ring()
+    ring = HashRing()
     for name in names:
         ring.add(name)
     return ring
@@ -64,20 +69,22 @@
         for size in (20, 100):
             roster = roster_of(NAMES[:size])
             for key in KEYS[:50]:
-                assert len(roster.near(0.0, key, 0)) <= FIRST + FIRST_NEAR
+                assert (
+                    len(roster.candidates(0.0, key, 0)) <= CANDIDATES + ZONE_CANDIDATES
+                )
 
     def test_some_are_of_the_clients_data_centre(self):
         roster = roster_of(NAMES)
         for key in KEYS[:50]:
-            local = [m for m in roster.near(0.0, key, 3) if m.zone == 3]
-            assert len(local) >= FIRST_NEAR
+            local = [m for m in roster.candidates(0.0, key, 3) if m.zone == 3]
+            assert len(local) >= ZONE_CANDIDATES
 
     def test_homes_are_the_same_for_clients_of_any_data_centre(self):
         roster = roster_of(NAMES)
         for key in KEYS[:50]:
             homes = set(roster.homes(0.0, key))
-            assert homes <= set(addresses(roster.near(0.0, key, 1)))
-            assert homes <= set(addresses(roster.near(0.0, key, 2)))
+            assert homes <= set(addresses(roster.candidates(0.0, key, 1)))
+            assert homes <= set(addresses(roster.candidates(0.0, key, 2)))
 
     @pytest.mark.parametrize("factor", [2, 5])
     def test_the_wider_circle_holds_owners_of_before_the_growth(self, factor):
@@ -89,8 +96,8 @@
         former = roster_of(NAMES[: len(NAMES) // factor])
         grown = roster_of(NAMES)
         for key in KEYS:
-            owners = set(addresses(former.near(0.0, key, 2)))
-            assert owners <= set(addresses(grown.far(0.0, key)))
+            owners = set(addresses(former.candidates(0.0, key, 2)))
+            assert owners <= set(addresses(grown.wide_candidates(0.0, key)))
 
 
 class TestSilentMembers:
@@ -100,22 +107,22 @@
 
     def test_are_asked_ever_more_rarely(self):
         roster = roster_of(NAMES[:1])
-        roster.sent(0.0, NAMES[0])
-        asked = [now for now in range(2, 60) if roster.probes(float(now))]
+        roster.expect_answer(0.0, NAMES[0])
+        asked = [now for now in range(2, 60) if roster.probes_due(float(now))]
         pauses = [after - before for before, after in itertools.pairwise(asked)]
         assert pauses == sorted(pauses)
-        assert max(pauses) == PROBE_LONGEST
+        assert max(pauses) == PROBE_MAX_SECONDS
 
 
 class TestInquiries:
     def setup_method(self):
         self.asked = []
         self.done = []
-        self.inquiries = Inquiries(
+        self.polls = LoadPolls(
             "own",
             random.Random(1),
             lambda now, address: self.asked.append(address),
-            lambda now, inquiry: self.done.append(inquiry.packet.flow),
+            lambda now, poll: self.done.append(poll.packet.flow),
         )
         self.takers = [
             Member(name, number % 2) for number, name in enumerate(NAMES[:8])
@@ -123,35 +130,35 @@
         self.packet = Packet(KEYS[0], 1, 1, 0, 0, b"")
 
     def begin(self, now=0.0):
-        return self.inquiries.begin(now, Head(Kind.FORWARD), self.packet, self.takers)
+        return self.polls.begin(now, Head(Kind.FORWARD), self.packet, self.takers)
 
     def test_asks_a_few_half_of_them_near_the_client(self):
         assert self.begin()
-        assert len(self.asked) == CHOICES
+        assert len(self.asked) == KNOWN_LOADS
         near = [m for m in self.takers if m.address in self.asked and m.zone == 0]
-        assert len(near) >= CHOICES / 2
+        assert len(near) >= KNOWN_LOADS / 2
 
     def test_ends_when_all_have_told(self):
         self.begin()
         for address in self.asked:
             assert self.done == []
-            self.inquiries.heard(0.001, address)
+            self.polls.heard(0.001, address)
         assert self.done == [self.packet.flow]
 
     def test_ends_without_those_that_are_dead(self):
         self.begin()
-        self.inquiries.tick(PATIENCE / 2)
+        self.polls.tick(POLL_TIMEOUT_SECONDS / 2)
         assert self.done == []
-        self.inquiries.tick(PATIENCE)
+        self.polls.tick(POLL_TIMEOUT_SECONDS)
         assert self.done == [self.packet.flow]
 
     def test_asks_nobody_whose_load_is_known(self):
-        for member in self.takers[:CHOICES]:
-            member.told_at = 0.0
+        for member in self.takers[:KNOWN_LOADS]:
+            member.status_received_at = 0.0
         assert not self.begin(0.01)
         assert self.asked == []
 
     def test_who_has_not_told_is_not_chosen_if_others_have(self):
-        self.takers[2].told_at = 1.0
-        assert freshest(1.0, "own", self.takers) == [self.takers[2]]
-        assert freshest(2.0, "own", self.takers) == self.takers
+        self.takers[2].status_received_at = 1.0
+        assert with_known_load(1.0, "own", self.takers) == [self.takers[2]]
+        assert with_known_load(2.0, "own", self.takers) == self.takers
--- a/packages/zinniahook-core/tests/test_packet_restores.py
+++ b/packages/zinniahook-core/tests/test_packet_restores.py
@@ -10,8 +10,8 @@
     position_of,
     revision_of,
 )
-from zinniahook_core.packets.evacuations import RETAINED_FOR, Evacuations, Stamp
-from zinniahook_core.packets.formers import Former, Formers
+from zinniahook_core.packets.evacuations import RETAINED_SECONDS, Evacuations, Stamp
+from zinniahook_core.packets.formers import FormerService, FormerServices
 from zinniahook_core.packets.tunnel import Head, Kind
 
 NOW = 10.0
@@ -33,8 +33,8 @@
     place, digest = teller.stamp
     sent = tunnel.encode(Head(Kind.HELLO, evacuated_at=place, evacuated=digest))
     head, _ = tunnel.decode(sent)
-    if hearer.shown(now, Stamp(head.evacuated_at, head.evacuated)):
-        hearer.told(teller.encode())
+    if hearer.compare(now, Stamp(head.evacuated_at, head.evacuated)):
+        hearer.merge(teller.encode())
     hearer.expire(now)
 
 
@@ -93,15 +93,15 @@
         Cause: its revision is the higher one.
         """
         known = knowing(1000, NONE)
-        known.told(knowing(900, NONE, 2).encode())
-        known.shown(NOW, knowing(901, NONE, 2).stamp)
+        known.merge(knowing(900, NONE, 2).encode())
+        known.compare(NOW, knowing(901, NONE, 2).stamp)
         assert not known.read(1001, A, 1)
         assert known.names == NONE
 
     def test_a_late_told_set_of_the_former_era_changes_nothing(self):
         known = knowing(900, NONE, 2)
-        assert not known.told(knowing(1001, A, 1).encode())
-        assert not known.shown(NOW, knowing(1001, A, 1).stamp)
+        assert not known.merge(knowing(1001, A, 1).encode())
+        assert not known.compare(NOW, knowing(1001, A, 1).stamp)
         assert known.names == NONE
         assert known.is_certain(NOW)
 
@@ -117,7 +117,7 @@
     def test_who_has_the_same_orders_need_not_ask(self):
         for names in (NONE, A):
             reader, hearer = knowing(900, names, 2), knowing(1000, names)
-            assert not hearer.shown(NOW, reader.stamp)
+            assert not hearer.compare(NOW, reader.stamp)
             assert hearer.era == 2
             assert hearer.agrees(reader.stamp)
             assert hearer.encode() == reader.encode()
@@ -131,7 +131,7 @@
 
     def test_one_that_starts_knows_the_empty_set_at_once(self):
         starter = Evacuations()
-        assert not starter.shown(NOW, knowing(900, NONE, 2).stamp)
+        assert not starter.compare(NOW, knowing(900, NONE, 2).stamp)
         assert starter.is_certain(NOW)
 
     def test_daemons_of_different_eras_do_not_confirm_each_other(self):
@@ -159,8 +159,8 @@
         assert not known.read(900, NONE, 2)
         assert not known.expire(NOW)
         assert known.names == A
-        assert not known.expire(NOW + RETAINED_FOR - 0.1)
-        assert known.expire(NOW + RETAINED_FOR)
+        assert not known.expire(NOW + RETAINED_SECONDS - 0.1)
+        assert known.expire(NOW + RETAINED_SECONDS)
         assert known.names == NONE
 
     def test_at_daemons_that_hear_of_the_restore_too(self):
@@ -194,8 +194,8 @@
         known.read(900, NONE, 2)
         known.expire(NOW)
         known.read(800, NONE, 3)
-        known.expire(NOW + RETAINED_FOR - 1)
-        assert not known.expire(NOW + RETAINED_FOR)
+        known.expire(NOW + RETAINED_SECONDS - 1)
+        assert not known.expire(NOW + RETAINED_SECONDS)
         assert known.names == A
 
     def test_an_order_that_the_copy_has_again_is_in_force(self):
@@ -230,18 +230,18 @@
 
     @pytest.mark.parametrize("body", [b"[%d]" % POSITION_LIMIT, b"[-1]", b"[2,900]"])
     def test_a_set_at_no_position_is_malformed(self, body):
-        assert knowing(900, A, 2).told(body) is None
+        assert knowing(900, A, 2).merge(body) is None
 
 
 class TestFormerServicesOfACopy:
     def test_are_learned_without_passing_for_all(self):
-        formers = Formers()
+        formers = FormerServices()
         formers.begin(NOW)
-        formers.learn(NOW, [Former(ROUTE, "docs", 9.0)], whole=False)
+        formers.learn(NOW, [FormerService(ROUTE, "docs", 9.0)], whole=False)
         assert formers.rows(NOW)
         assert not formers.is_complete
 
     def test_change_nothing_at_a_daemon_that_lacks_none(self):
-        formers = Formers()
+        formers = FormerServices()
         formers.learn(NOW, [], whole=False)
         assert formers.is_complete
--- a/packages/zinniahook-core/tests/test_packet_room.py
+++ b/packages/zinniahook-core/tests/test_packet_room.py
@@ -21,7 +21,7 @@
     shares,
     sharing,
 )
-from zinniahook_core.packets.sections import SECTION_LONGEST, Section
+from zinniahook_core.packets.sections import SECTION_MAX_BYTES, Section
 from zinniahook_core.packets.tunnel import Head, Kind
 
 FEED, EDIT = Cell(1, 2), Cell(1, 1)
@@ -29,19 +29,21 @@
 SLOTS = 2
 
 
-def member(number, counts=None, told_at=0.0, busy=3.0):
+def member(number, counts=None, status_received_at=0.0, busy=3.0):
     """Return a member that told of its requests, or has room if of none."""
     found = Member(f"10.0.0.{number}", 1, state=State.READY, slots=SLOTS)
-    found.told_at = told_at
+    found.status_received_at = status_received_at
     found.answer_time = 0.1
     found.busy = busy if counts else 1.0
     if counts:
-        found.sections = {Section.ROOM: encode_counts(counts)}
+        found.sections = {Section.DEMAND: encode_counts(counts)}
     return found
 
 
-def crowded(number, told_at=0.0, waiting=40):
-    return member(number, {FEED: Count(1.5, waiting), EDIT: Count(0.5, 2)}, told_at)
+def crowded(number, status_received_at=0.0, waiting=40):
+    return member(
+        number, {FEED: Count(1.5, waiting), EDIT: Count(0.5, 2)}, status_received_at
+    )
 
 
 def overloaded(at=0.0, members=8):
@@ -50,7 +52,7 @@
     found = [crowded(number, at) for number in range(members)]
     assert room.review(at, found)
     for one in found:
-        one.told_at = at + REJECT_AFTER
+        one.status_received_at = at + REJECT_AFTER
     assert not room.review(at + REJECT_AFTER, found)
     return room, found
 
@@ -95,7 +97,7 @@
     def test_the_largest_ones_are_told(self):
         counts = {Cell(zone, 1): Count(0.0, zone) for zone in range(300)}
         body = encode_counts(counts)
-        assert len(body) <= SECTION_LONGEST
+        assert len(body) <= SECTION_MAX_BYTES
         told = decode_counts(body)
         assert len(told) == ROWS_MOST
         assert Cell(299, 1) in told
@@ -148,7 +150,9 @@
             now = 0.2 * step
             empty = rng.sample(range(20), rng.choice([0, 1, 3, 5]))
             members = [
-                member(number, told_at=now) if number in empty else crowded(number, now)
+                member(number, status_received_at=now)
+                if number in empty
+                else crowded(number, now)
                 for number in range(20)
             ]
             changes += room.review(now, members)
@@ -160,8 +164,8 @@
         Sequence: a home is cut off from most agents, the few that it hears are
         full. Cause: it judged the service by them.
         """
-        heard = [crowded(number, told_at=10.0) for number in range(2)]
-        unheard = [member(number, told_at=0.0) for number in range(2, 12)]
+        heard = [crowded(number, status_received_at=10.0) for number in range(2)]
+        unheard = [member(number, status_received_at=0.0) for number in range(2, 12)]
         room = Room()
         assert not room.review(10.0, [*heard, *unheard])
 
@@ -239,7 +243,7 @@
         that the flow belongs to is idle. Cause: judged by the whole alone.
         """
         room, members = overloaded()
-        free = member(9, told_at=REJECT_AFTER)
+        free = member(9, status_received_at=REJECT_AFTER)
         assert len(self.held(room, [*members[:7], free])) == 0
 
     def test_a_slot_that_becomes_free_meanwhile_takes_it(self):
@@ -247,7 +251,7 @@
         takers = members[:8]
         held = self.held(room, takers)
         assert len(held)
-        takers[0] = member(9, told_at=REJECT_AFTER)
+        takers[0] = member(9, status_received_at=REJECT_AFTER)
         ended = held.due(REJECT_AFTER + 0.1 + HOLD_LONGEST)
         assert ended
         assert not any(is_excess for _, is_excess in ended)
--- a/packages/zinniahook-core/tests/test_packet_sections.py
+++ b/packages/zinniahook-core/tests/test_packet_sections.py
@@ -1,7 +1,7 @@
 """Sections that follow a status, and the features that call for them."""
 
 from zinniahook_core.packets import Features, Route, Routes, ServiceShare, Urgency
-from zinniahook_core.packets.features import has_rivals
+from zinniahook_core.packets.features import has_competing_routes
 from zinniahook_core.packets.models import State
 from zinniahook_core.packets.sections import Section
 from zinniahook_core.packets.tunnel import Status, decode_status, encode_status
@@ -14,7 +14,7 @@
         assert len(encode_status(STATUS)) == 18
 
     def test_they_come_back_with_their_status(self):
-        told = STATUS._replace(sections={Section.HEALTH: b"ab", Section.ROOM: b""})
+        told = STATUS._replace(sections={Section.HEALTH: b"ab", Section.DEMAND: b""})
         assert decode_status(encode_status(told)) == told
 
     def test_one_that_nobody_knows_is_kept_apart(self):
@@ -23,7 +23,7 @@
 
     def test_one_that_is_cut_off_is_malformed(self):
         """A datagram of another version, or a torn one, must raise nothing."""
-        whole = encode_status(STATUS._replace(sections={Section.ROOM: b"abc"}))
+        whole = encode_status(STATUS._replace(sections={Section.DEMAND: b"abc"}))
         for size in range(len(whole)):
             decoded = decode_status(whole[:size])
             assert decoded == (STATUS if size == 18 else None)
@@ -41,14 +41,16 @@
 
 class TestFeatures:
     def test_routes_of_one_urgency_are_no_rivals(self):
-        assert not has_rivals(routes(), "tally")
-        assert not has_rivals(routes(Urgency(1, 0.3), Urgency(1, 0.5)), "tally")
-        assert not has_rivals(routes(Urgency(1), Urgency(2)), "tally")
+        assert not has_competing_routes(routes(), "tally")
+        assert not has_competing_routes(
+            routes(Urgency(1, 0.3), Urgency(1, 0.5)), "tally"
+        )
+        assert not has_competing_routes(routes(Urgency(1), Urgency(2)), "tally")
 
     def test_routes_of_two_priorities_are_rivals_at_their_service_alone(self):
         ranked = routes(Urgency(1, 0.3), Urgency(2, 0.3))
-        assert has_rivals(ranked, "tally")
-        assert not has_rivals(ranked, "ledger")
+        assert has_competing_routes(ranked, "tally")
+        assert not has_competing_routes(ranked, "ledger")
 
     def test_the_settings_go_first(self):
         ranked = routes(Urgency(1, 0.3), Urgency(2, 0.3))
