--- a/packages/zinniahook-core/tests/test_packet_verdicts.py
+++ b/packages/zinniahook-core/tests/test_packet_verdicts.py
@@ -2,13 +2,13 @@
 
 import pytest
 from zinniahook_core.packets import Flag, Packet, State, tunnel
-from zinniahook_core.packets.circles import FIRST, LOST_AFTER
-from zinniahook_core.packets.formers import FLOW_LONGEST
+from zinniahook_core.packets.candidates import CANDIDATES, LOST_AFTER_SECONDS
+from zinniahook_core.packets.formers import FLOW_MAX_AGE_SECONDS
 from zinniahook_core.packets.members import Roster
 from zinniahook_core.packets.tunnel import Ended, Status
 from zinniahook_core.packets.verdicts import (
-    FOR_EVER,
-    SAME_FLOW,
+    PERMANENT_EPOCH,
+    SAME_FLOW_BYTES,
     VERDICTS_LIMIT,
     Verdicts,
 )
@@ -37,15 +37,15 @@
     def test_holds_as_long_as_a_flow_may_live(self):
         verdicts = Verdicts()
         verdicts.keep(10.0, FLOW, 1000, 3)
-        assert verdicts.get(10.0 + FLOW_LONGEST - 1, packet()) is not None
-        assert verdicts.get(10.0 + FLOW_LONGEST, packet()) is None
+        assert verdicts.get(10.0 + FLOW_MAX_AGE_SECONDS - 1, packet()) is not None
+        assert verdicts.get(10.0 + FLOW_MAX_AGE_SECONDS, packet()) is None
 
-    @pytest.mark.parametrize("ahead", [-SAME_FLOW, 0, SAME_FLOW])
+    @pytest.mark.parametrize("ahead", [-SAME_FLOW_BYTES, 0, SAME_FLOW_BYTES])
     def test_is_of_packets_of_the_same_flow(self, ahead):
         verdicts = Verdicts()
         verdicts.keep(0.0, FLOW, 10, 3)
         assert verdicts.get(0.0, packet((10 + ahead) % 2**32)) is not None
-        beyond = (10 + ahead + (1 if ahead >= 0 else -1) * SAME_FLOW * 2) % 2**32
+        beyond = (10 + ahead + (1 if ahead >= 0 else -1) * SAME_FLOW_BYTES * 2) % 2**32
         assert verdicts.get(0.0, packet(beyond)) is None
 
     def test_their_number_is_bounded(self):
@@ -64,7 +64,7 @@
 
     def test_that_of_the_own_target_s_end_rests_on_nobody(self):
         verdicts = Verdicts()
-        verdicts.keep(0.0, FLOW, 1000, FOR_EVER)
+        verdicts.keep(0.0, FLOW, 1000, PERMANENT_EPOCH)
         verdict = verdicts.get(0.0, packet())
         assert verdict.has_ended
         assert verdict.covers("10.0.0.1", 10**9)
@@ -80,7 +80,7 @@
         roster = roster_of(NAMES[:3])
         epoch = roster.epoch
         member = roster.add(1.0, NAMES[5], 0)
-        assert member.changed == roster.epoch == epoch + 1
+        assert member.changed_epoch == roster.epoch == epoch + 1
 
     def test_one_that_starts_again(self):
         roster = roster_of(NAMES[:3])
@@ -88,13 +88,13 @@
         roster.learn(0.1, NAMES[1], 1, status())
         assert roster.epoch == epoch
         roster.learn(0.2, NAMES[1], 1, status(incarnation=2))
-        assert roster.by_address[NAMES[1]].changed == epoch + 1
+        assert roster.by_address[NAMES[1]].changed_epoch == epoch + 1
 
     def test_one_that_was_silent(self):
         roster = roster_of(NAMES[:3])
         epoch = roster.epoch
-        roster.learn(LOST_AFTER + 1, NAMES[1], 1, status())
-        assert roster.by_address[NAMES[1]].changed == epoch + 1
+        roster.learn(LOST_AFTER_SECONDS + 1, NAMES[1], 1, status())
+        assert roster.by_address[NAMES[1]].changed_epoch == epoch + 1
 
     def test_one_whose_target_had_ended(self):
         roster = roster_of(NAMES[:3])
@@ -103,15 +103,15 @@
         roster.learn(0.2, NAMES[1], 1, status(State.ENDED))
         assert roster.epoch == epoch
         roster.learn(0.3, NAMES[1], 1, status(State.READY))
-        assert roster.by_address[NAMES[1]].changed == epoch + 1
+        assert roster.by_address[NAMES[1]].changed_epoch == epoch + 1
 
     def test_one_that_only_a_peer_hears(self):
         roster = roster_of(NAMES[:3])
         epoch = roster.epoch
-        roster.vouch(0.1, NAMES[1], 0.0)
+        roster.learn_heard_by_peer(0.1, NAMES[1], 0.0)
         assert roster.epoch == epoch
-        roster.vouch(LOST_AFTER + 1, NAMES[1], 0.1)
-        assert roster.by_address[NAMES[1]].changed == epoch + 1
+        roster.learn_heard_by_peer(LOST_AFTER_SECONDS + 1, NAMES[1], 0.1)
+        assert roster.by_address[NAMES[1]].changed_epoch == epoch + 1
 
 
 class TestHomesThatChange:
@@ -130,20 +130,20 @@
         roster = roster_of(NAMES)
         roster.refresh(0.0)
         roster.learn(0.1, NAMES[-1], 2, status(State.ENDED))
-        assert roster.refresh(0.2).homes
+        assert roster.refresh(0.2).homes_changed
         others = NAMES[:-1]
         self.heard(roster, 4.4, others)
-        assert not roster.refresh(4.4).homes
-        self.heard(roster, LOST_AFTER + 0.2, others)
-        assert roster.refresh(LOST_AFTER + 0.2).homes
+        assert not roster.refresh(4.4).homes_changed
+        self.heard(roster, LOST_AFTER_SECONDS + 0.2, others)
+        assert roster.refresh(LOST_AFTER_SECONDS + 0.2).homes_changed
 
     def test_not_in_a_service_in_which_every_flow_concerns_all(self):
-        names = NAMES[:FIRST]
+        names = NAMES[:CANDIDATES]
         roster = roster_of(names)
         roster.learn(0.1, names[-1], 2, status(State.ENDED))
         roster.refresh(0.2)
-        self.heard(roster, LOST_AFTER + 0.2, names[:-1])
-        assert not roster.refresh(LOST_AFTER + 0.2).homes
+        self.heard(roster, LOST_AFTER_SECONDS + 0.2, names[:-1])
+        assert not roster.refresh(LOST_AFTER_SECONDS + 0.2).homes_changed
 
 
 class TestEntriesAndAgentsSeeTheSameHomes:
@@ -164,7 +164,7 @@
             for name in NAMES[4:]:
                 roster.learn(0.1, name, 0, status(State.ENDED))
             self.heard(roster, 0.2, [*NAMES[:4], "10.0.1.1", "10.0.1.2", "10.0.1.3"])
-            later = LOST_AFTER + 1.0
+            later = LOST_AFTER_SECONDS + 1.0
             self.heard(roster, later, [*NAMES[:4], "10.0.1.1", "10.0.1.2", "10.0.1.3"])
         return entry, agent, later
 
@@ -200,7 +200,7 @@
 class TestEnded:
     def test_is_read_as_it_was_written(self):
         told = [Ended(FLOW, 7), Ended(FLOW[::-1], 2**32 - 1)]
-        assert tunnel.decode_ended(tunnel.ended(told)) == told
+        assert tunnel.decode_ended(tunnel.encode_ended(told)) == told
 
     def test_what_is_cut_off_is_malformed(self):
-        assert tunnel.decode_ended(tunnel.ended([Ended(FLOW, 7)])[:-1]) is None
+        assert tunnel.decode_ended(tunnel.encode_ended([Ended(FLOW, 7)])[:-1]) is None
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/daemon.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/daemon.py
@@ -16,7 +16,7 @@
 from zinniahook_core.packets import Codec, formers
 from zinniahook_core.packets.eras import era_of, revision_of
 from zinniahook_core.packets.node import Node
-from zinniahook_core.packets.tunnel import Wish
+from zinniahook_core.packets.tunnel import HelloRequest
 
 from ..sockets import UdpSocket
 from . import exposition, web
@@ -264,7 +264,7 @@
         while True:
             for seed in self.settings.seeds:
                 if seed != self.settings.address:
-                    self.core.hello(time.monotonic(), seed, Wish.MEMBERS)
+                    self.core.hello(time.monotonic(), seed, HelloRequest.MEMBERS)
             answered = await self._look_up(self.settings.service or None)
             if self.is_informed(answered):
                 return
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from zinniahook_core.packets import Agent, Beat, Codec, Entry, State, Target
+from zinniahook_core.packets import Agent, Codec, Entry, Heartbeat, State, Target
 
 from .daemon import Daemon
 from .journal import Journal
@@ -227,7 +227,7 @@
         """Give a packet to the target."""
         self.client_socket.send(raw, tuple(self.settings.target))
 
-    def beat(self, beat: Beat) -> bool:
+    def beat(self, beat: Heartbeat) -> bool:
         """Take a heartbeat of the target; return False if it can't be one."""
         return self.core.beat(time.monotonic(), beat)
 
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/watcher.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/watcher.py
@@ -94,7 +94,9 @@
         while True:
             now = time.monotonic()
             if not self._must_look(now):
-                await asyncio.sleep(max(IDLE_TIME, self._node.freshness.rest(now)))
+                await asyncio.sleep(
+                    max(IDLE_TIME, self._node.freshness.seconds_until_read(now))
+                )
                 continue
             try:
                 await self._watch()
@@ -104,7 +106,7 @@
 
     def _must_look(self, now: float) -> bool:
         node = self._node
-        return node.freshness.must_look(now) or node.evacuations.must_read(now)
+        return node.freshness.must_read(now) or node.evacuations.must_read(now)
 
     async def _watch(self) -> None:
         """Read what the store has, as long as nobody else does."""
@@ -123,7 +125,7 @@
             # What goes wrong without: while no client sends, confirmations are
             # half a second old before another watcher hears them, so it doesn't
             # yield, and a third of the entries go on reading the store.
-            self._node.show(time.monotonic())
+            self._node.announce(time.monotonic())
             self._recorder.look(looked_since, seen.era)
             await asyncio.sleep(LOOK_EVERY)
         self._journal.event("watch.ended", other=freshness.watcher)
--- a/packages/zinniahook-daemon/tests/restore_fakes.py
+++ b/packages/zinniahook-daemon/tests/restore_fakes.py
@@ -5,7 +5,7 @@
 
 from zinniahook_core.packets import Route, Routes, ServiceShare, formers
 from zinniahook_core.packets.evacuations import Evacuations
-from zinniahook_core.packets.formers import Formers
+from zinniahook_core.packets.formers import FormerServices
 from zinniahook_core.packets.freshness import Freshness
 from zinniahook_daemon.packets.ports import (
     Announced,
@@ -114,11 +114,11 @@
         self.rng = random.Random(1)
         self.freshness = Freshness("10.0.0.2", self.rng)
         self.routes = Routes.none()
-        self.formers = Formers()
+        self.formers = FormerServices()
         self.formers.is_complete = known
         self.evacuations = Evacuations()
 
-    def show(self, now):
+    def announce(self, now):
         pass
 
     def evacuate(self, now, revision, names, era=0):
--- a/packages/zinniahook-daemon/tests/test_packet_recorder.py
+++ b/packages/zinniahook-daemon/tests/test_packet_recorder.py
@@ -6,7 +6,7 @@
 
 import pytest
 from zinniahook_core.packets import Route, Routes, ServiceShare, formers
-from zinniahook_core.packets.formers import Former, Formers, Record
+from zinniahook_core.packets.formers import FormerService, FormerServices, Record
 from zinniahook_daemon.packets import recorder as recorders
 from zinniahook_daemon.packets.ports import Kept, StoreUnavailableError, Written
 from zinniahook_daemon.packets.recorder import Recorder
@@ -66,7 +66,7 @@
     def __init__(self, known=True):
         self.rng = random.Random(1)
         self.routes = Routes.none()
-        self.formers = Formers()
+        self.formers = FormerServices()
         self.formers.is_complete = known
 
     def configure(self, now, newer, told=None, whole=True):
@@ -113,7 +113,7 @@
         store, node = KeepingStore(), Node()
         node.configure(0.0, routes(4, floor=["docs"]))
         written(store, node)
-        node.formers.learn(0.0, [Former(FLOOR, "docs", 1e9)])
+        node.formers.learn(0.0, [FormerService(FLOOR, "docs", 1e9)])
         node.configure(0.0, routes(5, floor=["floor"]))
         record = Record.of(1.0, node.routes, node.formers)
         assert record.services_by_address[FLOOR] == {"floor", "docs"}
@@ -191,7 +191,7 @@
         assert formers.decode(zlib.compress(value)) == Record({})
 
     def test_daemons_tell_each_other_how_long_one_counts_yet(self):
-        rows = [Former(FLOOR, "docs", 12.5)]
+        rows = [FormerService(FLOOR, "docs", 12.5)]
         assert formers.decode_rows(formers.encode_rows(rows)) == rows
 
     @pytest.mark.parametrize("value", [b"", b"{", b"[1]", b'[["zz","a",1]]', b"3"])
--- a/packages/zinniahook-daemon/tests/test_packet_restored.py
+++ b/packages/zinniahook-daemon/tests/test_packet_restored.py
@@ -16,7 +16,7 @@
     routes,
 )
 from zinniahook_core.packets import State
-from zinniahook_core.packets.formers import Former
+from zinniahook_core.packets.formers import FormerService
 from zinniahook_daemon.packets.ports import (
     StoreUnavailableError,
     Written,
@@ -161,7 +161,7 @@
         wrote(recorder, 1)
         copy = store.copy()
         node.configure(0.0, routes(5, "docs"))
-        node.formers.learn(0.0, [Former(FLOOR, "floor", 1e9)])
+        node.formers.learn(0.0, [FormerService(FLOOR, "floor", 1e9)])
         wrote(recorder, 1)
         store.restore(copy)
         assert store.recorded() == {"floor"}
--- a/packages/zinniahook-daemon/tests/test_packet_roles.py
+++ b/packages/zinniahook-daemon/tests/test_packet_roles.py
@@ -5,7 +5,7 @@
 
 import pytest
 from zinniahook_core.models import Address
-from zinniahook_core.packets import Beat, State
+from zinniahook_core.packets import Heartbeat, State
 from zinniahook_daemon.packets.journal import Journal
 from zinniahook_daemon.packets.ports import (
     Announced,
@@ -64,7 +64,7 @@
         address = Address(*listener.getsockname())
         listener.close()
         daemon = agent(address)
-        daemon.core.target.beat(0.0, Beat("t-1", "tally", 4, False, 0.0, 3))
+        daemon.core.target.beat(0.0, Heartbeat("t-1", "tally", 4, False, 0.0, 3))
         assert looked(daemon) is State.READY
 
 
--- a/packages/zinniahook-daemon/tests/test_packet_watcher.py
+++ b/packages/zinniahook-daemon/tests/test_packet_watcher.py
@@ -6,7 +6,7 @@
 import pytest
 from zinniahook_core.packets import Routes
 from zinniahook_core.packets.evacuations import Evacuations, Stamp
-from zinniahook_core.packets.formers import Formers
+from zinniahook_core.packets.formers import FormerServices
 from zinniahook_core.packets.freshness import Freshness
 from zinniahook_core.packets.tunnel import Head, Kind, decode, encode
 from zinniahook_daemon.packets import watcher as watchers
@@ -63,11 +63,11 @@
         self.rng = random.Random(1)
         self.freshness = Freshness("10.0.0.2", self.rng)
         self.routes = Routes.none()
-        self.formers = Formers()
+        self.formers = FormerServices()
         self.evacuations = Evacuations()
         self.told = []
 
-    def show(self, now):
+    def announce(self, now):
         self.told.append(("shown", self.freshness.age(now)))
 
     def evacuate(self, now, revision, names, era=0):
@@ -163,7 +163,7 @@
             node.evacuations.read(5, frozenset())
             while journal.events.count("watch.begun") == began:
                 node.freshness.heard(loop.time(), "10.0.0.1", 1, 0.0)
-                node.evacuations.shown(loop.time(), Stamp(99, 7))
+                node.evacuations.compare(loop.time(), Stamp(99, 7))
                 await asyncio.sleep(0.001)
             await until(lambda: len(node.told) > told)
 
@@ -263,14 +263,14 @@
         freshness = Freshness("10.0.0.2", random.Random(1))
         freshness.installed(4)
         freshness.heard(100.0, "10.0.0.1", 3, 0.0)
-        assert freshness.must_look(100.0)
+        assert freshness.must_read(100.0)
 
     def test_who_hears_nothing_looks(self):
         freshness = Freshness("10.0.0.2", random.Random(1))
         freshness.installed(1)
         freshness.heard(10.0, "10.0.0.1", 1, 0.2)
-        assert not freshness.must_look(10.5)
-        assert freshness.must_look(11.6)
+        assert not freshness.must_read(10.5)
+        assert freshness.must_read(11.6)
 
     def test_what_is_told_on_never_grows_younger(self):
         """Symptom: an old configuration is acted on; nobody looks at the store.
@@ -290,5 +290,5 @@
                 head = Head(Kind.HELLO, version=1, age=teller.age(now))
                 told, _ = decode(encode(head))
                 hearer.heard(now + 0.001, "10.0.0.1", 1, told.age)
-        assert one.must_look(now)
-        assert other.must_look(now)
+        assert one.must_read(now)
+        assert other.must_read(now)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetworlds.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetworlds.py
@@ -15,16 +15,16 @@
 
 from zinniahook_core.packets import (
     Agent,
-    Beat,
     ColdLimit,
     Entry,
     Features,
+    Heartbeat,
     Route,
     Routes,
     ServiceShare,
     Target,
 )
-from zinniahook_core.packets.formers import Formers
+from zinniahook_core.packets.formers import FormerServices
 
 from .packetends import ClientFlow, PlainCodec, TargetEnd, flow_key
 from .packetparts import LOOK_EVERY, RecordingLog, SimulatedAgent, SimulatedLinks
@@ -106,7 +106,7 @@
         self.evacuated: frozenset[str] = frozenset()
         self.store_readers: set[str] | None = None
         self.evacuated_openings: list[tuple[float, str, bytes]] = []
-        self.formers = Formers()
+        self.formers = FormerServices()
         self._beats_from = 0.0
         self._ids = itertools.count(1)
         self._hosts = itertools.count(1)
@@ -267,7 +267,7 @@
         if agent.core is None or target is None or not target.alive or target.silent:
             return
         agent.beats += 1
-        beat = Beat(
+        beat = Heartbeat(
             target.name,
             agent.service,
             target.slots,
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/scaledesigns.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/scaledesigns.py
@@ -17,7 +17,11 @@
 
 from xxhash import xxh3_64_intdigest
 from zinniahook_core.packets import members
-from zinniahook_core.packets.inquiries import CHOICES, LOAD_KEPT, PATIENCE
+from zinniahook_core.packets.polls import (
+    KNOWN_LOADS,
+    LOAD_FRESH_SECONDS,
+    POLL_TIMEOUT_SECONDS,
+)
 
 from .scenarios import Figure, scenario
 
@@ -142,17 +146,17 @@
         roster.add(0.0, name, 0, order=order)
 
     def near(key: int) -> list[int]:
-        return [by_name[m.address] for m in roster.near(0.0, _key(key), 1)]
+        return [by_name[m.address] for m in roster.candidates(0.0, _key(key), 1)]
 
     def far(key: int) -> list[int]:
-        return [by_name[m.address] for m in roster.far(0.0, _key(key))]
+        return [by_name[m.address] for m in roster.wide_candidates(0.0, _key(key))]
 
     return Design(
         lambda key: by_name[roster.home(0.0, _key(key))],
         near,
         far,
         len(agents) - 1,
-        CHOICES,
+        KNOWN_LOADS,
         members.STATUS_BUDGET,
     )
 
@@ -180,7 +184,7 @@
 
     def believed(self, now: float, home: int, agent: int) -> float:
         """Return the load of an agent as a home knows it."""
-        interval = LOAD_KEPT if self._design.asked else self._design.interval
+        interval = LOAD_FRESH_SECONDS if self._design.asked else self._design.interval
         at = (now // interval + self._phase[agent]) * interval
         at -= interval if at > now else 0.0
         told = self._told.get((home, agent))
@@ -313,7 +317,7 @@
     waits = [each.waited * 1e3 for each in placed]
     first = statistics.mean(len(design.near(key)) for key in range(flows))
     wide = statistics.mean(len(design.far(key)) for key in range(flows))
-    noticed = PATIENCE if design.asked else STATUSES_LOST * design.interval
+    noticed = POLL_TIMEOUT_SECONDS if design.asked else STATUSES_LOST * design.interval
     figures = [
         Figure(f"statuses a second, {about}", design.peers / design.interval, ""),
         Figure(f"dead avoided, {about}", noticed, "s"),
--- a/packages/zinniahook-testkit/tests/queueing_fakes.py
+++ b/packages/zinniahook-testkit/tests/queueing_fakes.py
@@ -5,9 +5,9 @@
 
 from zinniahook_core.packets import (
     Agent,
-    Beat,
     Features,
     Flag,
+    Heartbeat,
     Route,
     Routes,
     ServiceShare,
@@ -60,7 +60,7 @@
         self.wait(2.0)
 
     def beat(self, **changes):
-        beat = Beat("t-1", SERVICE, self.slots, False, 0.0, next(self.numbers), 1)
+        beat = Heartbeat("t-1", SERVICE, self.slots, False, 0.0, next(self.numbers), 1)
         self.core.beat(self.now, beat._replace(**changes))
 
     def wait(self, seconds, beats=True):
--- a/packages/zinniahook-testkit/tests/request_loads.py
+++ b/packages/zinniahook-testkit/tests/request_loads.py
@@ -14,9 +14,9 @@
 
 from zinniahook_core.packets import (
     Agent,
-    Beat,
     Features,
     Flag,
+    Heartbeat,
     Route,
     Routes,
     ServiceShare,
@@ -90,7 +90,7 @@
         if self.alive:
             self.beats += 1
             name, number = f"{self.address}-{self.starts}", self.beats
-            beat = Beat(name, SERVICE, self.slots, False, 0.0, number, self.starts)
+            beat = Heartbeat(name, SERVICE, self.slots, False, 0.0, number, self.starts)
             self.core.beat(self.load.now, beat)
 
     def to_peer(self, address, data):
--- a/packages/zinniahook-testkit/tests/test_packet_endings.py
+++ b/packages/zinniahook-testkit/tests/test_packet_endings.py
@@ -20,7 +20,7 @@
         agent.target.alive = False
         agent.core.leave(world.now)
         world.run(0.1)
-        agent.core.membership.farewell(world.now)
+        agent.core.membership.announce_end(world.now)
         agent.core = None
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -55,7 +55,7 @@
         alone.core.leave(world.now)
         alone.core.absent(world.now)
         world.run(0.1)
-        alone.core.membership.farewell(world.now)
+        alone.core.membership.announce_end(world.now)
         alone.core = None
         for flow in flows:
             world.ask(flow)
--- a/packages/zinniahook-testkit/tests/test_packet_incarnations.py
+++ b/packages/zinniahook-testkit/tests/test_packet_incarnations.py
@@ -1,7 +1,7 @@
 """Targets that start again under the name that they had, and late heartbeats."""
 
 import pytest
-from zinniahook_core.packets import Beat, State, Target
+from zinniahook_core.packets import Heartbeat, State, Target
 from zinniahook_testkit.packetworlds import PacketWorld
 
 INTERVAL = 1.0
@@ -9,7 +9,7 @@
 
 
 def beat(number, born=BORN, target="t-1", leaving=False):
-    return Beat(target, "tally", 4, leaving, 0.0, number, born)
+    return Heartbeat(target, "tally", 4, leaving, 0.0, number, born)
 
 
 def running(born=BORN, beats=5):
--- a/packages/zinniahook-testkit/tests/test_packet_room.py
+++ b/packages/zinniahook-testkit/tests/test_packet_room.py
@@ -306,7 +306,7 @@
         names = list(world.agents_by_address)
         world.cut = {frozenset((a, b)) for a in names for b in names if a != b}
         waiting = {Cell(zone_tag("a"), 2): Count(4.0, 200)}
-        sections = {Section.ROOM: encode_counts(waiting)}
+        sections = {Section.DEMAND: encode_counts(waiting)}
         for agent in world.agents:
             agent.core.membership.leaving = True
         world.run(0.3)
@@ -320,7 +320,7 @@
                 told = Status(
                     member.incarnation, State.READY, 4, 9.0, 0, 0.0, 9.0, sections
                 )
-                member.take(told, world.now + 1.5)
+                member.update(told, world.now + 1.5)
         world.run(0.25)
         return world
 
--- a/packages/zinniahook-testkit/tests/test_packet_scale.py
+++ b/packages/zinniahook-testkit/tests/test_packet_scale.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 import pytest
-from zinniahook_core.packets.circles import FIRST, FIRST_NEAR, WIDER
+from zinniahook_core.packets.candidates import CANDIDATES, WIDE_FACTOR, ZONE_CANDIDATES
 from zinniahook_core.packets.flows import Flow, Standing
 from zinniahook_core.packets.tunnel import Kind, Mark
 from zinniahook_testkit.packetworlds import PacketWorld
@@ -140,7 +140,9 @@
             asked[size] = world.searched / len(flows)
         # Eight and four at first; the wider circle of a service that has grown
         # agent by agent grows with the logarithm of their number.
-        assert asked[LARGE] <= WIDER * FIRST + zones * 2 * FIRST_NEAR * 1.5
+        assert (
+            asked[LARGE] <= WIDE_FACTOR * CANDIDATES + zones * 2 * ZONE_CANDIDATES * 1.5
+        )
         assert asked[LARGE] <= 0.6 * LARGE
 
 
--- a/packages/zinniahook-testkit/tests/test_packet_searches.py
+++ b/packages/zinniahook-testkit/tests/test_packet_searches.py
@@ -217,7 +217,7 @@
         world.run(0.01)
         for entry in world.entries_by_address.values():
             told = tunnel.Head(tunnel.Kind.OWNER, service=tunnel.tag(owner.service))
-            body = tunnel.owner(owner.address, [flow.key])
+            body = tunnel.encode_owner(owner.address, [flow.key])
             entry.receive(world.now, home.address, tunnel.encode(told, body))
         world.run(0.1)
         assert len(flow.answers) == answers + 1
