--- a/packages/zinniahook-core/src/zinniahook_core/packets/candidates.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/candidates.py
@@ -1,7 +1,8 @@
-"""Whom a flow concerns, among the agents of a service.
+"""The agents of a service that a flow may belong to.
 
-However many there are, a flow concerns only a few: those that follow its key on
-a circle of hashes. They alone are its homes, may open it, and are asked for it.
+However many agents a service has, a flow belongs to a few candidates only: those that
+follow its key on a hash ring. Only they are its homes, may open it, and are asked for
+it.
 """
 
 from __future__ import annotations
@@ -15,42 +16,41 @@
 
 __all__ = [
     "CANDIDATES",
-    "LOST_AFTER_SECONDS",
+    "LOST_SECONDS",
     "WIDE_FACTOR",
     "ZONE_CANDIDATES",
     "CandidateSets",
 ]
 
 CANDIDATES = 8
-"""Agents that a flow belongs to. In the model of placing, the least loaded of
-four of them keeps 99 of 100 requests from waiting for more than 35 ms; with
-fewer to choose from the one that a loss makes busy has nobody beside it."""
+"""Agents that a flow belongs to. In the placement model, choosing the least loaded of
+four of them keeps 99 of 100 requests from waiting longer than 35 ms. With fewer
+candidates, an agent that gets busy after a loss has no other agent beside it."""
 
 ZONE_CANDIDATES = 4
-"""Agents of the client's own data centre that may open its flow besides: among
-eight drawn of five data centres there often is none, and each byte between
-them is paid for."""
+"""Additional agents of the client's own data centre that may open its flow. Among eight
+agents of five data centres there often is none, and traffic between data centres is
+paid by the byte."""
 
 WIDE_FACTOR = 4
-"""How many times more agents are asked for a flow that the first ones don't
-have. While half of all are away, flows are opened by agents as far as 30
-behind their key; while the service grows by half, the first eight become
-twelve."""
+"""How many times more agents are asked for a flow that the first candidates don't own.
+While half of all agents are down, flows are opened by agents as far as 30 places behind
+their key; while a service grows by half, the first eight become twelve."""
 
-LOST_AFTER_SECONDS = 4.5
-"""Seconds of silence after which nobody waits for a member's flows: longer
-than any pause that an agent outlives in service (4 s)."""
+LOST_SECONDS = 4.5
+"""Seconds of silence after which no agent waits for a member's flows any more. It is
+longer than any pause that an agent survives in service (4 s)."""
 
 
 class CandidateSets:
-    """The circles of a service's agents: one of all, one a data centre.
+    """The hash rings of a service's agents: one of all, and one per data centre.
 
     Parameters
     ----------
     by_address : dict
-        The agents, kept by their roster.
+        The members by address, shared with their roster.
     is_silent : callable
-        Tells whether an agent must be taken as gone at a moment.
+        Returns whether a member must be considered gone at a given time.
     """
 
     def __init__(
@@ -64,53 +64,54 @@
         self._rings_by_zone: dict[int, HashRing] = {}
 
     def add(self, member: Member) -> None:
-        """Give a member its places."""
+        """Add a member to the rings."""
         self._ring.add(member.address)
         self._rings_by_zone.setdefault(member.zone, HashRing()).add(member.address)
 
     def drop(self, member: Member) -> None:
-        """Take a member's places away."""
+        """Remove a member from the rings."""
         self._ring.drop(member.address)
         self._rings_by_zone[member.zone].drop(member.address)
 
     def is_lost(self, now: float, member: Member) -> bool:
-        """Tell whether a member has been silent for too long to hold flows.
+        """Return whether a member has been silent for too long to hold flows.
 
-        What goes wrong if one that has said its end counts for as long as nobody
-        asks it: entries never do, so for them it keeps its place for ever, and they
-        send packets to other homes than the owners tell.
+        A member whose target has ended is lost even if it isn't considered silent.
+        Entries never ask such a member, so for them it would never be silent and keep
+        its place on the rings for ever; they would send packets to other homes than
+        those that the owners notify.
         """
         silent_for = now - max(member.heard_at, member.heard_by_peer_at)
-        if silent_for <= LOST_AFTER_SECONDS:
+        if silent_for <= LOST_SECONDS:
             return False
         return member.state is State.ENDED or self._is_silent(now, member)
 
     def on_ring(self, now: float) -> set[str]:
-        """Return the members that take a place among those of a flow.
+        """Return the members that count when the candidates of a flow are chosen.
 
-        All flows belong to everybody in a small service. In a larger one a flow
-        belongs to others as soon as one of its members comes or is lost, also
-        one that is no home itself. What goes wrong if that goes unnoticed: an
-        agent becomes the home of flows that nobody tells it of, and searches for
-        each of them.
+        In a small service every member is a candidate of every flow, so the set is
+        empty. In a larger service the candidates of a flow change as soon as a member
+        of them joins or is lost, even if it is no home. If that went unnoticed, an
+        agent would become the home of flows that no owner reports to it, and would
+        search for each of them.
         """
         if len(self._by_address) <= CANDIDATES:
             return set()
-        heard_after = now - LOST_AFTER_SECONDS
+        heard_after = now - LOST_SECONDS
         return {
             member.address
             for member in self._by_address.values()
-            # Most were heard a moment ago; no need to look closer.
+            # Most members were heard a moment ago, so this test is the cheaper one.
             if member.heard_at >= heard_after or not self.is_lost(now, member)
         }
 
     def _following(
         self, now: float, ring: HashRing, flow: bytes, most: int
     ) -> Iterator[Member]:
-        """Return the members that a flow belongs to.
+        """Yield the candidates of a flow.
 
-        They are ``most`` of those that aren't lost, and more if few of them are
-        there: a flow must have somebody who opens it.
+        They are the first ``most`` members on the ring that aren't lost, and more if
+        few of them are present: some agent must be able to open the flow.
         """
         found = here = 0
         for address in ring.after(flow):
@@ -124,13 +125,13 @@
                 return
 
     def for_flow(self, now: float, flow: bytes, most: int = CANDIDATES) -> list[Member]:
-        """Return the members that a flow belongs to, for whichever client."""
+        """Return the candidates of a flow, for clients of any data centre."""
         if len(self._by_address) <= most:
             return list(self._by_address.values())
         return list(self._following(now, self._ring, flow, most))
 
     def for_zone(self, now: float, flow: bytes, zone: int) -> list[Member]:
-        """Return the members that may have opened a flow of one data centre."""
+        """Return the members that may own a flow from one data centre."""
         members = self.for_flow(now, flow)
         ring = self._rings_by_zone.get(zone)
         if ring is None or len(members) == len(self._by_address):
@@ -140,11 +141,11 @@
         return members + [m for m in local if m.address not in known]
 
     def widened(self, now: float, flow: bytes) -> list[Member]:
-        """Return the members that may have opened a flow, as others saw it.
+        """Return the members that may own a flow opened under another roster.
 
-        What goes wrong without: clients move to another data centre, agents
-        join, or many were away as the flow was opened; its owner isn't among
-        those that it belongs to now, and the flow is reset.
+        Without this, the owner isn't among today's candidates, and the flow is reset,
+        if its client has moved to another data centre, agents have joined, or many were
+        down when the flow was opened.
         """
         by_address = {
             m.address: m for m in self.for_flow(now, flow, WIDE_FACTOR * CANDIDATES)
@@ -161,11 +162,12 @@
     def _ever_following(
         self, now: float, ring: HashRing, flow: bytes, most: int
     ) -> Iterator[Member]:
-        """Return the members that a flow may ever have belonged to.
+        """Yield the members that may ever have been candidates of a flow.
 
-        A member that joined after another one never stood before it in the eyes
-        of a flow that was opened until then; only those that joined earlier
-        count. So of a service that has grown a few more are asked, not all.
+        A flow that was opened before a member joined never had that member before its
+        other candidates. So a member counts if fewer than ``most`` members that joined
+        no later than it precede it on the ring. In a service that has grown, a few more
+        members are asked, not all.
         """
         orders: list[int] = []
         for address in ring.after(flow):
--- a/packages/zinniahook-core/src/zinniahook_core/packets/entry.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/entry.py
@@ -1,9 +1,9 @@
-"""The entry: sends each packet of a client to the agent it belongs to.
+"""The entry: sends each packet of a client to the agent that it belongs to.
 
-An entry decides nothing about a flow. Openings go to the flow's home among
-the agents of the service, later packets to the owner that an agent has told,
-else to the home. What an entry remembers is a cache: it may be restarted, and
-any other entry may get the next packet.
+An entry decides nothing about a flow. Openings go to the flow's home among the agents
+of the service. Later packets go to the owner that an agent has reported, otherwise to
+the home. An entry only caches owners: it may be restarted, and any other entry may get
+the next packet.
 """
 
 from __future__ import annotations
@@ -26,37 +26,37 @@
 __all__ = ["Entry"]
 
 HINTS_LIMIT = 65536
-"""Owners remembered: four times the flows of an entry at the size designed
-for (120 million over 7,300), 16 MB."""
+"""Owners remembered: four times the flows of an entry at the design size (120 million
+over 7,300 entries), 16 MB."""
 
 HELLO_AGENTS_LIMIT = 16
-"""Agents of a service that an entry asks for their status as it learns of them.
-What goes wrong without: it takes those that have no target for homes, or that
-are gone, until packets are lost there. Of more it learns as it sends to them."""
+"""Agents of a service that an entry asks for their status when it learns of them.
+Otherwise it uses agents without a target, or agents that are gone, as homes until
+packets are lost there. It learns the status of further agents when it sends to them."""
 
 KEEP_ALIVE_INTERVAL_SECONDS = 0.5
-"""Seconds between hellos to a few agents while no client sends, so that the
-configuration stays fresh here."""
+"""Seconds between hellos to a few agents while no client sends, so that the entry's
+configuration stays fresh."""
 
 HOME_TRUST_SECONDS = 0.7
-"""Seconds since a home was heard for which copies of an opening go there too:
-it answers an entry that sends packets each 0.6 s."""
+"""Seconds since a home was heard for which copies of an opening go there too. A home
+answers an entry that sends packets every 0.6 s."""
 
 ROSTERS_SENT_LIMIT = 32
-"""Services whose agents are told to a daemon that starts, in one datagram; it
-looks up further ones when it needs them."""
+"""Services whose rosters are sent to a daemon that starts, in one datagram. It looks up
+further services when it needs them."""
 
 KEEP_ALIVE_AGENTS = 3
 NEIGHBOUR_HEARD_WITHIN_SECONDS = 10.0
 
 
 OWNER_SETTLED_SECONDS = 1.0
-"""Seconds after an owner was learned for which a service that gives the flow back
-has only not heard of it: above the longest that a search keeps packets."""
+"""Seconds after an owner was learned during which a service that gives the flow back
+merely hasn't heard of it: longer than a search keeps packets."""
 
 
 class Entry(Node):
-    """One entry; the parameters are those of `Node`."""
+    """An entry; the parameters are those of `Node`."""
 
     def __init__(
         self,
@@ -98,7 +98,7 @@
         centre: str,
         order: int | None = None,
     ) -> None:
-        """Take an agent that announced itself in the store."""
+        """Add an agent that the store lists."""
         roster = self._roster(service)
         if (
             address not in roster.by_address
@@ -108,7 +108,7 @@
         roster.add(now, address, zone_tag(centre))
 
     def neighbours(self, now: float) -> list[str]:
-        """Return the agents heard of lately, in random order."""
+        """Return the agents heard recently, in random order."""
         addresses = [
             member.address
             for roster in self.rosters_by_service.values()
@@ -119,19 +119,19 @@
         return addresses
 
     def client(self, now: float, raw: bytes) -> None:
-        """Route a packet of a client."""
+        """Route a packet from a client."""
         packet = self.codec.from_client(raw)
         if packet is None:
             self.log.count("packets.malformed")
             return
         self.last_client_at = now
         if not packet.is_bare:
-            # Its repeats are counted anew.
+            # The repeats of this packet are counted anew.
             self._unanswered.take(packet.flow)
         self._route(now, packet, None)
 
     def handle(self, now: float, sender: str, head: Head, body: bytes) -> None:
-        """Handle a datagram of an agent or of another entry."""
+        """Handle a datagram from an agent or another entry."""
         self._heard(now, sender, head.service)
         if head.kind is Kind.OWNER:
             self._learn_owner(now, sender, body)
@@ -145,7 +145,7 @@
             self.send(now, sender, Kind.ROSTER, tunnel.encode_rosters(self._rows(now)))
 
     def tick(self, now: float) -> None:
-        """Do what time demands; call it about twenty times a second."""
+        """Handle everything that is due; to be called about twenty times a second."""
         self.formers.tick(now)
         for roster in self.rosters_by_service.values():
             for address in roster.hellos_due(now):
@@ -176,12 +176,12 @@
         return roster
 
     def _rows(self, now: float) -> dict[str, Any]:
-        """Return what another daemon that has just started needs to know."""
+        """Return the rosters for a daemon that has just started."""
         rosters = itertools.islice(self.rosters_by_service.items(), ROSTERS_SENT_LIMIT)
         return {service: roster.rows(now) for service, roster in rosters}
 
     def _heard(self, now: float, sender: str, service: int) -> None:
-        """Note a sign of life of an agent, in the service that it speaks for."""
+        """Note that an agent was heard in the service that its datagram names."""
         name = self._names_by_tag.get(service, "")
         roster = self.rosters_by_service.get(name)
         member = roster.by_address.get(sender) if roster else None
@@ -241,10 +241,10 @@
             del self._settled_at_by_flow[flow]
 
     def _end_unowned(self, now: float, packet: Packet, services: list[str]) -> None:
-        """End a flow that no service holds.
+        """End a flow that no service owns.
 
-        What goes wrong if a daemon does so that may lack a former service: the
-        flow lives there, and its client is reset.
+        It is reset only if no former service can be missing here: otherwise the flow
+        may live at one, and its client would be reset.
         """
         sure = self.questions.is_sure(packet.flow) and self.formers.is_complete
         ended = sure and packet.is_resettable
@@ -261,15 +261,15 @@
             reset = self.codec.reset(packet.flow, packet.acknowledged)
             self.links.to_client(packet.flow, reset)
         elif not sure:
-            # A search that was given back goes on only if it is asked again.
+            # A search that was given back continues only if it is asked again.
             self.questions.forget(packet.flow)
             self._unanswered.keep(now, packet, REPEAT_AFTER)
 
     def _handle_unrouted(self, packet: Packet) -> None:
         version = self.routes.version
         if not version or self.may_lack_routes:
-            # What goes wrong if it is reset: its route was added in the seconds
-            # that the store has lost, and its target lives.
+            # It isn't reset: its route may have been added in the seconds that the
+            # store has lost, and its target lives.
             self.log.count("packets.before_configuration")
             return
         self.log.event("reset.no_route", flow=packet.flow, version=version)
@@ -304,7 +304,7 @@
             return False
         home = homes[0]
         if packet.is_opening and packet.acknowledged:
-            # A copy of an opening tells that the first home may be gone.
+            # A copy of an opening suggests that the first home is gone.
             heard = roster.by_address[home].heard_at
             if now - heard > HOME_TRUST_SECONDS:
                 home = homes[packet.acknowledged % len(homes)]
@@ -337,9 +337,10 @@
         )
 
     def _release(self, now: float, address: str) -> None:
-        """Route again what was held for an agent.
+        """Route the packets held for an agent again.
 
-        Not straight to it: its address may serve another service by now.
+        They aren't sent straight to it, as its address may serve another service by
+        now.
         """
         lost = self._holding.release(now, address)
         if lost:
@@ -347,10 +348,10 @@
         for packet in lost:
             self._route(now, packet, None)
 
-    # What agents tell
+    # Datagrams from agents
 
     def _learn_owner(self, now: float, sender: str, body: bytes) -> None:
-        """Note the owner of flows; who tells of another one can't reach it."""
+        """Set the owner of flows; a sender that isn't the owner can't reach it."""
         decoded = tunnel.decode_owner(body)
         if decoded is None:
             self.log.count("datagrams.malformed")
@@ -386,11 +387,11 @@
         self._route(now, packet, head)
 
     def _given_back(self, now: float, sender: str, head: Head, packet: Packet) -> None:
-        """Ask the next service with a packet that one doesn't own.
+        """Ask the next service with a packet that a service doesn't own.
 
-        It begins with no hops again: each answer leaves fewer to ask. What goes
-        wrong if an owner that was learned meanwhile is forgotten: its link to the
-        home is cut, the home never hears of it, and other services are searched.
+        The packet starts with zero hops again, as each answer leaves fewer services to
+        ask. An owner learned meanwhile is kept: its link to the home may be cut, so
+        that the home never hears of it, and other services would be searched.
         """
         if self._is_settled(now, packet.flow):
             self._route(now, packet, None)
@@ -401,14 +402,14 @@
         if service not in services:
             self.log.count("packets.returned_dropped")
         elif head.marks & Mark.SHARED and len(services) == 1:
-            # The home knows a former service that this entry doesn't.
+            # The home knows a former service that this entry doesn't know.
             self.links.fetch(sender)
         else:
             self.questions.unowned(now, packet, service, head.marks)
             self._ask(now, packet, services, None)
 
     def _is_settled(self, now: float, flow: bytes) -> bool:
-        """Tell whether the owner of a flow was learned while it was asked for."""
+        """Return whether the owner was learned while services were asked for it."""
         at = self._settled_at_by_flow.get(flow)
         return (
             at is not None
@@ -417,10 +418,10 @@
         )
 
     def _drop_member(self, address: str, keep: int) -> None:
-        """Forget an agent in the rosters of services that it doesn't serve.
+        """Drop an agent from the rosters of services that it doesn't serve.
 
-        What goes wrong without: an address is used again by a target of
-        another service, and openings of the former one go on being sent there.
+        Otherwise, when an address is reused by a target of another service, openings of
+        the former service are still sent there.
         """
         for roster in self.rosters_by_service.values():
             if tag(roster.service) != keep and address in roster.by_address:
@@ -435,7 +436,7 @@
                 roster = self._roster(service)
                 member = roster.add(now, address, zone)
                 if age is not None and roster.is_silent(now, member):
-                    # Others hear it: it is back, or only the way was cut.
+                    # A peer hears it: it is back, or only the link was cut.
                     member.probe_at = now
 
     def _status(self, now: float, sender: str, head: Head, body: bytes) -> None:
@@ -458,7 +459,7 @@
         told: list[FormerService] | None = None,
         whole: bool = True,
     ) -> bool:
-        """Put a configuration in force; see `Node.configure`."""
+        """Apply a configuration; see `Node.configure`."""
         installed = super().configure(now, routes, told, whole)
         if installed or told:
             self._names_by_tag = {tag(name): name for name in self._services()}
--- a/packages/zinniahook-core/src/zinniahook_core/packets/eras.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/eras.py
@@ -1,10 +1,10 @@
-"""Positions in the history of a store that may come back from an older copy.
+"""Positions in the history of a store that may be restored from an older copy.
 
-A store that is restored counts its revisions from the copy's on, so one number
-may belong to two histories. It tells an era that rises with each restore: era
-and revision together order everything that is read there. They travel as one
-whole number, the era above the revision, so that comparing them costs no more
-than comparing revisions, and in the first era it is the revision itself.
+A restored store continues to count revisions from those of the copy, so one revision
+may belong to two histories. The store therefore keeps an era that rises with each
+restore. Era and revision together order everything that is read there. They are sent as
+one integer, the era in the bits above the revision: comparing positions costs no more
+than comparing revisions, and in the first era the position is the revision itself.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 
 REVISION_BITS = 44
 REVISION_LIMIT = 1 << REVISION_BITS
-"""Above what a store counts to: 10,000 changes a second for 50 years."""
+"""More than a store counts to: 10,000 changes a second for 50 years."""
 
 POSITION_LIMIT = 1 << 63
-"""A datagram has 8 bytes for a position; readers of other languages and older
-versions take them for signed."""
+"""A datagram has 8 bytes for a position, which readers in other languages and older
+versions decode as a signed number."""
 
 ERA_LIMIT = POSITION_LIMIT >> REVISION_BITS
 
 
 def position_of(era: int, revision: int) -> int:
-    """Return where a revision of an era lies in the store's history.
+    """Return the position of a revision of an era.
 
     Raises
     ------
     ValueError
-        If either can't be carried.
+        If either is out of range.
     """
     if not 0 <= era < ERA_LIMIT or not 0 <= revision < REVISION_LIMIT:
         raise ValueError(f"era {era}, revision {revision}: out of range")
@@ -48,5 +48,5 @@
 
 
 def revision_of(position: int) -> int:
-    """Return the revision of a position, which counts within its era only."""
+    """Return the revision of a position, which is unique within its era only."""
     return position & (REVISION_LIMIT - 1)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/evacuations.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/evacuations.py
@@ -1,14 +1,13 @@
-"""Which data centres the operator has evacuated, as one daemon knows it.
+"""The evacuated data centres, as one daemon knows them.
 
-The store lists the evacuated data centres. Whoever looks at it learns all of
-them and the store's revision in one read, so every set that is told comes with
-a position in the store's history (see `eras`) at which it was certainly the
-whole truth. Sets are ordered by it: a daemon never goes back to an older one,
-however late an answer or a datagram arrives, and also if an order is given,
-taken back and given again.
+The store lists the evacuated data centres. A daemon that reads the list also gets the
+store's revision, so every set comes with a position in the store's history (see `eras`)
+at which it was certainly complete. Sets are ordered by position: a daemon never returns
+to an older one, however late an answer or a datagram arrives, even if an order is
+given, withdrawn and given again.
 
-A store that comes back from an older copy may lack orders that it had
-confirmed. Those in force here stay in force for a while beside what it lists.
+A store that is restored from an older copy may lack orders that it had confirmed.
+Orders that are in force here are then retained for a while, beside those that it lists.
 """
 
 from __future__ import annotations
@@ -23,35 +22,35 @@
 __all__ = ["Evacuations", "Stamp"]
 
 REQUEST_INTERVAL_SECONDS = 0.05
-"""Seconds between two questions for a newer set: each datagram of a daemon that
-has one shows it, a hundred in the moment after an order."""
+"""Seconds between two requests for a newer set. Each datagram from a daemon that has
+one shows its stamp: a hundred in the moment after an order."""
 
 CLAIM_EXPIRY_SECONDS = 1.0
-"""Seconds for which a newer set that a datagram showed is waited for. Its sender may
-have died since, and nobody else has it: whoever looks at the store next does so
-within 1.5 s, well below the seconds in which orders must be in force. What goes
-wrong without an end: this daemon gives its target nothing ever again."""
+"""Seconds for which a newer set is waited for after a datagram has shown its stamp. Its
+sender may have died since as the only daemon that had it. The next daemon reads the
+store within 1.5 s, well below the seconds in which orders must be in force. Without a
+limit, this daemon would never give its target a flow again."""
 
 CLAIM_WAIT_SECONDS = 0.4
-"""Seconds without the newer set after which this daemon looks at the store itself:
-eight questions got no answer."""
+"""Seconds of waiting for a newer set until this daemon reads the store itself: eight
+requests have got no answer."""
 
 RETAINED_SECONDS = 15.0
-"""Seconds for which orders of a former era stay in force if the restored store
-lacks them. Its operator finds them gone and writes them again: some seconds of
-outage, a slow call and a second try. Too short, and flows are opened where power
-is about to be cut; too long, and a data centre whose order was taken back right
-then is spared for as long, while the others serve."""
+"""Seconds for which orders of a former era stay in force if the restored store lacks
+them. In this time the operator can notice the loss and write them again: some seconds
+of outage, a slow call and a second try. If it is too short, flows are opened where
+power is about to be cut. If it is too long, a data centre whose order was withdrawn
+just then gets no flows for as long, while the others serve."""
 
 NO_CENTRES: frozenset[str] = frozenset()
-"""The set that needn't be asked for: its digest tells it."""
+"""The empty set, which a daemon recognises by its digest without a request."""
 
 
 class Stamp(NamedTuple):
-    """What each datagram shows of its sender's set.
+    """Identifies the set of a datagram's sender.
 
-    ``position`` is one of the store's at which the set was in force, 0 if it
-    isn't known; ``digest`` tells different sets apart, and different eras.
+    ``position`` is a position of the store at which the set was in force, 0 if none is
+    known. ``digest`` differs for different sets and different eras.
     """
 
     position: int = 0
@@ -61,7 +60,7 @@
 class Evacuations:
     """The evacuated data centres.
 
-    ``names`` are those in force, ``tags`` their short tags, ``retained`` those
+    ``names`` are those in force and ``tags`` their short tags; ``retained`` are those
     among them that a restored store doesn't list.
     """
 
@@ -70,12 +69,12 @@
         self.tags: frozenset[int] = frozenset()
         self.retained: frozenset[str] = NO_CENTRES
         self.stamp = Stamp()
-        # What the store lists, which is what others are told.
+        # The set that the store lists, which is sent to others.
         self._listed: frozenset[str] = NO_CENTRES
         self._retained_until: float | None = None
         # The latest position at which the listed set is known to hold.
         self._confirmed = 0
-        # The newest position that was shown here, and since when and until when.
+        # The newest position that a datagram showed, and when it did first and last.
         self._claimed = 0
         self._claimed_since = float("-inf")
         self._claimed_at = float("-inf")
@@ -83,24 +82,24 @@
 
     @property
     def position(self) -> int:
-        """The latest position of the store that is known here; 0 if none is."""
+        """The latest known position of the store, 0 if none is known."""
         return self._confirmed
 
     @property
     def era(self) -> int:
-        """The latest era of the store that is known here."""
+        """The latest known era of the store."""
         return era_of(self._confirmed)
 
     def is_certain(self, now: float) -> bool:
-        """Tell whether the set is known, and nobody has just shown a newer one.
+        """Return whether the set is known and no newer one was recently shown.
 
-        What goes wrong without: a daemon that has just started, or has slept,
-        gives a flow to a target of a data centre that was evacuated meanwhile.
+        Otherwise a daemon that has just started, or was suspended, opens a flow in a
+        data centre that was evacuated meanwhile.
         """
         return self.stamp.position > 0 and not self._is_behind(now)
 
     def must_read(self, now: float) -> bool:
-        """Tell whether this daemon should look at the store for a newer set."""
+        """Return whether this daemon should read the store for a newer set."""
         return self._is_behind(now) and now - self._claimed_since > CLAIM_WAIT_SECONDS
 
     def _is_behind(self, now: float) -> bool:
@@ -108,10 +107,10 @@
         return newer and now - self._claimed_at <= CLAIM_EXPIRY_SECONDS
 
     def read(self, revision: int, names: frozenset[str], era: int = 0) -> bool:
-        """Take what the store had at a revision; return whether it changes the set.
+        """Apply the set that the store had at a revision; return whether it changes.
 
-        An answer that was overtaken by a newer one changes nothing, and so does
-        one of a former era.
+        An answer that was overtaken by a newer one changes nothing, nor does one of a
+        former era.
         """
         position = position_of(era, max(1, revision))
         if position < self._confirmed:
@@ -122,7 +121,7 @@
         return self._install(position, names)
 
     def compare(self, now: float, stamp: Stamp) -> bool:
-        """Take what a datagram shows; return whether its sender has a newer set."""
+        """Compare a datagram's stamp; return whether its sender has a newer set."""
         if not self.stamp.position < stamp.position < POSITION_LIMIT:
             return False
         if self.stamp.position and self._is_listed(stamp):
@@ -146,26 +145,26 @@
         return True
 
     def _is_listed(self, stamp: Stamp) -> bool:
-        """Tell whether a stamp is that of the listed set, in whichever era."""
+        """Return whether a stamp is that of the listed set, in any era."""
         if era_of(stamp.position) == era_of(self.stamp.position):
             return stamp.digest == self.stamp.digest
         return stamp.digest == _digest(self._listed, stamp.position)
 
     def agrees(self, stamp: Stamp) -> bool:
-        """Tell whether a daemon that shows a stamp has the same set."""
+        """Return whether a stamp is that of the same set."""
         return stamp.position > 0 and stamp.digest == self.stamp.digest
 
     def may_request(self, now: float) -> bool:
-        """Tell whether it is time to ask for a newer set, and note that it is done."""
+        """Return whether a request may be sent now, and note that it is."""
         if now - self._asked_at < REQUEST_INTERVAL_SECONDS:
             return False
         self._asked_at = now
         return True
 
     def merge(self, body: bytes) -> bool | None:
-        """Take a whole set of another daemon; return whether it changes this one.
+        """Apply another daemon's set; return whether it changes this one.
 
-        None if the body is malformed.
+        None is returned if the body is malformed.
         """
         decoded = _decode(body)
         if decoded is None:
@@ -176,14 +175,14 @@
         return self._install(position, names)
 
     def encode(self) -> bytes:
-        """Return the set as it is told to other daemons."""
+        """Return the listed set as it is sent to other daemons."""
         rows = [self.stamp.position, *sorted(self._listed)]
         return json.dumps(rows, separators=(",", ":")).encode()
 
     def expire(self, now: float) -> bool:
-        """Drop retained orders whose time is over; return whether any was.
+        """Drop retained orders that have expired; return whether any was dropped.
 
-        Their time begins with the first call after the store was restored.
+        Their time starts with the first call after the store was restored.
         """
         if not self.retained:
             return False
@@ -200,7 +199,7 @@
         if self.stamp.position and era_of(position) > self.era:
             self.retained = former
             self._retained_until = None
-        # Once the store lists one again, it also tells the end of it.
+        # Once the store lists an order again, it also tells when that order ends.
         self.retained -= names
         self._listed = names
         self.stamp = Stamp(position, _digest(names, position))
@@ -214,11 +213,11 @@
 
 
 def _digest(names: frozenset[str], position: int) -> int:
-    """Return what tells a set apart from others, and from itself in another era.
+    """Return the digest of a set, which also depends on the era.
 
-    What goes wrong without the era: a daemon of a version that knows none takes
-    a set from others, refuses all that it reads in the new era as older, and goes
-    on confirming the set; everybody else takes the confirmation and nobody reads
+    Without the era, a daemon of a version that knows no eras would take a set of the
+    new era from others, reject everything that it reads there as older, and go on
+    confirming the set. Other daemons would accept the confirmation, and none would read
     the next order.
     """
     text = "\n".join(sorted(names))
--- a/packages/zinniahook-core/src/zinniahook_core/packets/features.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/features.py
@@ -1,7 +1,7 @@
-"""Which optional parts of the packet service a deployment uses.
+"""The optional parts of the packet service.
 
-Each part is off unless the deployment's settings or its configuration call for
-it, so that a deployment that needs none runs as it did without them.
+Each part is off unless the deployment's settings or its configuration require it, so
+that a deployment that needs none runs as if it didn't exist.
 """
 
 from __future__ import annotations
@@ -16,37 +16,36 @@
 class Features(NamedTuple):
     """The optional parts; see the note of each in ``docs/design``.
 
-    None leaves `request_order` and `expected_work` to the configuration, see
-    `is_on`; any other part is off unless it is True.
+    None leaves `request_order` and `expected_work` to the configuration, see `is_on`;
+    any other part is on only if it is True.
     """
 
     request_order: bool | None = None
-    """Requests of open flows wait at the agent, the most urgent first."""
+    """Requests of open flows wait at the agent, and the most urgent go first."""
 
     shared_room: bool | None = None
     """Daemons share a service's capacity among kinds and data centres.
 
-    Only if the settings say so: whoever is rejected has used up a try.
-    """
+    It is on only if the settings say so: a rejected client has used up a try."""
 
     expected_work: bool | None = None
-    """Long flows are placed by the work that they are going to bring."""
+    """Long flows are placed by the work that they are expected to bring."""
 
     target_health: bool | None = None
-    """Targets are judged by their answers, and set aside while they fail."""
+    """Targets are judged by their answers and ejected while they fail."""
 
     learned_capacity: bool | None = None
-    """A target's capacity is measured, and not only told."""
+    """A target's capacity is measured in addition to its report."""
 
     zone_balance: bool | None = None
     """Accepted in settings, without effect."""
 
     @staticmethod
     def is_on(wanted: bool | None, routes: Routes, service: str) -> bool:
-        """Tell whether a part is on for a service.
+        """Return whether a part is on for a service.
 
-        ``wanted`` is the part's field. Where the settings leave it open, it is on
-        if requests of unlike urgency compete for the service's targets.
+        ``wanted`` is the part's setting. If that is None, the part is on if requests of
+        different urgency compete for the service's targets.
         """
         return has_competing_routes(routes, service) if wanted is None else wanted
 
@@ -55,14 +54,14 @@
 
 
 class FeatureSwitch:
-    """Whether a part is on for a service, worked out once per configuration.
+    """Whether a part is on for a service, computed once per configuration.
 
     Parameters
     ----------
     features : Features
-        What the settings say.
+        The settings of all parts.
     wanted : bool or None
-        The part's field of them.
+        The setting of this part.
     """
 
     def __init__(self, features: Features, wanted: bool | None) -> None:
@@ -73,7 +72,7 @@
         self._is_on = False
 
     def is_on(self, routes: Routes, service: str) -> bool:
-        """Tell whether the part is on under a configuration."""
+        """Return whether the part is on under a configuration."""
         if routes.version != self._version or service != self._service:
             self._version, self._service = routes.version, service
             self._is_on = self._features.is_on(self._wanted, routes, service)
@@ -81,9 +80,9 @@
 
 
 def has_competing_routes(routes: Routes, service: str) -> bool:
-    """Tell whether routes of unlike urgency with goals lead to a service.
+    """Return whether routes with goals of different priority lead to a service.
 
-    Only then is there anything to decide when it has too little room.
+    Only then is there a choice to make when the service is overloaded.
     """
     urgencies = {
         route.urgency
--- a/packages/zinniahook-core/src/zinniahook_core/packets/formers.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/formers.py
@@ -1,10 +1,9 @@
-"""Services that routes have led to lately, where open flows may still live.
+"""Former services of routes, where open flows may still live.
 
-A new configuration leaves open flows where they are, so a flow may live at a
-service that its route no longer leads to, for as long as a flow may be old.
-Each daemon keeps what it saw change; one that starts is told by its peers, or
-reads the record in the store. A service too many costs a question, one too few
-costs a flow.
+A new configuration doesn't move open flows, so a flow may live at a service that its
+route no longer leads to, until it reaches its maximum age. Each daemon remembers the
+changes that it saw. A daemon that starts learns them from its peers or from the record
+in the store. A service too many costs a question, a missing one costs a flow.
 """
 
 from __future__ import annotations
@@ -30,13 +29,13 @@
 ]
 
 FLOW_MAX_AGE_SECONDS = 60.0
-"""Seconds that a flow may be old, and so that a former service counts."""
+"""Longest lifetime of a flow in seconds, for which a former service counts."""
 
 ADDRESS_SIZE = 6
 
 
 class FormerService(NamedTuple):
-    """A service that a route led to, and for how many seconds it counts yet."""
+    """A former service of a route, and the seconds for which it still counts."""
 
     address: bytes
     service: str
@@ -44,10 +43,10 @@
 
 
 class FormerServices:
-    """What one daemon knows of former services.
+    """The former services that one daemon knows.
 
-    ``is_complete`` tells whether nothing older than this daemon is missing. As
-    long as something may be, nobody can say that a flow has no owner.
+    ``is_complete`` is whether nothing from before this daemon's start is missing. Until
+    then no daemon can conclude that a flow has no owner.
     """
 
     def __init__(self) -> None:
@@ -61,9 +60,9 @@
         self._begun = now
 
     def replaced(self, now: float, former: Routes, newer: Routes) -> None:
-        """Note what a new configuration has changed.
+        """Note the changes of a new configuration.
 
-        A route that it drops ends its flows, and so leaves nothing here.
+        A route that is removed ends its flows, so it has no former services.
         """
         self._expire(now)
         for address, route in former.by_address.items():
@@ -75,9 +74,10 @@
                     self._add(address, service, now + FLOW_MAX_AGE_SECONDS)
 
     def learn(self, now: float, told: list[FormerService], whole: bool = True) -> None:
-        """Take what a peer or the record tells; nothing older is missing then.
+        """Add the former services of a peer or of the record.
 
-        Unless it isn't ``whole``, as the record of a restored store may not be.
+        Then nothing older is missing, unless ``whole`` is false, as for the record of a
+        restored store.
         """
         for former in told:
             left = min(FLOW_MAX_AGE_SECONDS, max(0.0, former.left))
@@ -85,7 +85,7 @@
         self.is_complete = self.is_complete or whole
 
     def rows(self, now: float) -> list[FormerService]:
-        """Return what is known, for others to learn from."""
+        """Return the known former services, for other daemons."""
         return [
             FormerService(address, service, until - now)
             for address, untils in self._until_by_address.items()
@@ -102,11 +102,11 @@
         return [name for _, name in sorted(here, reverse=True)]
 
     def services(self) -> set[str]:
-        """Return every former service."""
+        """Return all former services."""
         return {name for untils in self._until_by_address.values() for name in untils}
 
     def tick(self, now: float) -> None:
-        """Note the time: no flow is older than this daemon after a while."""
+        """Set the data complete once no flow is older than this daemon."""
         if not self.is_complete and now - self._begun > FLOW_MAX_AGE_SECONDS:
             self.is_complete = True
 
@@ -123,23 +123,23 @@
 
 
 BUCKETS = 16
-"""Parts of the record, each under a key of its own: a change writes one of them
-instead of the whole."""
+"""Parts of the record, each under its own key, so that a change writes one of them
+instead of the whole record."""
 
 
 class Record(NamedTuple):
-    """What the store keeps for daemons that start: where routes have led.
+    """The services that routes have led to, kept in the store for new daemons.
 
-    What goes wrong without: every process is killed just after a change, nobody
-    remembers the configuration before it, and flows at the former service are
-    searched among the new one's agents and reset.
+    Otherwise, if every process is killed just after a change, none remembers the former
+    configuration. Flows at the former service are then searched for among the new
+    service's agents, and reset.
     """
 
     services_by_address: dict[bytes, frozenset[str]]
 
     @classmethod
     def of(cls, now: float, routes: Routes, formers: FormerServices) -> Record:
-        """Return what a daemon would write."""
+        """Return the record of a daemon's routes and former services."""
         known: dict[bytes, set[str]] = {
             address: set(route.names) for address, route in routes.by_address.items()
         }
@@ -148,9 +148,9 @@
         return cls({address: frozenset(names) for address, names in known.items()})
 
     def formers(self, routes: Routes) -> list[FormerService]:
-        """Return the former services of routes that are in force.
+        """Return the former services of the present routes.
 
-        The record tells no times, as clocks may jump: each counts in full.
+        The record has no times, as clocks may jump: each service counts in full.
         """
         return [
             FormerService(address, service, FLOW_MAX_AGE_SECONDS)
@@ -160,7 +160,7 @@
         ]
 
     def covers(self, other: Record) -> bool:
-        """Tell whether nothing that ``other`` has is missing here."""
+        """Return whether the record includes all of ``other``."""
         return all(
             names <= self.services_by_address.get(address, frozenset())
             for address, names in other.services_by_address.items()
@@ -178,7 +178,7 @@
 
 
 def encode_rows(rows: list[FormerService]) -> bytes:
-    """Return former services as daemons tell each other."""
+    """Return former services as daemons exchange them."""
     return json.dumps(
         [[row.address.hex(), row.service, round(row.left, 1)] for row in rows],
         separators=(",", ":"),
@@ -186,7 +186,7 @@
 
 
 def decode_rows(value: bytes) -> list[FormerService] | None:
-    """Read what another daemon tells; None if it is malformed."""
+    """Decode another daemon's former services; return None if malformed."""
     try:
         rows = json.loads(value)
         return [
@@ -207,7 +207,7 @@
 
 
 def decode(value: bytes) -> Record:
-    """Read a stored record; what can't be read is left out."""
+    """Decode a stored record; unreadable parts are skipped."""
     try:
         fields = json.loads(zlib.decompress(value))
     except (ValueError, zlib.error, RecursionError):
@@ -229,7 +229,7 @@
 
 
 def merged(records: Iterable[Record]) -> Record:
-    """Return what any of several records has."""
+    """Return the union of several records."""
     whole: dict[bytes, frozenset[str]] = {}
     for record in records:
         for address, names in record.services_by_address.items():
--- a/packages/zinniahook-core/src/zinniahook_core/packets/freshness.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/freshness.py
@@ -1,9 +1,9 @@
-"""How new the configuration of a daemon certainly is.
+"""How recently a daemon's configuration was confirmed as the newest.
 
-One daemon looks at the store a few times a second and everyone else learns
-from the datagrams that flow anyway how long ago the newest version was
-confirmed. Whoever hears nothing fresh for a while looks for itself; that
-covers a watcher that died, was cut off, is turned away by the store or hangs.
+One daemon, the watcher, reads the store a few times a second. Others learn from the
+datagrams that are sent anyway how long ago the newest version was confirmed. A daemon
+without a fresh confirmation reads the store itself; this covers a watcher that died,
+hangs, was cut off, or is rejected by the store.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 __all__ = ["Freshness"]
 
 READ_AFTER_SECONDS = 0.9
-"""Seconds without a fresh confirmation until a daemon looks for itself. A
-watcher confirms each 0.4 s, and a change must be everywhere in 3 s: 0.9 s, the
+"""Seconds without a fresh confirmation until a daemon reads the store itself. A watcher
+confirms every 0.4 s, and a change must arrive everywhere in 3 s: 0.9 s, the random
 spread, a slow answer (0.25 s) and two hops (0.5 s) fit in."""
 
 READ_SPREAD_SECONDS = 0.6
-"""Seconds over which daemons spread, so that few look at the same time."""
+"""Seconds over which the reads of daemons are spread, so that few read at once."""
 
 YIELD_WITHIN_SECONDS = 0.5
-"""A watcher stops for another of a lower address that confirmed so lately."""
+"""A watcher stops if another one with a lower address confirmed within this time."""
 
 
 class Freshness:
-    """The version in force here, and when it was last known to be the newest.
+    """The version in force here, and when it was last confirmed as the newest.
 
     Parameters
     ----------
     own : str
         Address of this daemon.
     rng : random.Random
-        Spreads the daemons.
+        Spreads the reads of daemons.
     """
 
     def __init__(self, own: str, rng: random.Random) -> None:
@@ -45,9 +45,9 @@
         self._other_watcher_at = float("-inf")
 
     def wait(self, now: float) -> None:
-        """Give others time to tell, at the start of a daemon that isn't asked.
+        """Give other daemons time to report, at the start of a daemon.
 
-        An agent does without a configuration as long as entries have one.
+        An agent needs no configuration as long as entries have one.
         """
         self.wait_until = now + self._read_after
 
@@ -67,13 +67,13 @@
         self.watcher = self._own
 
     def heard(self, now: float, watcher: str, version: int, age: float | None) -> bool:
-        """Take what a datagram tells; return whether its sender has a newer one.
+        """Apply a datagram's version; return whether its sender has a newer one.
 
-        ``watcher`` is the daemon that saw it in the store: what it confirmed
-        comes back to it through others and must not make it stop.
+        ``watcher`` is the daemon that read the version in the store. A daemon's own
+        confirmation comes back to it through others and must not make it stop.
 
-        Only confirmations of the version in force here count: of a newer one
-        they prove that this daemon is behind.
+        Only confirmations of the version in force here count. That of a newer version
+        means that this daemon is behind.
         """
         if version != self.version:
             return version > self.version
@@ -85,15 +85,15 @@
         return False
 
     def must_read(self, now: float) -> bool:
-        """Tell whether this daemon should look at the store itself."""
+        """Return whether this daemon should read the store itself."""
         if now < self.wait_until:
             return False
         return now - self.confirmed_at > self._read_after
 
     def seconds_until_read(self, now: float) -> float:
-        """Return for how many seconds this daemon needn't look for sure."""
+        """Return the seconds for which this daemon surely needn't read."""
         return max(self.wait_until, self.confirmed_at + self._read_after) - now
 
     def may_yield(self, now: float) -> bool:
-        """Tell whether another daemon is watching, so this one need not."""
+        """Return whether another daemon is watching, so that this one can stop."""
         return now - self._other_watcher_at < YIELD_WITHIN_SECONDS
--- a/packages/zinniahook-core/src/zinniahook_core/packets/homes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/homes.py
@@ -1,9 +1,8 @@
-"""The home of flows: places openings and finds owners that aren't known.
+"""The home of flows: places openings and finds unknown owners.
 
-Each flow has a home, the best ranked present agent of its service. Owners
-tell their flows to the best two homes, so that a home that dies leaves its
-pointers with the next one. A home that knows nothing searches among the agents
-of the service; see `searches`.
+Each flow has a home, the best ranked present agent of its service. Owners report their
+flows to the best two homes, so that the next home has the pointers when one dies. A
+home without a pointer searches among the service's agents; see `searches`.
 """
 
 from __future__ import annotations
@@ -28,30 +27,30 @@
 
 POINTERS_LIMIT = 65536
 POINTERS_HANDED_OVER_PER_TICK = 90
-"""Pointers handed on in a tick by a home that leaves: 1,800 a second, in
-datagrams that no link splits."""
+"""Pointers that a leaving home hands over per tick: 1,800 a second, in datagrams that
+no link fragments."""
 
 HANDOVER_HOMES = 3
-"""Homes of a flow, the best first, that a pointer is handed on to: one more than
-owners tell, as this agent is one of them."""
+"""Homes of a flow, the best first, that get a pointer in a handover: one more than
+owners notify, as this agent is one of them."""
 
 PLACEMENT_EXPIRY_SECONDS = 5.0
-"""Seconds a placement is remembered: a client repeats its opening for 1.4 s,
-and may use a port again after seconds."""
+"""Seconds for which a placement is remembered. A client repeats its opening for 1.4 s,
+and may use the same port again after some seconds."""
 
 FREE_SLOT_TRUST_SECONDS = 0.25
-"""Seconds for which a peer's free slot is believed when an opening that waits
-here could go there; a status to each peer of a small service comes in 0.2 s."""
+"""Seconds for which a peer's reported free slot counts when a waiting opening could go
+there. In a small service each peer gets a status every 0.2 s."""
 
 HOME_HEARD_WITHIN_SECONDS = 0.4
-"""Seconds since a home was heard for which packets go there unasked."""
+"""Seconds since a home was heard in which packets go there without a check."""
 
 DUPLICATE_WITHIN_SECONDS = 0.15
-"""Seconds within which a repeated opening goes to the same agent again: it is
-a duplicate of the network, not a client that waited for 0.2 s."""
+"""Seconds within which a repeated opening goes to the same agent again: the network has
+duplicated it, as a client repeats after 0.2 s."""
 
 LASTING_REASONS = frozenset((Reason.FULL, Reason.LEAVING, Reason.EVACUATED))
-"""Reasons for which an agent won't take the client's next copy either."""
+"""Reasons for which an agent won't accept the client's next copy either."""
 
 NO_TAKER = "drop.no_taker"
 
@@ -72,7 +71,7 @@
     ask : callable
         Asks a peer for its status.
     work : Work
-        What this agent has learned of flows, by route.
+        The work that flows are expected to bring, by route.
     """
 
     def __init__(
@@ -103,23 +102,23 @@
 
     @property
     def pointers(self) -> int:
-        """The number of flows whose owner is known here."""
+        """The number of flows to whose owner a pointer is kept."""
         return len(self._pointers)
 
     @property
     def verdicts(self) -> int:
-        """The number of flows of which it is remembered that nobody owns them."""
+        """The number of flows remembered as having no owner."""
         return self._searches.verdicts
 
     @property
     def openings_held(self) -> int:
-        """The number of openings that are held to be rejected."""
+        """The number of openings held for a possible rejection."""
         return len(self._rejections)
 
     # Openings
 
     def place(self, now: float, head: Head, packet: Packet) -> None:
-        """Choose the agent that opens a flow."""
+        """Choose the agent that opens a flow, and send it the opening."""
         self._searches.opened(packet.flow)
         attempt = self._placements.get(packet.flow)
         if attempt is None or attempt.sequence != packet.sequence:
@@ -131,9 +130,9 @@
             return
         if packet.flow in self._rejections or attempt.rejected:
             if not packet.acknowledged:
-                # The network doubled it.
+                # The network duplicated it.
                 return
-            # Its client has got no reset.
+            # The client repeats its opening, so the reset was lost.
             self._rejections.forget(packet.flow)
         if attempt.tried and self._is_at_same_agent(now, attempt):
             self._offer(now, head, packet, attempt, attempt.tried[-1])
@@ -141,10 +140,9 @@
         self._place_elsewhere(now, head, packet, attempt)
 
     def _is_at_same_agent(self, now: float, attempt: Placement) -> bool:
-        """Tell whether a copy goes to the agent that has the opening already.
+        """Return whether a copy goes to the agent that already has the opening.
 
-        One that has been heard since is alive and may let it wait; a second
-        agent would only serve it twice.
+        An agent heard since may be queueing it, and a second one would serve it twice.
         """
         former = attempt.tried[-1]
         if former in attempt.refused or not self.roster.is_reachable(now, former):
@@ -155,7 +153,7 @@
         return member.heard_at > attempt.at and member.state is not State.DOWN
 
     def move(self, now: float, head: Head, packet: Packet) -> bool:
-        """Hand an opening that waits here to a peer that surely has a free slot."""
+        """Hand a waiting opening to a peer that surely has a free slot."""
         own = (self.node.address,)
         free = [
             member
@@ -174,7 +172,7 @@
         return True
 
     def refused(self, now: float, sender: str, head: Head, packet: Packet) -> None:
-        """Place an opening again that an agent gave back."""
+        """Place an opening again after an agent has given it back."""
         attempt = self._placements.get(packet.flow)
         if attempt is None or attempt.sequence != packet.sequence:
             attempt = Placement(packet.sequence, now, [sender])
@@ -197,11 +195,11 @@
     ) -> list[Member]:
         flow, zone, tried = packet.flow, head.zone, {*attempt.tried, *attempt.refused}
         takers = self.roster.takers(now, flow, zone, tried)
-        # If all were tried, one whose answer got lost may take a copy.
+        # If all were tried, an agent whose answer was lost may accept a copy.
         return takers or self.roster.takers(now, flow, zone, attempt.refused)
 
     def _loads_received(self, now: float, poll: LoadPoll) -> None:
-        """Place an opening whose takers have told their loads."""
+        """Place an opening whose load poll has ended."""
         head, packet = poll.head, poll.packet
         attempt = self._placements.get(packet.flow)
         if attempt is None or attempt.sequence != packet.sequence:
@@ -250,13 +248,13 @@
             later = self._work.later(route_key(packet.flow))
         return placement.choose(takers, head.zone, remote, self.node.rng, later)
 
-    # Room of the service
+    # Overload
 
     def _hold(self, now: float, head: Head, packet: Packet, attempt: Placement) -> bool:
-        """Hold an opening that the service has no room for; return whether it did.
+        """Hold an opening while the service is overloaded; return whether it is held.
 
-        Only one that was certainly placed nowhere: a copy may follow one that
-        another home has placed, and whose target has answered.
+        It must never have been placed. A copy may follow an opening that another home
+        has placed and whose target has answered.
         """
         if (
             self.room.since is None
@@ -272,11 +270,11 @@
         return self._rejections.hold(now, head, packet, urgency)
 
     def _first_takers(self, now: float, head: Head, packet: Packet) -> list[Member]:
-        """Return who may take an opening that was offered to nobody yet."""
+        """Return the agents that may open a flow not yet offered to any agent."""
         return self.roster.takers(now, packet.flow, head.zone)
 
     def _release_held(self, now: float) -> None:
-        """Reject what was held, or place it if there is room after all."""
+        """Reject held openings, or place them if there is capacity after all."""
         for held, is_excess in self._rejections.due(now):
             attempt = self._placements.get(held.packet.flow)
             if attempt is None or attempt.sequence != held.packet.sequence:
@@ -324,10 +322,10 @@
             self._place_elsewhere(now, head, packet, attempt)
 
     def _give_up(self, now: float, packet: Packet, attempt: Placement) -> None:
-        """End an opening that certainly can't be served, at once.
+        """Reset an opening at once if it certainly can't be served.
 
-        Only if every agent tried was full, or all are evacuated: one that is
-        restarting or whose target has just died may take the client's next copy.
+        That is so if every agent tried was full, or all are evacuated. One that
+        restarts, or whose target has just died, may accept the client's next copy.
         """
         outcome = self._outcome(now, packet, attempt)
         self.node.log.event(
@@ -342,7 +340,7 @@
             self.node.links.to_client(packet.flow, reset)
 
     def _outcome(self, now: float, packet: Packet, attempt: Placement) -> str:
-        """Return how an opening that nobody takes ends."""
+        """Return the log event of an opening that no agent accepts."""
         reasons = set(attempt.refused.values())
         if Reason.FULL in reasons and reasons <= LASTING_REASONS:
             return "reset.full"
@@ -357,7 +355,7 @@
     # Packets of open flows
 
     def learn(self, now: float, owner: str, flows: list[bytes]) -> None:
-        """Take what an agent tells of its flows."""
+        """Set the owner of flows, as reported by an agent."""
         for flow in flows:
             self._pointers.pop(flow, None)
             self._pointers[flow] = owner
@@ -367,11 +365,10 @@
             del self._pointers[next(iter(self._pointers))]
 
     def hand_over(self) -> None:
-        """Begin to hand the pointers on: this agent leaves.
+        """Start to hand over the pointers, as this agent is leaving.
 
-        Owners tell the best two homes and notice after a while who comes next.
-        What goes wrong without: agents leave one after the other, and the third
-        home of a flow searches for it among the service.
+        Owners notify the best two homes and notice only later which one comes next.
+        Without a handover, when agents leave in turn, a third home has to search.
         """
         self._to_hand_over = list(self._pointers)
 
@@ -393,7 +390,7 @@
             self.node.send(now, home, Kind.OWNER, body, service=service)
 
     def learn_handed_over(self, now: float, owner: str, flows: list[bytes]) -> None:
-        """Take pointers of a home that leaves, of flows not known here yet."""
+        """Add the pointers of a leaving home for flows that have none here."""
         self.learn(now, owner, [flow for flow in flows if flow not in self._pointers])
 
     def ended(self, now: float, owner: str, flows: list[tunnel.Ended]) -> None:
@@ -401,12 +398,12 @@
         for flow, acknowledged in flows:
             if self._pointers.get(flow, owner) == owner:
                 self.forget(flow, owner)
-                # It may have been offered to others before.
+                # The opening may have been offered to other agents before.
                 self._placements.pop(flow, None)
                 self._searches.ended(now, flow, acknowledged)
 
     def forget(self, flow: bytes, owner: str) -> None:
-        """Forget a pointer that turned out to be wrong."""
+        """Drop a pointer that turned out to be wrong."""
         if self._pointers.get(flow) == owner:
             del self._pointers[flow]
         attempt = self._placements.get(flow)
@@ -414,15 +411,15 @@
             attempt.tried.remove(owner)
 
     def locate(self, now: float, head: Head, packet: Packet) -> None:
-        """Bring a packet of a flow that isn't owned here to its owner."""
+        """Send a packet of a flow that isn't owned here towards its owner."""
         flow = packet.flow
         if head.hops >= HOP_LIMIT:
             self.node.log.event("drop.hop_limit", flow=flow, hops=head.hops)
             return
         owner = self._owner(flow)
         if owner not in (None, self.node.address):
-            # Also if it is silent: it may be back at any moment, and the
-            # packet must reach no other target.
+            # Even a silent owner gets the packet: it may be back at any moment,
+            # and the packet must not reach another target.
             self._send_to_owner(now, head, packet, owner)
             return
         if flow in self._searches:
@@ -443,18 +440,16 @@
             self._searches.begin(now, head, packet)
 
     def _pass_to_home(self, now: float, head: Head, packet: Packet, home: str) -> None:
-        """Send a packet to a better home, and make sure that it is there.
+        """Send a packet to a better home, and check that the home is alive.
 
-        What goes wrong without the question: in a large service a home that has
-        died is noticed after seconds, and until then each packet that the next
-        one gets in its place is sent to it.
+        Without the check, a dead home of a large service gets such packets for seconds.
         """
         if now - self.roster.by_address[home].heard_at > HOME_HEARD_WITHIN_SECONDS:
             self._ask(now, home)
         self.node.pass_on(now, head, packet, home, head.marks & ENTRY_MARKS)
 
     def load_reported(self, now: float, sender: str) -> None:
-        """Take note that a peer has told its load."""
+        """Note that a peer has reported its load."""
         self._load_polls.heard(now, sender)
 
     def denied(self, now: float, sender: str, flows: list[bytes]) -> None:
@@ -464,7 +459,7 @@
             self._searches.denied(now, sender, flow)
 
     def tick(self, now: float) -> None:
-        """End what is overdue."""
+        """Handle everything that is due."""
         self._searches.tick(now)
         self._load_polls.tick(now)
         if self._to_hand_over:
@@ -477,9 +472,9 @@
             del self._placements[flow]
 
     def _owner(self, flow: bytes) -> str | None:
-        """Return the owner of a flow, or who was asked last to open it.
+        """Return the owner of a flow, or the agent last asked to open it.
 
-        One whose target has ended owns nothing any more.
+        An agent whose target has ended owns no flows.
         """
         owner = self._pointers.get(flow)
         if owner is None and (attempt := self._placements.get(flow)) is not None:
@@ -493,7 +488,7 @@
         self, now: float, head: Head, packet: Packet, owner: str
     ) -> None:
         if not self.roster.is_reachable(now, owner):
-            # The entry's way to it may be open.
+            # The entry may still reach the owner directly.
             self._notify_entry(now, head, packet.flow, owner)
         self.node.pass_on(
             now, head, packet, owner, Mark.POINTED | head.marks & ENTRY_MARKS
--- a/packages/zinniahook-core/src/zinniahook_core/packets/incarnations.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/incarnations.py
@@ -1,9 +1,9 @@
-"""Which start of a target a heartbeat comes from.
+"""Assigns heartbeats to starts of a target.
 
-A target may start again under the name that it had; its numbers begin anew then.
-A late heartbeat of an earlier start looks much the same, and believing it would
-make a leaving target ready again. Names, times of start and numbers together
-tell them apart, and where they don't, persistence does.
+A target may start again under the same name, and its sequence numbers then start anew.
+A late heartbeat of an earlier start looks similar, and accepting it would make a
+leaving target ready again. Name, start time and sequence number together distinguish
+starts; where they don't, a start counts if its heartbeats continue.
 """
 
 from __future__ import annotations
@@ -16,34 +16,33 @@
 __all__ = ["Incarnations", "HeartbeatOrigin"]
 
 FORMER_TARGETS_LIMIT = 64
-"""Names of earlier targets that are remembered; late heartbeats are of the last
-few."""
+"""Former target names remembered; late heartbeats come from the last few."""
 
 NEW_START_SPACING = 0.5
-"""Intervals between two heartbeats that prove a start by themselves. Delayed
-ones come all at once when a cut ends."""
+"""Heartbeat intervals between two heartbeats that prove a new start by themselves.
+Delayed heartbeats arrive all at once when a network cut ends."""
 
 
 class HeartbeatOrigin(enum.Enum):
-    """What a heartbeat is."""
+    """The start that a heartbeat comes from."""
 
     CURRENT = "current"
     STARTED = "started"
-    """Of a start that is later than what was known."""
+    """A later start than the known one."""
 
     LATE = "late"
-    """Of an earlier start, or overtaken by a later one."""
+    """An earlier start, or the known one but overtaken by a later heartbeat."""
 
 
 class _Start(NamedTuple):
-    """One start of a target, as far as heartbeats have told."""
+    """One start of a target, as its heartbeats describe it."""
 
     target: str
     born: int | None
 
 
 class _Unconfirmed(NamedTuple):
-    """A heartbeat that may be late, or the first of a start."""
+    """A heartbeat that is late, or the first one of a new start."""
 
     start: _Start
     number: int
@@ -51,7 +50,7 @@
 
 
 class Incarnations:
-    """The starts of the target beside one agent.
+    """The starts of one agent's target.
 
     Parameters
     ----------
@@ -67,7 +66,7 @@
         self._unconfirmed: _Unconfirmed | None = None
 
     def classify(self, now: float, beat: Heartbeat) -> HeartbeatOrigin:
-        """Take a heartbeat and tell what it is."""
+        """Record a heartbeat and return its origin."""
         start = _Start(beat.target, beat.born)
         current = self._current
         if current is None:
@@ -82,7 +81,7 @@
         return HeartbeatOrigin.LATE
 
     def is_former(self, target: str, born: int | None) -> bool:
-        """Tell whether what a target says of itself is of an earlier start."""
+        """Return whether a target's report comes from an earlier start."""
         current = self._current
         if current is None or target != current.target:
             return target in self._born_by_former
@@ -99,7 +98,7 @@
         return start.target == current.target and same
 
     def _is_later(self, current: _Start, start: _Start) -> bool:
-        """Tell whether a start is surely later than the one known."""
+        """Return whether a start is certainly later than the known one."""
         if start.target == current.target:
             return _is_later(start.born, current.born)
         if start.target not in self._born_by_former:
@@ -108,11 +107,11 @@
         return _is_later(start.born, former)
 
     def _persists(self, now: float, start: _Start, number: int) -> bool:
-        """Tell whether a doubtful start goes on by itself.
+        """Return whether an unconfirmed start continues to send heartbeats.
 
-        What goes wrong without: a clock that jumped back, or a target that
-        doesn't tell when it was born, starts again, passes for late, and counts
-        as silent for ever.
+        Otherwise, after a clock has jumped back, or if a target doesn't report its
+        start time, a new start would be considered late, and the target silent for
+        ever.
         """
         unconfirmed = self._unconfirmed
         if (
@@ -132,5 +131,5 @@
 
 
 def _is_later(born: int | None, other: int | None) -> bool:
-    """Tell whether one birth is surely after another; either may not be told."""
+    """Return whether a start time is certainly after another; None is unknown."""
     return born is not None and other is not None and born > other
--- a/packages/zinniahook-core/src/zinniahook_core/packets/indirect.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/indirect.py
@@ -1,11 +1,11 @@
-"""Asks agents that a search can't reach by way of peers."""
+"""Asks agents that a search can't reach, through peers."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from . import tunnel
-from .candidates import LOST_AFTER_SECONDS
+from .candidates import LOST_SECONDS
 from .member import Member
 from .members import Roster
 from .node import Node
@@ -15,18 +15,18 @@
 __all__ = ["IndirectQueries"]
 
 ROSTER_REQUEST_INTERVAL_SECONDS = 0.25
-"""Seconds between two questions to peers whether they hear who is silent."""
+"""Seconds between two requests to peers for the agents that they hear."""
 
 CONFIRMING_PEERS = 2
-"""Peers that have to tell whom they hear before one that nobody has heard counts as
-gone: one of them may have missed it as well."""
+"""Peers that must report their rosters before an agent that none of them has heard is
+considered gone: a single peer may have missed it as well."""
 
 RELAYS_AT_ONCE = 2
-"""Agents asked so at a time; each costs two datagrams."""
+"""Agents asked through a peer at a time; each costs two datagrams."""
 
 
 class IndirectQueries:
-    """The questions of one home that go by way of peers.
+    """The questions of one home that go through peers.
 
     Parameters
     ----------
@@ -50,20 +50,20 @@
         self._roster_requested_at = float("-inf")
 
     def request_rosters(self, now: float, search: Search) -> None:
-        """Find out who else runs, while another service is asked.
+        """Ask a peer which agents it hears, while another service is asked.
 
-        What goes wrong without: the owner is cut off from here only, and the search
-        concludes without it as soon as it goes on.
+        Otherwise, if the owner is cut off only from here, the search ends without it as
+        soon as it continues.
         """
         silent, heard = self._silent_and_heard(now, search)
         if silent and heard:
             self._request_roster(now, self._node.rng.choice(heard))
 
     def unconfirmed(self, now: float, search: Search) -> list[str]:
-        """Return the silent agents that nobody has heard yet, until peers confirm it.
+        """Return the silent agents that may have run unheard, until peers report.
 
-        What goes wrong without: an agent runs for a moment, its only datagram to this
-        one gets lost, and the flows of its target are reset here.
+        Otherwise, if an agent runs for a moment and its only datagram to this one is
+        lost, the flows of its target are reset here.
         """
         candidates = self._candidates(now, search)
         unheard = [
@@ -84,16 +84,16 @@
         return unheard
 
     def _may_have_run_unheard(self, now: float, address: str) -> bool:
-        # A search may still ask for one that was forgotten meanwhile.
+        # A search may still refer to a member that was forgotten.
         member = self._roster.by_address.get(address)
         if member is None or member.was_heard:
             return False
-        return now - member.heard_at < LOST_AFTER_SECONDS
+        return now - member.heard_at < LOST_SECONDS
 
     def _silent_and_heard(
         self, now: float, search: Search
     ) -> tuple[list[str], list[str]]:
-        """Return who doesn't answer a search, and the peers that are heard."""
+        """Return the agents that don't answer a search, and the peers heard."""
         candidates = self._candidates(now, search)
         absent = set(self._roster.absent(now, candidates))
         own = {self._node.address}
@@ -102,10 +102,10 @@
         return sorted(silent), sorted(heard)
 
     def ask(self, now: float, search: Search) -> None:
-        """Ask those that can't be reached from here by way of a peer.
+        """Ask agents that don't answer through a peer.
 
-        The owner tells the entry, so that the flow goes on though its home and
-        its owner are cut off from each other; and the peer tells whether it
+        The owner reports itself to the entry, so that the flow continues although its
+        home and its owner are cut off from each other. The peer also reports whether it
         hears them.
         """
         silent, heard = self._silent_and_heard(now, search)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/member.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/member.py
@@ -16,26 +16,27 @@
 """States of an agent that knows of no target."""
 
 UNREPORTED_STATES = frozenset((State.STARTING, State.ANSWERING))
-"""States of an agent that has heard no heartbeat of its target yet."""
+"""States of an agent that has received no heartbeat from its target yet."""
 
 REPORTED_STATES = frozenset((State.READY, State.LEAVING))
 """States of an agent that knows its target's slots from a heartbeat."""
 
 
 EJECTED_BELOW_SHARE = 0.1
-"""Share of the usual openings below which a target counts as set aside: between
+"""Share of the usual openings below which a target counts as ejected. It lies between
 `health.TRICKLE` and `health.FIRST_SHARE`."""
 
 EJECTED_FAILURES_LIMIT = 0.5
-"""Share of failures up to which a target that was set aside is still used while no
-other has a free slot: more is answered than lost, and waiting may lose it too."""
+"""Share of failures up to which an ejected target is still used while no other target
+has a free slot: it answers more requests than it loses, and waiting may lose them too.
+"""
 
 
 class RosterRow(NamedTuple):
-    """An agent as a roster tells of it.
+    """An agent as listed in a roster.
 
-    ``zone`` is the tag of its data centre, ``age`` how many seconds ago the
-    teller heard it with a target, None if never.
+    ``zone`` is the tag of its data centre. ``age`` is how many seconds ago the sender
+    of the roster heard it with a target, None if never.
     """
 
     address: str
@@ -128,14 +129,14 @@
     roster_received_at: float = float("-inf")
 
     def update(self, status: Status, now: float) -> None:
-        """Take what the member itself has just said."""
+        """Apply a status of the member itself."""
         if status.incarnation != self.incarnation:
             self.process_heard_at = now
         self.incarnation = status.incarnation
         state = status.state
         if state not in UNREPORTED_STATES or self.state is not State.LEAVING:
-            # What goes wrong without the check: the agent of a leaving target
-            # restarts, doesn't know that it leaves, and gets openings.
+            # Otherwise the agent of a leaving target that restarts, and doesn't
+            # know yet that the target is leaving, gets openings.
             self.state = state
         self.slots = max(1, status.slots)
         self.busy = status.busy
@@ -149,7 +150,7 @@
         self.heard(now)
 
     def _read(self, sections: dict[int, bytes]) -> None:
-        """Take what features tell."""
+        """Decode the optional sections of a status."""
         self.sections = sections
         health = sections.get(Section.HEALTH)
         self.health = decode_health(health) if health is not None else None
@@ -158,17 +159,17 @@
 
     @property
     def trust(self) -> float:
-        """The share of openings that it should get of what is usual."""
+        """The share of the usual openings that it should get."""
         return 1.0 if self.health is None else self.health.trust
 
     @property
     def is_ejected(self) -> bool:
-        """Whether its target was set aside by its answers."""
+        """Whether its target was ejected because of its answers."""
         return self.health is not None and self.health.trust < EJECTED_BELOW_SHARE
 
     @property
     def fails_mostly(self) -> bool:
-        """Whether it was set aside and fails more than it answers."""
+        """Whether its target was ejected and fails more requests than it answers."""
         health = self.health
         return (
             health is not None
@@ -178,12 +179,12 @@
 
     @property
     def has_free_slot(self) -> bool:
-        """Whether a request that is sent there now needn't wait."""
+        """Whether a request sent there now is served without waiting."""
         return self.busy + self.placed < self.slots
 
     @property
     def has_reported(self) -> bool:
-        """Whether a status of its own was heard."""
+        """Whether a status of its own was received."""
         return self.incarnation > 0
 
     @property
@@ -193,22 +194,22 @@
 
     @property
     def has_no_target(self) -> bool:
-        """Whether it says that it hasn't seen a target yet, or not any more."""
+        """Whether it reports that it has seen no target yet, or that it ended."""
         return self.has_reported and self.state in NO_TARGET_STATES
 
     @property
     def may_hold_flows(self) -> bool:
-        """Whether its target may hold flows although it isn't heard any more.
+        """Whether its target may hold flows while the member is silent.
 
-        What goes wrong if one passes for empty that hasn't seen its target yet: every
-        process starts again, this one ends before its target could show itself, and
-        the flows that the target holds are reset. One that has found no process there
-        says so.
+        An agent that hasn't seen its target yet may have one. Otherwise, if every
+        process restarts and this one ends before its target has answered, the flows
+        that the target holds are reset. An agent that has found no process there
+        reports that its target has ended.
         """
         return self.confirmed and self.state is not State.ENDED
 
     def heard(self, now: float) -> None:
-        """Note a sign of life."""
+        """Note that a datagram of the member has arrived."""
         self.heard_at = now
         self.confirmed = True
         self.waiting_since = None
--- a/packages/zinniahook-core/src/zinniahook_core/packets/members.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/members.py
@@ -1,9 +1,9 @@
-"""The agents of one service, as one daemon sees them.
+"""The agents of one service, as one daemon knows them.
 
-There is no list of agents anyone could trust: the store tells who announced
-itself once, agents tell of their peers, and silence tells who is gone. A
-roster merges the three. Nobody has to agree on it: a wrong guess costs a
-longer way for a packet, never a flow.
+No single list of agents can be trusted. The store lists the agents that have announced
+themselves, peers report the agents that they hear, and an agent that stays silent is
+considered gone. A roster merges the three sources. Rosters of different daemons need
+not agree: a wrong guess sends a packet a longer way, but never loses a flow.
 """
 
 from __future__ import annotations
@@ -13,87 +13,86 @@
 from typing import Any, NamedTuple
 
 from .. import rendezvous
-from .candidates import CANDIDATES, LOST_AFTER_SECONDS, WIDE_FACTOR, CandidateSets
+from .candidates import CANDIDATES, LOST_SECONDS, WIDE_FACTOR, CandidateSets
 from .member import REPORTED_STATES, Member, RosterRow
 from .models import State
 from .tunnel import Status
 
 __all__ = [
     "HELLO_RETRY_SECONDS",
-    "LOGGED_NAMES_LIMIT",
+    "LOGGED_NAMES",
     "ENTRY_ANSWER_TIMEOUT_SECONDS",
     "Changes",
     "Roster",
 ]
 
 STATUS_INTERVAL_SECONDS = 0.2
-"""Seconds between statuses to the peers of the service."""
+"""Seconds between statuses to the peers of a small service."""
 
 STATUSES_PER_SECOND = 60.0
-"""Statuses a second to all peers together, 70 bytes each with the heads of IP
-and UDP: 4 KB/s. In a service of more than 13 agents each is heard less often;
-who must know more of another asks it."""
+"""Statuses that an agent sends per second to all its peers together: 4 KB/s at 70 bytes
+each, with the IP and UDP headers. With more than 13 agents each peer gets them less
+often, and an agent that needs newer data about a peer asks it."""
 
 MISSED_STATUSES_LIMIT = 5
-"""Statuses in a row without which a peer is taken as gone, one second in a
-small service: a frozen or restarting agent must stop being home for others
-well within the 1.4 s that a client's opening lasts."""
+"""Missing statuses in a row after which a peer is considered gone: one second in a
+small service. A frozen or restarting agent must stop being a home well within the 1.4 s
+for which a client repeats its opening."""
 
 PEER_ANSWER_TIMEOUT_SECONDS = 1.0
-"""Seconds from the first question that a peer has left unanswered, asked again
-meanwhile, after which it is taken as gone, however rarely statuses come."""
+"""Seconds after the first unanswered question, which is repeated meanwhile, until a
+peer is considered gone, however rarely statuses are sent."""
 
 ENTRY_ANSWER_TIMEOUT_SECONDS = 0.8
 """The same at an entry, which hears an agent only in answer to its packets."""
 
 HELLO_RETRY_SECONDS = 0.2
-"""Seconds without an answer after which a member is asked outright. What goes
-wrong without: one answer in a hundred gets lost, an agent that runs passes for
-gone, and its flows change their homes to and fro."""
+"""Seconds without an answer until a member is sent a hello. Otherwise one lost answer
+in a hundred makes an agent seem gone, and its flows change homes back and forth."""
 
 MEMBER_EXPIRY_SECONDS = 60.0
-"""Seconds of silence after which a member is dropped: the longest that a flow
-may live, so that no flow can still be held there."""
+"""Seconds of silence until a member is forgotten. This is the longest that a flow may
+live, so the member can't hold a flow any more."""
 
-UNHEARD_LOST_AFTER_SECONDS = 1.2
-"""The same for a member that was never heard: a killed process runs again after
-0.7 s and tells of itself in the next 0.2 s."""
+UNHEARD_LOST_SECONDS = 1.2
+"""The same limit as `LOST_SECONDS` for a member that was never heard: a killed process
+runs again after 0.7 s and sends its status within the next 0.2 s."""
 
 DEFAULT_SLOTS = 2
-"""Slots of a target as long as none has told its own: few, as a target that
-gets too much serves everything late."""
+"""Slots assumed for a target until any target has reported its own. The number is low
+because a target with too many requests answers all of them late."""
 
 DISCOVERY_SECONDS = 5.0
-"""Seconds in which a daemon that starts meets the members that there are."""
+"""Seconds after its start in which a daemon learns of the existing members."""
 
-LATE_JOIN_ORDER = 1 << 62
+LATE_ORDER = 1 << 62
 ORDERS_PER_SECOND = 1000
-"""Orders of those that join later: above any that the store tells."""
+"""Orders of members that join after the discovery, above any in the store."""
 
 MEMBERS_REVIEWED_PER_SECOND = 320
-"""Members looked over in a second: twenty times each in a service of 16."""
+"""Members reviewed per second: each one twenty times in a service of 16."""
 
 AGE_STEPS_PER_SECOND = 100
-"""Steps a second of the ages told, rounded up so that none grows younger."""
+"""Resolution of reported ages. They are rounded up, so that none becomes younger."""
 
 PROBE_MIN_SECONDS = 0.5
 PROBE_MAX_SECONDS = 8.0
-"""Seconds between two hellos to a silent member: doubled each time, as most
-stay away, and each daemon asks them all."""
+"""Shortest and longest time between two hellos to a silent member. The time doubles
+with each hello, as most silent members never return and every daemon probes them."""
 
 
 ENDED_MARGIN_SECONDS = 0.5
-"""Seconds after a member has told its end for which the word of a peer that heard
-it may be from before: two statuses of a small service got lost."""
+"""Seconds after the status that a member's target has ended in which a peer may have
+heard an earlier one. It covers two lost statuses in a small service."""
 
-LOGGED_NAMES_LIMIT = 8
-"""Agents that a line of the log names; a list of all would fill the log."""
+LOGGED_NAMES = 8
+"""Names of agents in one log line. A full list would fill the log."""
 
 
 class Changes(NamedTuple):
-    """Who has come and gone since somebody looked.
+    """Members that have appeared or disappeared since the last review.
 
-    ``homes_changed`` tells whether others than before may be home of a flow.
+    ``homes_changed`` is whether the homes of any flow may have changed.
     """
 
     arrived: list[str]
@@ -101,13 +100,11 @@
     homes_changed: bool
 
     def log_fields(self) -> dict[str, Any]:
-        """Return what a line of the log tells: some names, and how many more."""
+        """Return the fields of a log line: some names, and the number of the others."""
         return {
-            "come": self.arrived[:LOGGED_NAMES_LIMIT],
-            "gone": self.departed[:LOGGED_NAMES_LIMIT],
-            "more": max(
-                0, len(self.arrived) + len(self.departed) - 2 * LOGGED_NAMES_LIMIT
-            ),
+            "come": self.arrived[:LOGGED_NAMES],
+            "gone": self.departed[:LOGGED_NAMES],
+            "more": max(0, len(self.arrived) + len(self.departed) - 2 * LOGGED_NAMES),
         }
 
 
@@ -119,11 +116,11 @@
     service : str
         Name of the service.
     own : str
-        Address of this daemon, if it is a member itself; it is never silent.
+        Address of this daemon if it is a member itself; it is never silent.
 
-    ``closed`` are the tags of data centres whose members open no flows,
-    ``epoch`` counts the members that came, came back, or started again: whoever
-    may own flows that nobody owned before.
+    ``closed`` are the tags of the data centres whose members accept no new flows.
+    ``epoch`` grows whenever a member joins, comes back or restarts, since it may then
+    own a flow for which no owner was found before.
     """
 
     def __init__(self, service: str, own: str = "") -> None:
@@ -145,13 +142,13 @@
 
     @property
     def status_interval(self) -> float:
-        """Seconds between two statuses of a member to one of its peers."""
+        """Seconds between two statuses from a member to one of its peers."""
         return max(STATUS_INTERVAL_SECONDS, len(self.by_address) / STATUSES_PER_SECOND)
 
     def _update_silence_limit(self) -> None:
         self._silent_after = MISSED_STATUSES_LIMIT * self.status_interval
 
-    # Who there is
+    # Members
 
     def add(
         self,
@@ -161,11 +158,10 @@
         age: float = 0.0,
         order: int | None = None,
     ) -> Member:
-        """Return the member at ``address``, a new one if there is none.
+        """Return the member at ``address``; add it if it isn't known.
 
-        One that others only told of, ``age`` seconds after they heard it, counts
-        as present until it has been silent for too long. ``order`` grows with
-        the moments at which members joined, None if that isn't known.
+        A new member, heard by a peer ``age`` seconds ago, counts as present until it is
+        silent for too long. ``order`` grows with the time of joining, None if unknown.
         """
         member = self.by_address.get(address)
         if member is None:
@@ -179,33 +175,28 @@
         return member
 
     def _start_epoch(self, member: Member) -> None:
-        """Note that a member may own flows that nobody owned before."""
+        """Start a new epoch: a member may own flows that had no owner."""
         self.epoch += 1
         member.changed_epoch = self.epoch
 
     def _order_of_unreported(self, now: float) -> int:
-        """Return the order of one that joined at a moment that nobody told.
+        """Return the order of a member whose time of joining isn't known.
 
-        Those that are met while this daemon finds out who there is may be as old
-        as any; later ones are the youngest.
+        During discovery it may be as old as any other; later it is the youngest.
         """
         if not self.by_address:
             self._discovery_begun_at = now
         during_discovery = now - self._discovery_begun_at < DISCOVERY_SECONDS
-        return (
-            0 if during_discovery else LATE_JOIN_ORDER + round(now * ORDERS_PER_SECOND)
-        )
+        return 0 if during_discovery else LATE_ORDER + round(now * ORDERS_PER_SECOND)
 
     def learn(self, now: float, address: str, zone: int, status: Status) -> bool:
-        """Take a status; return whether its sender has just started."""
+        """Apply a status; return whether its sender's process is new."""
         member = self.add(now, address, zone)
         fresh = status.incarnation != member.incarnation
-        # How long is silent changes with the number of members. What goes wrong
-        # with that alone: one that was frozen comes back in a service that has
-        # grown, what others denied for it still counts, and it isn't asked.
-        silent = (
-            self.is_silent(now, member) or now - member.heard_at > LOST_AFTER_SECONDS
-        )
+        # The silence limit grows with the number of members. With that limit alone,
+        # an agent that was frozen while the service grew isn't noticed to be back,
+        # and earlier search results that lack its answer still count.
+        silent = self.is_silent(now, member) or now - member.heard_at > LOST_SECONDS
         former = member.state
         member.update(status, now)
         target_is_back = former is State.ENDED and member.state is not State.ENDED
@@ -221,7 +212,7 @@
             self._update_silence_limit()
 
     def is_silent(self, now: float, member: Member) -> bool:
-        """Tell whether a member must be taken as gone."""
+        """Return whether a member must be considered gone."""
         waiting = member.waiting_since
         if not self._is_peer:
             return waiting is not None and now - waiting > ENTRY_ANSWER_TIMEOUT_SECONDS
@@ -232,24 +223,24 @@
         return waiting is not None and now - waiting > PEER_ANSWER_TIMEOUT_SECONDS
 
     def is_reachable(self, now: float, address: str) -> bool:
-        """Tell whether a member can be asked and sent to."""
+        """Return whether a member is known and not silent."""
         member = self.by_address.get(address)
         return member is not None and not self.is_silent(now, member)
 
     def has_ended(self, address: str) -> bool:
-        """Tell whether a member has said that its target has ended."""
+        """Return whether a member has reported that its target has ended."""
         member = self.by_address.get(address)
         return member is not None and _has_surely_ended(member)
 
     def present(self, now: float) -> list[str]:
-        """Return the addresses of those that can be asked and sent to."""
+        """Return the addresses of the members that aren't silent."""
         return [name for name in self.by_address if self.is_reachable(now, name)]
 
     def is_due(self, now: float) -> bool:
-        """Tell whether the members should be looked over again.
+        """Return whether the members should be reviewed again.
 
-        Less often the more there are, so that a daemon that has nothing to do
-        costs the same in a service of any size.
+        The more members there are, the less often they are reviewed, so that an idle
+        daemon costs the same in a service of any size.
         """
         if now - self._reviewed_at < len(self.by_address) / MEMBERS_REVIEWED_PER_SECOND:
             return False
@@ -257,7 +248,7 @@
         return True
 
     def refresh(self, now: float) -> Changes:
-        """Forget who is long gone; return what has changed since the last call."""
+        """Forget expired members and return the changes since the last call."""
         present = [m for m in self.by_address.values() if not self.is_silent(now, m)]
         self._forget(now)
         with_target = [member for member in present if not member.has_no_target]
@@ -279,10 +270,10 @@
             if member.state is State.ENDED or self.is_silent(now, member):
                 self.drop(address)
 
-    # Whom to ask whether it is there
+    # Liveness
 
     def expect_answer(self, now: float, address: str) -> None:
-        """Note that a member got something that it must answer."""
+        """Note that a member was sent something that it must answer."""
         member = self.by_address.get(address)
         if member is not None and member.waiting_since is None:
             member.waiting_since = now
@@ -290,7 +281,7 @@
             self._awaited[address] = None
 
     def hellos_due(self, now: float) -> list[str]:
-        """Return the members that are due for a question once more."""
+        """Return the members that haven't answered and must be sent another hello."""
         due = []
         for address in list(self._awaited):
             member = self.by_address.get(address)
@@ -302,7 +293,7 @@
         return due
 
     def probes_due(self, now: float) -> list[str]:
-        """Return the silent members that are due for a hello."""
+        """Return the silent members that must be probed with a hello."""
         due = []
         for member in self.by_address.values():
             if now < member.probe_at or not self.is_silent(now, member):
@@ -313,23 +304,23 @@
             due.append(member.address)
         return due
 
-    # Whom a flow concerns
+    # Candidates, homes and agents that open flows
 
     def candidates(self, now: float, flow: bytes, zone: int) -> list[Member]:
-        """Return the members that may have opened a flow of one data centre."""
+        """Return the members that may own a flow from one data centre."""
         return self._candidates.for_zone(now, flow, zone)
 
     def wide_candidates(self, now: float, flow: bytes) -> list[Member]:
-        """Return the members that may have opened a flow, as others saw it."""
+        """Return the members that may own a flow opened under another roster."""
         return self._candidates.widened(now, flow)
 
     def homes(self, now: float, flow: bytes, most: int = 2) -> list[str]:
         """Return the best ranked present members for a flow.
 
-        What goes wrong if an agent without a target is one: it is new and its
-        target comes in seconds, or none comes and the agent ends; each time a
-        share of the flows changes its home, and the openings of a second are
-        sent to an agent that is gone.
+        Agents without a target are skipped while others exist. Such an agent is new and
+        soon gets its target, or gets none and ends. If it were a home, some flows would
+        change homes each time, and for a second openings would go to an agent that is
+        gone.
         """
         members = self._candidates.for_flow(now, flow)
         here = [member for member in members if not self.is_silent(now, member)]
@@ -340,23 +331,23 @@
         return rendezvous.rank(flow, names)[:most]
 
     def home(self, now: float, flow: bytes) -> str | None:
-        """Return the member that knows the owner of a flow, or places it."""
+        """Return the home of a flow, which knows its owner or places it."""
         homes = self.homes(now, flow, 1)
         return homes[0] if homes else None
 
     def takers(
         self, now: float, flow: bytes, zone: int, without: Iterable[str] = ()
     ) -> list[Member]:
-        """Return the members that may open a flow, else those that might.
+        """Return the members that may open a flow.
 
-        One whose target has only answered may be leaving, so it takes openings
-        if the others have no free slot; one whose target hasn't shown itself
-        may have none yet, and then gets one at a time. What goes wrong without
-        them: after a restart of every agent one target gets all openings until
-        the heartbeats of the others, which takes up to a second.
+        Ready members come first. A target that has answered but sent no heartbeat may
+        be leaving, so its agent is used only if the others have no free slot. An agent
+        that doesn't know whether it has a target gets one opening at a time. Without
+        these two, after a restart of every agent one target gets all openings for up to
+        a second, until the heartbeats of the others.
 
-        If none of those that the flow belongs to has a target, the next ones
-        are asked: its searches reach as far.
+        If none of the flow's candidates has a target, the next agents on the ring are
+        used; searches for the flow reach as far.
         """
         takers = self._accepting(now, self.candidates(now, flow, zone), without)
         if takers:
@@ -386,7 +377,7 @@
         return takers + [m for m in starting if m.has_free_slot and not m.placed]
 
     def openers(self, now: float) -> list[Member]:
-        """Return the members that are here and may open flows."""
+        """Return the present members that may open flows."""
         return [
             member
             for member in self.by_address.values()
@@ -394,7 +385,7 @@
         ]
 
     def is_closed(self, now: float) -> bool:
-        """Tell whether every member that is here stands in a closed data centre."""
+        """Return whether every present member is in a closed data centre."""
         members = self.by_address.values()
         return bool(self.closed) and all(
             member.zone in self.closed or self.is_silent(now, member)
@@ -402,58 +393,58 @@
         )
 
     def absent(self, now: float, among: Iterable[Member]) -> list[str]:
-        """Return those that are silent but may still hold flows."""
+        """Return the addresses of the silent members."""
         return [m.address for m in among if self.is_silent(now, m)]
 
     def may_hold_unseen(self, now: float, among: list[Member] | None = None) -> bool:
-        """Tell whether a silent member, of all or of some, may still serve flows."""
+        """Return whether a silent member may still serve flows."""
         return bool(self.unseen(now, among))
 
     def unseen(self, now: float, among: list[Member] | None = None) -> list[str]:
         """Return the silent members, of all or of some, that may still serve flows.
 
-        One that nobody has heard for long is cut off from its clients as well,
-        or gone; one that never knew a target has none to hold flows. If most are
-        silent they are starting. What goes wrong without: an agent that runs a
-        second before its peers takes all of them for gone, and resets flows.
-        One that has said that its target has ended holds none. What goes wrong if
-        it counts: for seconds after each planned end, no flow that lost its
-        target is ended, and its client waits until its time is over.
+        A member that no agent has heard for long is gone or cut off from its clients
+        too, and one that never had a target holds no flows. If most members are silent,
+        they are assumed to be starting. Otherwise an agent that runs a second before
+        its peers considers all of them gone and resets their flows.
+
+        A member whose target has ended holds none. Otherwise, for seconds after each
+        planned end, no flow that lost its target is reset, and its client waits.
         """
         among = list(self.by_address.values()) if among is None else among
         absent = self.absent(now, among)
         most = 2 * len(absent) > len(among)
-        unknown_after = LOST_AFTER_SECONDS if most else UNHEARD_LOST_AFTER_SECONDS
+        unknown_after = LOST_SECONDS if most else UNHEARD_LOST_SECONDS
         unseen = []
         for address in absent:
-            # A search may still ask for one that was forgotten meanwhile.
+            # A search may still refer to a member that was forgotten.
             member = self.by_address.get(address)
             if member is None or _has_surely_ended(member):
                 continue
             silent_for = now - max(member.heard_at, member.heard_by_peer_at)
             known = member.may_hold_flows or member.heard_by_peer_at > float("-inf")
-            if silent_for < (LOST_AFTER_SECONDS if known else unknown_after):
+            if silent_for < (LOST_SECONDS if known else unknown_after):
                 unseen.append(address)
         return unseen
 
     def median_slots(self) -> int:
-        """Return the median of the slots that targets have told."""
-        told = sorted(
+        """Return the median of the slots that targets have reported."""
+        slots = sorted(
             member.slots
             for member in self.by_address.values()
             if member.state in REPORTED_STATES
         )
-        return told[len(told) // 2] if told else DEFAULT_SLOTS
+        return slots[len(slots) // 2] if slots else DEFAULT_SLOTS
 
-    # What others are told
+    # Rosters for other daemons
 
     def rows(self, now: float, since: float = float("-inf")) -> list[RosterRow]:
-        """Return the members that are known since a moment, to tell others.
+        """Return the members that became known after ``since``, for other daemons.
 
-        Each is an address, the tag of the zone, and how many seconds ago it was
-        heard, None if never or if its target has ended. Silent ones are among them
-        if they may hold flows: a daemon that has just started would take them for
-        gone.
+        The age of a row is the time since the member was heard with a target, in
+        seconds; it is None if it never was or if its target has ended. Silent members
+        that may hold flows are included: a daemon that has just started would otherwise
+        consider them gone.
         """
         rows = [
             (member, self._row(now, member))
@@ -467,22 +458,22 @@
         ]
 
     def _row(self, now: float, member: Member) -> RosterRow:
-        # What others have told isn't told on: of an agent that is gone each
-        # would have heard from the next one for ever.
+        # Only what this daemon heard itself is reported. Otherwise daemons would
+        # repeat each other's reports about an agent that is gone for ever.
         known = member.has_reported and member.state is not State.ENDED
         silent_for = 0.0 if member.address == self._own else now - member.heard_at
         age = math.ceil(silent_for * AGE_STEPS_PER_SECOND) / AGE_STEPS_PER_SECOND
         return RosterRow(member.address, member.zone, age if known else None)
 
     def rosters_received_since(self, moment: float) -> int:
-        """Return how many members have told whom they hear since a moment."""
+        """Return how many members have sent a roster since a moment."""
         return sum(m.roster_received_at >= moment for m in self.by_address.values())
 
     def learn_heard_by_peer(self, now: float, address: str, age: float | None) -> None:
-        """Note how long ago a peer has heard a member.
+        """Note that a peer has heard a member ``age`` seconds ago.
 
-        What goes wrong without: a member that only this daemon is cut off from
-        passes for gone, and a flow that its target holds is reset.
+        Otherwise a member that only this daemon is cut off from seems gone, and a flow
+        that its target holds is reset.
         """
         member = self.by_address.get(address)
         if member is None or age is None or now - age <= member.heard_by_peer_at:
@@ -493,16 +484,16 @@
 
 
 def _has_surely_ended(member: Member) -> bool:
-    """Tell whether a member's target has ended, as far as anybody has told.
+    """Return whether a member's target has ended and no peer has heard it since.
 
-    What goes wrong with its last word alone: another process starts at its address,
-    cut off from this daemon only, and flows that it holds pass for lost.
+    The last status isn't enough: another process may start at that address, cut off
+    from this daemon only, and its flows would be considered lost.
     """
     back = member.heard_by_peer_at > member.heard_at + ENDED_MARGIN_SECONDS
     return member.state is State.ENDED and not back
 
 
 def _may_still_answer(now: float, member: Member) -> bool:
-    """Tell whether a member's answer may still come."""
+    """Return whether a member's answer may still arrive."""
     since = member.waiting_since
     return since is not None and now - since <= PEER_ANSWER_TIMEOUT_SECONDS
--- a/packages/zinniahook-core/src/zinniahook_core/packets/membership.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/membership.py
@@ -1,4 +1,4 @@
-"""What an agent tells its peers and the entries of itself, and hears of them."""
+"""Exchanges one agent's state with its peers and with entries."""
 
 from __future__ import annotations
 
@@ -24,37 +24,37 @@
 """Seconds between statuses to an entry that sends packets here."""
 
 ENTRY_ROSTER_INTERVAL_SECONDS = 4.0
-"""Seconds between rosters to an entry drawn by lot. What goes wrong without:
-an entry that has missed a new agent never sends anything there."""
+"""Seconds between rosters to a random entry. Without them, an entry that has missed a
+new agent never sends packets there."""
 
 STARTUP_PEERS_ASKED = 4
-"""Peers that an agent asks at its start; some may be away themselves."""
+"""Peers that an agent asks for their rosters at its start; some may be down."""
 
 STATUS_BATCHES_LIMIT = 2
-"""Parts into which the statuses of one interval are split at most."""
+"""Batches into which the statuses of one interval are split at most."""
 
 NEW_MEMBER_REPORTERS = 8
-"""Agents that tell an entry of a new one, drawn by lot among all that know it. If
-all did, a new agent would cost a datagram from each agent to each entry."""
+"""Agents, drawn at random, that report a new member to an entry. If all agents did, a
+new one would cost a datagram from each agent to each entry."""
 
 JOIN_REPORT_INTERVAL_SECONDS = 1.0
-"""Seconds between two messages to a peer about those that joined lately."""
+"""Seconds between two reports of new members to a peer."""
 
 RECENT_JOIN_SECONDS = 30.0
-"""Seconds for which a member counts as one that joined lately."""
+"""Seconds for which a member counts as new."""
 
 JOIN_REPORT_ROWS_LIMIT = 40
-"""Members told of at once: 1,200 bytes, which no link splits."""
+"""Members in one report: 1,200 bytes, which no link fragments."""
 
 ENTRIES_LIMIT = 1024
 ENTRY_EXPIRY_SECONDS = 30.0
-"""Seconds for which an entry that sent packets hears of changes here."""
+"""Seconds for which an entry that has sent packets is sent changes."""
 
 NEVER = float("-inf")
 
 
 class Membership:
-    """Tells others of one agent.
+    """Announces one agent and keeps its roster.
 
     Parameters
     ----------
@@ -63,7 +63,7 @@
     target : Target
         What is known of its target.
     flows : Flows
-        Its flows, for the load.
+        Its flows, from which its load is computed.
     incarnation : int
         Number of this process.
     """
@@ -82,7 +82,7 @@
         self._statuses_counted_at = NEVER
         self._statuses_due = 0.0
         self._rotation: list[str] = []
-        # In order, as a set's would differ from process to process.
+        # A dict keeps its order; that of a set differs from process to process.
         self._entries_owed: dict[str, None] = {}
         self._roster_sent_at = NEVER
         self._joins_reported_at = NEVER
@@ -99,7 +99,7 @@
 
     @property
     def entries(self) -> list[str]:
-        """The entries that sent packets here lately."""
+        """The entries that have recently sent packets here."""
         return list(self._seen_at_by_entry)
 
     @property
@@ -111,14 +111,14 @@
     def slots(self) -> int:
         """Requests that the target works on at a time, as far as is known.
 
-        What goes wrong without the peers: after a restart of every agent, one
-        whose target's heartbeat is due in a second offers it a single request
-        at a time, while openings wait.
+        Until the target has reported its slots, the median of the peers is used.
+        Otherwise, after a restart of every agent, an agent whose target sends its next
+        heartbeat in a second passes it a single request at a time while openings wait.
         """
         return self._target.usable_slots or self.roster.median_slots()
 
     def restart(self) -> None:
-        """Begin with an empty roster: the target serves another service."""
+        """Start with an empty roster: the target serves another service."""
         self.roster = self._new_roster()
 
     def _new_roster(self) -> Roster:
@@ -128,7 +128,7 @@
         return roster
 
     def state(self, now: float) -> State:
-        """Return what this agent tells the others of itself."""
+        """Return the state that this agent announces."""
         if self._target.gone:
             return State.ENDED
         if self.leaving:
@@ -139,13 +139,13 @@
 
     @property
     def is_evacuated(self) -> bool:
-        """Whether the operator wants nothing new to go to this data centre."""
+        """Whether this data centre is evacuated, so that no new flows may go to it."""
         return self._node.zone in self._node.evacuations.tags
 
-    # Telling
+    # Sending
 
     def tick(self, now: float) -> None:
-        """Tell what has changed, and what is due."""
+        """Send the announcements, answers and hellos that are due."""
         if self.expects_work.is_on(self._node.routes, self._target.service):
             self._learn_work(now)
         health_changed = self._update_health(now)
@@ -169,7 +169,7 @@
             self._node.hello(now, address)
 
     def _update_health(self, now: float) -> bool:
-        """Judge the target by its answers; return whether others should hear."""
+        """Update the target's health; return whether peers must be notified."""
         health = self._target.health
         if health is None:
             return False
@@ -179,14 +179,14 @@
         return changed
 
     def _ask_random_peers(self, now: float) -> None:
-        """Ask a few peers for their word on a suspicion."""
+        """Ask a few random peers for their status, to check a suspicion."""
         peers = [a for a in self.roster.present(now) if a != self._node.address]
         count = min(PEERS_ASKED, len(peers))
         for address in self._node.rng.sample(peers, count):
             self.ask(now, address)
 
     def _learn_work(self, now: float) -> None:
-        """Learn what flows ask, from the own ones and from what peers tell."""
+        """Learn the work of flows, from own flows and from reports of peers."""
         self.work.tick(now)
         if self.work.is_due(now):
             members = self.roster.by_address.values()
@@ -194,7 +194,7 @@
             self.work.pool(now, told)
 
     def ask(self, now: float, address: str) -> None:
-        """Ask a peer for its status, unless a question is under way."""
+        """Ask a peer for its status, unless a question is already pending."""
         member = self.roster.by_address.get(address)
         if member is None or address == self._node.address:
             return
@@ -204,7 +204,7 @@
             self._node.hello(now, address)
 
     def send_status(self, now: float, address: str) -> None:
-        """Show an agent that this one runs."""
+        """Send this agent's status to another agent."""
         if address != self._node.address:
             self._send(now, address, self._status(now))
 
@@ -218,19 +218,19 @@
             self._send_rows(now, address, self.roster.rows(now))
 
     def announce_end(self, now: float) -> None:
-        """Tell everybody once more, as this process ends.
+        """Announce the state once more as this process ends.
 
-        What goes wrong without: the one datagram that told of the end got lost,
-        and its receiver waits for flows that nobody holds.
+        Otherwise, if the only datagram that announced the end is lost, its receiver
+        waits for flows that no agent holds.
         """
         self._announce_to_all(now)
 
     def announce_to(self, now: float, address: str) -> None:
-        """Tell an agent that has just become known of this one.
+        """Send this agent's status to a member that has just become known.
 
-        The first few are asked whom they hear. What goes wrong without: this
-        agent has just started, never heard one that is away for a moment, takes
-        it for long gone, and resets the flows that its target holds.
+        The first few members are also asked for their rosters. Otherwise an agent that
+        has just started has never heard a member that is briefly down, considers it
+        gone, and resets the flows that its target holds.
         """
         self._send(now, address, self._status(now))
         if self._peers_asked < STARTUP_PEERS_ASKED:
@@ -238,10 +238,10 @@
             self._node.hello(now, address, HelloRequest.MEMBERS)
 
     def note_entry(self, now: float, entry: str) -> None:
-        """Note that an entry sent a packet, and answer it now and then.
+        """Note that an entry sent a packet, and answer it at intervals.
 
-        What goes wrong if the answer waits for the statuses to peers, which are
-        seconds apart in a large service: the entry takes this agent for gone.
+        The answer doesn't wait for the statuses to peers, which are seconds apart in a
+        large service: the entry would consider this agent gone.
         """
         known = entry in self._seen_at_by_entry
         if not known and len(self._seen_at_by_entry) >= ENTRIES_LIMIT:
@@ -256,7 +256,7 @@
             self._entries_owed[entry] = None
 
     def _announce_to_all(self, now: float) -> None:
-        """Tell everybody that the state has changed."""
+        """Announce the new state to every peer and every entry."""
         self._statuses_counted_at = now
         self._announced_state = self.state(now)
         body = self._status(now)
@@ -268,10 +268,10 @@
             self._answer_entry(now, entry, brief)
 
     def _send_due_statuses(self, now: float) -> None:
-        """Tell the peers whose turn it is.
+        """Send the status to the next peers in rotation.
 
-        In turns and not all at once: what is known of the configuration spreads
-        with each datagram, and so arrives everywhere all the time.
+        Statuses are spread over the interval because each datagram also shows the
+        sender's configuration version, so that versions spread steadily.
         """
         peers = len(self.roster.by_address) - 1
         passed = min(now - self._statuses_counted_at, self.roster.status_interval)
@@ -295,11 +295,11 @@
                 return address
 
     def _report_joins(self, now: float) -> None:
-        """Tell a peer, drawn by lot, of members that joined lately.
+        """Report new members to a random peer.
 
-        What goes wrong without: two agents couldn't read the store as the other one
-        announced itself and never learn of each other. A home that doesn't know an
-        owner doesn't ask it, and resets its flows.
+        Otherwise two agents that couldn't read the store while the other one announced
+        itself never learn of each other. A home that doesn't know an owner doesn't ask
+        it and resets its flows.
         """
         if now - self._joins_reported_at < JOIN_REPORT_INTERVAL_SECONDS:
             return
@@ -318,7 +318,7 @@
             self._send_rows(now, self._node.rng.choice(peers), sample)
 
     def _answer_entries(self, now: float) -> None:
-        """Answer entries that are owed an answer, and one now and then."""
+        """Answer entries that are due, and send a roster to a random one."""
         for entry in list(self._entries_owed):
             if (
                 now - self._answered_at_by_entry.get(entry, NEVER)
@@ -354,10 +354,10 @@
         self._node.send(now, address, Kind.ROSTER, body, service=self.service)
 
     def _status(self, now: float, to_entry: bool = False) -> bytes:
-        """Return the status, which is also what this agent places by.
+        """Return the encoded status, and apply it to this agent's own roster entry.
 
-        Entries place nothing, so they are spared the sections: an entry with a
-        narrow link hears each agent that it sends to more than twice a second.
+        Entries place no flows, so they get no sections: an entry with a narrow link
+        receives a status from each agent that it uses more than twice a second.
         """
         busy = self._flows.load(now) + self.waiting
         if self._target.refuses(now) or self.held_back:
@@ -379,9 +379,10 @@
         )
 
     def _sections(self, now: float) -> dict[int, bytes]:
-        """Return what the features that are on tell.
+        """Return the sections of the features that are on.
 
-        Of room only while openings wait here: who tells nothing has room.
+        Demand and capacity are reported only while openings wait here: a member without
+        that section counts as having free capacity.
         """
         sections: dict[int, bytes] = {}
         routes, service = self._node.routes, self._target.service
@@ -396,12 +397,12 @@
             sections[Section.CAPACITY] = encode_cold(self._target.capacity.cold)
         return sections
 
-    # Hearing
+    # Receiving
 
     def learn(
         self, now: float, sender: str, service: int, zone: int, body: bytes
     ) -> bool:
-        """Take a status; return whether a peer has just started."""
+        """Apply a peer's status; return whether its process is new."""
         status = tunnel.decode_status(body)
         if status is None:
             self._node.log.count("datagrams.malformed")
@@ -417,9 +418,9 @@
         return fresh
 
     def learn_members(self, now: float, sender: str, rows: list[RosterRow]) -> None:
-        """Take who else there is; those not known yet are greeted."""
+        """Apply a peer's roster; announce this agent to members that are new."""
         reporter = self.roster.by_address.get(sender)
-        # News of who joined lately lacks the teller itself, and whoever is silent.
+        # A report of new members lacks its sender and the silent members.
         if reporter is not None and any(row.address == sender for row in rows):
             reporter.roster_received_at = now
         for address, zone, age in rows:
@@ -434,7 +435,7 @@
     def learn_member(
         self, now: float, address: str, zone: int, order: int | None
     ) -> None:
-        """Take one that the store tells of, with its order among the others."""
+        """Add a member that the store lists, with its order among the others."""
         known = address in self.roster.by_address
         member = self.roster.add(now, address, zone, order=order)
         if order is not None:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/models.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/models.py
@@ -1,9 +1,9 @@
-"""Typed values of the packet service, and the ports that its cores use.
+"""Typed values of the packet service, and the interfaces that its cores use.
 
-Flows of this service carry their own handshake: a target answers an opening
-with a sequence number of its choice, and every later packet of the client
-acknowledges numbers that follow it. So the packets themselves tell whether a
-target can own a flow. All times are seconds of a monotonic clock.
+Flows of this service have their own handshake: a target answers an opening with a
+sequence number of its choice, and every later packet of the client acknowledges numbers
+that follow it. So the packets themselves show whether a target can own a flow. All
+times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 ]
 
 ROUTE_OFFSET = 6
-"""Where a flow's key tells the service side: after the client's address (4
-bytes) and port (2 bytes)."""
+"""Where the service side begins in a flow's key: after the client's address (4 bytes)
+and port (2 bytes)."""
 
 
 class Flag:
-    """What a packet does to its flow.
+    """The effects of a packet on its flow, as bits.
 
-    Plain numbers: each operation on members of an enumeration makes a new
+    They are plain integers: each operation on members of an enumeration creates a new
     member, which took a fifth of the time that a packet costs.
     """
 
@@ -46,28 +46,28 @@
     CLOSING: Final = 4
     RESET: Final = 8
     RETURNED: Final = 16
-    """The target did not take it: full, or the flow isn't held there."""
+    """The target didn't accept the packet: it is full or doesn't hold the flow."""
 
 
 class Answer:
-    """How a target answers a request, as the beginning tells; plain numbers too."""
+    """The outcome that the beginning of an answer shows; plain integers as well."""
 
     UNREAD: Final = 0
-    """The format doesn't tell."""
+    """The packet format doesn't show it."""
 
     DONE: Final = 1
-    """Served, or refused by a mistake of the client's own."""
+    """Served, or refused because of a mistake of the client."""
 
     FAILED: Final = 2
     REJECTED: Final = 3
-    """The target has not run it, and says so."""
+    """The target reports that it hasn't run the request."""
 
 
 class Packet(NamedTuple):
-    """One packet, with what decisions need of its head.
+    """One packet, with the parts of its head that decisions need.
 
-    ``flow`` is the same in both directions: the client's address and port,
-    then the service's, 12 bytes in network order.
+    ``flow`` is the same in both directions: the client's address and port, then the
+    service's, 12 bytes in network order.
     """
 
     flow: bytes
@@ -86,21 +86,21 @@
     def is_bare(self) -> bool:
         """Whether it does nothing but acknowledge.
 
-        It isn't worth a search. Its target repeats what isn't acknowledged, its
-        agent sees that, and the owner is known. What goes wrong with a search:
-        it is the last packet for a while, only other targets get it, and the
-        flow seems to have strayed.
+        Such a packet isn't searched for. Its target repeats what isn't acknowledged,
+        its agent sees that, and the owner becomes known. With a search, if it were the
+        last packet for a while, only other targets would get it, and the flow would
+        seem misrouted.
         """
         changes = Flag.OPENING | Flag.CLOSING | Flag.RESET
         return not self.length and not self.flags & changes
 
     @property
     def is_resettable(self) -> bool:
-        """Whether a reset may answer it if nobody owns its flow.
+        """Whether a reset may answer it if its flow has no owner.
 
-        Data and closings wait for an answer, and their client repeats them until
-        its time is over. One that merely acknowledges may be the last of a flow
-        that has ended well, and a reset is never answered.
+        Data and closings need an answer, as their client repeats them until it times
+        out. A bare acknowledgement may be the last packet of a flow that ended
+        normally, and a reset is never answered.
         """
         return bool(self.length or self.flags & Flag.CLOSING) and not (
             self.flags & Flag.RESET
@@ -108,7 +108,7 @@
 
     @property
     def kind(self) -> str:
-        """The name of what it does, for lines of the log."""
+        """The name of its effect, for log lines."""
         if self.flags & Flag.RESET:
             return "reset"
         if self.flags & Flag.CLOSING:
@@ -119,20 +119,20 @@
 
 
 class State(enum.IntEnum):
-    """What an agent says of itself and its target."""
+    """The state of an agent and its target, as the agent reports it."""
 
     STARTING = 0
-    """Nothing is known of the target yet; taken only if nobody is ready."""
+    """Nothing is known of the target yet; used only if no agent is ready."""
 
     READY = 1
     LEAVING = 2
-    """Keeps its flows, takes no openings."""
+    """It keeps its flows and accepts no openings."""
 
     DOWN = 3
     """The target doesn't answer."""
 
     ANSWERING = 4
-    """The target answers packets, but hasn't told of itself yet."""
+    """The target answers packets but hasn't sent a heartbeat yet."""
 
     ENDED = 5
     """The target has ended, or there is none: it holds no flows any more."""
@@ -141,8 +141,8 @@
 class Heartbeat(NamedTuple):
     """A heartbeat of a target.
 
-    ``warming`` is for how many seconds it stays slow, ``born`` the millisecond
-    of its start by its own clock, None if it doesn't tell.
+    ``warming`` is for how many seconds it stays slow. ``born`` is its start in
+    milliseconds of its own clock, None if it isn't reported.
     """
 
     target: str
@@ -162,10 +162,10 @@
 
 
 class Urgency(NamedTuple):
-    """How the requests of a route compare while some must wait.
+    """The rank of a route's requests while some of them must wait.
 
-    ``priority`` 0 goes first; ``goal`` is in how many seconds callers want their
-    answers, infinite if the route doesn't tell.
+    ``priority`` 0 goes first. ``goal`` is the number of seconds within which callers
+    want their answers, infinite if the route has none.
     """
 
     priority: int = 0
@@ -173,7 +173,7 @@
 
 
 class Route(NamedTuple):
-    """Where new flows to one address and port go."""
+    """The services that flows to one address and port go to."""
 
     name: str
     shares: tuple[ServiceShare, ...]
@@ -181,11 +181,11 @@
 
     @property
     def names(self) -> frozenset[str]:
-        """The services that it leads to, also those that get no new flows."""
+        """The services of the route, including those that get no new flows."""
         return frozenset(share.service for share in self.shares)
 
     def opens_at(self, service: str) -> bool:
-        """Tell whether a service gets new flows of this route."""
+        """Return whether a service gets new flows of this route."""
         if len(self.shares) == 1:
             return self.shares[0].service == service
         return any(s.service == service and s.weight > 0 for s in self.shares)
@@ -193,7 +193,7 @@
     def services(self, flow: bytes) -> list[str]:
         """Return the services of the route, the one for a new flow first.
 
-        One that gets no new flows comes last: it may still hold some.
+        Services that get no new flows come last; they may still hold some.
         """
         if len(self.shares) == 1:
             return [self.shares[0].service]
@@ -214,10 +214,10 @@
 class Routes(NamedTuple):
     """One version of the configuration, as far as packets need it.
 
-    ``by_address`` is keyed by the last six bytes of a flow's key;
-    ``document`` is the text it was read from, given to other daemons as it is.
-    ``cold_rates`` are the requests a second that a cold target bears, by service;
-    services that tell none aren't in it.
+    ``by_address`` is keyed by the last six bytes of a flow's key. ``document`` is the
+    text that the version was read from, passed unchanged to other daemons.
+    ``cold_rates`` are the requests per second that a cold target can serve, by service;
+    services without one are absent.
     """
 
     version: int
@@ -228,7 +228,7 @@
 
     @classmethod
     def none(cls) -> Routes:
-        """Return what is known before the first configuration."""
+        """Return the state before the first configuration."""
         return cls(0, {}, 60.0, b"")
 
 
@@ -238,29 +238,29 @@
 
 
 class Codec(Protocol):
-    """The packet format that clients and targets speak."""
+    """The packet format of clients and targets."""
 
     def from_client(self, raw: bytes) -> Packet | None:
-        """Read a packet that a client sent; None if it isn't one."""
+        """Decode a packet from a client; return None if it is malformed."""
 
     def from_target(self, raw: bytes) -> Packet | None:
-        """Read what a target sent: a packet of its own, or one returned."""
+        """Decode a packet from a target: its own, or one that it returned."""
 
     def cleared(self, raw: bytes) -> bytes:
-        """Return a returned packet as its client wrote it."""
+        """Return a returned packet as its client sent it."""
 
     def reset(self, flow: bytes, acknowledged: int) -> bytes:
-        """Return the reset of a flow whose client has acknowledged so far."""
+        """Return the reset for a client that has acknowledged so far."""
 
     def request(self, raw: bytes) -> str:
         """Return the id of the request that a client's packet begins, or ""."""
 
     def answer(self, raw: bytes) -> int:
-        """Return how a packet that begins an answer tells that it went."""
+        """Return the outcome shown by a packet that begins an answer."""
 
 
 class Links(Protocol):
-    """How the cores send; nothing of it may wait or raise."""
+    """Sends datagrams and packets for the cores; it must not block or raise."""
 
     def to_peer(self, address: str, data: bytes) -> None:
         """Send a datagram to the daemon at an IP address."""
@@ -269,7 +269,7 @@
         """Send a packet to the client of a flow."""
 
     def to_target(self, raw: bytes) -> None:
-        """Give a packet to this agent's target."""
+        """Pass a packet to this agent's target."""
 
     def lookup(self, service: str) -> None:
         """Ask the store for the agents of a service."""
@@ -279,10 +279,10 @@
 
 
 class Log(Protocol):
-    """Where decisions are told, and counted by name."""
+    """Records decisions and counts them by name."""
 
     def event(self, name: str, **fields: Any) -> None:
-        """Write a line about one decision, if the budget allows."""
+        """Write a line about one decision, if the log budget allows."""
 
     def count(self, name: str, amount: int = 1) -> None:
         """Add to a counter."""
--- a/packages/zinniahook-core/src/zinniahook_core/packets/node.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/node.py
@@ -1,4 +1,4 @@
-"""What entries and agents of the packet service have in common."""
+"""The common base of entries and agents of the packet service."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 __all__ = ["HOP_LIMIT", "Node"]
 
 HOP_LIMIT = 6
-"""Daemons that a packet may pass: entry, former home, home, two agents that
-can't take it, one to spare. Two daemons with different rosters would pass a
-packet to and fro for ever without."""
+"""Daemons that a packet may pass: an entry, a former home, the home, two agents that
+can't accept it, and one to spare. Without a limit, two daemons with different rosters
+would pass a packet back and forth for ever."""
 
 
 ADDRESS_PARTS = 4
 BYTE_MAX = 255
 AGE_MAX_SECONDS = 1e6
-"""Seconds of an age in a roster, above the life of any process that matters."""
+"""Largest age accepted in a roster, above the lifetime of any relevant process."""
 
 ANNOUNCEMENT_FANOUT = 8
-"""Daemons told at once of a new configuration. Each tells as many others, so one
-in 3,000 isn't told directly; it sees the version in the next datagram."""
+"""Daemons notified at once of a new configuration. Each notifies as many others, so one
+in 3,000 gets no such hello; it sees the version in the next datagram."""
 
 
 class Node:
-    """One daemon: its address, its configuration, and how it sends.
+    """A daemon: its address, its configuration, and how it sends.
 
     Parameters
     ----------
     address : str
-        IP address; the daemon's name among the others.
+        IP address, which identifies the daemon.
     data_centre : str
         Where it runs.
     codec : Codec
@@ -47,11 +47,11 @@
     links : Links
         Sends datagrams.
     log : Log
-        Where decisions are told.
+        Records decisions.
     rng : random.Random
-        Source of chance.
+        Source of randomness.
     features : Features, optional
-        Which optional parts the settings switch on or off.
+        The optional parts that the settings switch on or off.
     """
 
     def __init__(
@@ -86,13 +86,13 @@
         told: list[FormerService] | None = None,
         whole: bool = True,
     ) -> bool:
-        """Put a configuration in force; an older one is refused.
+        """Apply a configuration unless it is older than the present one.
 
-        ``told`` are the former services that its teller knows, None if it
-        tells of none; ``whole`` tells whether that is all there are.
+        ``told`` are the former services that the sender knows, None if it reports none;
+        ``whole`` is whether they are complete.
 
-        What goes wrong without the check: a slow answer of the store is
-        overtaken by a push, and a route that was dropped comes back.
+        Without the version check, a slow answer of the store that is overtaken by a
+        push brings back a route that was removed.
         """
         if told is not None:
             self.formers.learn(now, told, whole)
@@ -113,15 +113,15 @@
 
     @property
     def may_lack_routes(self) -> bool:
-        """Whether the configuration may be that of an older copy of the store.
+        """Whether the configuration may come from an older copy of the store.
 
-        A process that starts knows no other, until somebody tells it of a newer
-        one, or that the record is of the store's present era.
+        A process that starts can't tell until a peer reports a newer one, or that the
+        record belongs to the store's present era.
         """
         return self.evacuations.era > 0 and not self.formers.is_complete
 
     def announce(self, now: float) -> None:
-        """Show a few daemons what this one knows; they show it to others."""
+        """Announce this daemon's versions to a few daemons, which do the same."""
         others = self.neighbours(now)
         for address in self.rng.sample(others, min(ANNOUNCEMENT_FANOUT, len(others))):
             self.hello(now, address, HelloRequest.NOTHING)
@@ -129,13 +129,13 @@
     def evacuate(
         self, now: float, revision: int, names: frozenset[str], era: int = 0
     ) -> None:
-        """Take which data centres the store lists as evacuated at a revision."""
+        """Apply the evacuated data centres that the store lists at a revision."""
         changed = self.evacuations.read(revision, names, era)
         if self.evacuations.expire(now) or changed:
             self._evacuations_changed(now)
 
     def _evacuations_changed(self, now: float) -> None:
-        """Note that another set of evacuated data centres is in force."""
+        """Log and announce a new set of evacuated data centres."""
         self.log.event(
             "evacuations.installed",
             centres=sorted(self.evacuations.names),
@@ -149,15 +149,15 @@
     def _unknown_centres(self) -> list[str]:
         """Return the evacuated data centres that the deployment doesn't have.
 
-        What goes wrong without: an operator mistypes a name, the order counts as
-        in force, and the data centre that was meant goes on getting flows.
+        Otherwise, when an operator mistypes a name, the order seems to be in force
+        while the intended data centre still gets flows.
         """
         if not self.data_centres:
             return []
         return sorted(self.evacuations.names - self.data_centres)
 
     def candidates(self, now: float, flow: bytes) -> list[str]:
-        """Return the services that may own a flow, the likeliest first."""
+        """Return the services that may own a flow, the most likely first."""
         route = self.routes.by_address.get(route_key(flow))
         if route is None:
             return []
@@ -166,13 +166,13 @@
         return services + [name for name in former if name not in services]
 
     def neighbours(self, now: float) -> list[str]:
-        """Return the daemons to be told of a new configuration."""
+        """Return the daemons to notify of a new configuration."""
         raise NotImplementedError
 
     def hello(
         self, now: float, address: str, request: HelloRequest = HelloRequest.STATUS
     ) -> None:
-        """Show this daemon's configuration to another, and ask for something."""
+        """Announce this daemon's versions to another one and ask for something."""
         self.send(now, address, Kind.HELLO, reason=request)
 
     def send(
@@ -188,7 +188,7 @@
         service: int = 0,
         origin: Head | None = None,
     ) -> None:
-        """Send a datagram; ``origin`` gives the origin of a client's packet."""
+        """Send a datagram; ``origin`` is the head of the client's packet, if any."""
         freshness = self.freshness
         head = Head(
             kind,
@@ -222,7 +222,7 @@
         )
 
     def receive(self, now: float, sender: str, data: bytes) -> None:
-        """Handle a datagram of another daemon."""
+        """Handle a datagram from another daemon."""
         decoded = tunnel.decode(data)
         if decoded is None:
             self.log.count("datagrams.malformed")
@@ -237,10 +237,10 @@
             self.handle(now, sender, head, body)
 
     def _compare_versions(self, now: float, sender: str, head: Head) -> None:
-        """Ask a daemon for what it has newer than this one.
+        """Ask the sender of a datagram for what it has newer than this daemon.
 
-        Its confirmation counts only if both have the same evacuations: it is one
-        of both documents.
+        Its confirmation covers both the configuration and the evacuations, so it counts
+        only if both daemons have the same evacuations.
         """
         stamp = Stamp(head.evacuated_at, head.evacuated)
         if self.evacuations.compare(now, stamp) and self.evacuations.may_request(now):
@@ -259,11 +259,11 @@
             self._evacuations_changed(now)
 
     def handle(self, now: float, sender: str, head: Head, body: bytes) -> None:
-        """Handle a datagram whose head was read."""
+        """Handle a datagram whose head was decoded."""
         raise NotImplementedError
 
     def read_rosters(self, body: bytes) -> dict[str, list[RosterRow]]:
-        """Read the body of a roster; what is malformed is counted and left out."""
+        """Decode the body of a roster; malformed parts are counted and skipped."""
         fields = tunnel.decode_rosters(body)
         if fields is None:
             self.log.count("datagrams.malformed")
@@ -280,10 +280,10 @@
 
 
 def _decode_row(fields: Any) -> RosterRow | None:
-    """Read a row of a roster; None if it is malformed.
+    """Decode a row of a roster; return None if it is malformed.
 
-    What goes wrong without the check: a daemon of another version tells rows of
-    another shape, and each of its datagrams ends in an exception.
+    Otherwise rows of another shape, from a daemon of another version, would raise an
+    exception with each of its datagrams.
     """
     match fields:
         case [str(address), int(zone), age] if _is_address(address) and _is_age(age):
@@ -292,7 +292,7 @@
 
 
 def _is_address(text: str) -> bool:
-    """Tell whether a text is an IP address as datagrams carry it."""
+    """Return whether a text is an IP address as used in datagrams."""
     parts = text.split(".")
     return len(parts) == ADDRESS_PARTS and all(
         part.isascii() and part.isdigit() and int(part) <= BYTE_MAX for part in parts
@@ -300,5 +300,5 @@
 
 
 def _is_age(age: Any) -> bool:
-    """Tell whether an age is one; what isn't a number compares false."""
+    """Return whether a value is None or a valid age; NaN compares false."""
     return age is None or (isinstance(age, int | float) and 0 <= age < AGE_MAX_SECONDS)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/polls.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/polls.py
@@ -1,11 +1,10 @@
-"""Openings that wait a moment for the loads of those that may take them.
-
-Loads: any service of more than a few agents. What statuses tell is seconds old
-there, every home takes the same few for idle, and openings queue at them while
-others have nothing to do. Asking four agents at the moment of each opening
-costs eight small datagrams and two trips between daemons. In the model of
-placing at 109 agents, 60 % of the slots used, that lowers the wait of the 99th
-of 100 requests from 0.50 s to 0.04 s.
+"""Polls agents for their loads before an opening is placed.
+
+In a service of more than a few agents the reported loads are seconds old. Every home
+considers the same few agents idle, and openings queue there while other agents have
+nothing to do. Asking four agents when an opening arrives costs eight small datagrams
+and two trips between daemons. In the placement model, at 109 agents with 60 % of the
+slots in use, it lowers the wait of the 99th of 100 requests from 0.50 s to 0.04 s.
 """
 
 from __future__ import annotations
@@ -21,23 +20,23 @@
 __all__ = ["LoadPolls", "LoadPoll", "with_known_load"]
 
 KNOWN_LOADS = 4
-"""Agents whose loads are known when one is chosen: with two the 99th of 100
-requests waits 90 ms in the model, with three 50, with four 35."""
+"""Agents whose loads are known when one is chosen. In the model, the 99th of 100
+requests waits 90 ms with two, 50 ms with three and 35 ms with four."""
 
 LOAD_FRESH_SECONDS = 0.05
 """Seconds for which a load counts as known: about the work on one request."""
 
 POLL_TIMEOUT_SECONDS = 0.02
-"""Seconds for the answers, above two trips between data centres (3 ms). Who
-hasn't answered by then isn't chosen if others have."""
+"""Seconds to wait for the answers: more than two trips between data centres (3 ms).
+Agents that haven't answered by then aren't chosen if others have."""
 
 POLLS_LIMIT = 1024
-"""Openings that wait for loads at most; further ones are placed at once."""
+"""Openings that may wait for loads; further ones are placed at once."""
 
 
 @dataclass(slots=True)
 class LoadPoll:
-    """One opening, and who hasn't told its load yet."""
+    """An opening, and the agents that haven't reported their loads yet."""
 
     at: float
     head: Head
@@ -53,11 +52,11 @@
     own : str
         Address of this agent, whose load is always known.
     rng : random.Random
-        Source of chance.
+        Source of randomness.
     ask : callable
         Asks a member for its status.
     done : callable
-        Called with the time and an inquiry that ended.
+        Called with the time and a poll that has ended.
     """
 
     def __init__(
@@ -79,7 +78,7 @@
     def begin(
         self, now: float, head: Head, packet: Packet, takers: list[Member]
     ) -> bool:
-        """Ask for loads, if too few are known; return whether it did."""
+        """Ask for loads if too few are known; return whether any was asked."""
         unknown = [m for m in takers if not self._is_known(now, m)]
         missing = min(KNOWN_LOADS - (len(takers) - len(unknown)), len(unknown))
         if missing <= 0 or len(self._by_flow) >= POLLS_LIMIT:
@@ -92,7 +91,7 @@
         return True
 
     def heard(self, now: float, address: str) -> None:
-        """Take note that a member has told its load."""
+        """Note that a member has reported its load."""
         for poll in list(self._by_flow.values()):
             if address in poll.waiting:
                 poll.waiting.discard(address)
@@ -100,11 +99,11 @@
                     self._end(now, poll)
 
     def forget(self, flow: bytes) -> None:
-        """End an inquiry whose opening is no longer to be placed."""
+        """Drop the poll of an opening that need not be placed any more."""
         self._by_flow.pop(flow, None)
 
     def tick(self, now: float) -> None:
-        """End those that have waited for long enough."""
+        """End the polls that have timed out."""
         for poll in list(self._by_flow.values()):
             if now - poll.at >= POLL_TIMEOUT_SECONDS:
                 self._end(now, poll)
@@ -120,7 +119,7 @@
         )
 
     def _sample(self, members: list[Member], zone: int, count: int) -> list[Member]:
-        """Draw whom to ask: half of them in the client's data centre."""
+        """Draw the agents to ask, half of them in the client's data centre."""
         local = [member for member in members if member.zone == zone]
         first = self._rng.sample(local, min((count + 1) // 2, len(local)))
         names = {member.address for member in first}
@@ -129,7 +128,7 @@
 
 
 def with_known_load(now: float, own: str, takers: list[Member]) -> list[Member]:
-    """Return those whose loads are known, all if none is."""
+    """Return the members whose loads are known, or all if none is."""
     known = [
         member
         for member in takers
--- a/packages/zinniahook-core/src/zinniahook_core/packets/questions.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/questions.py
@@ -1,9 +1,9 @@
-"""Which services an entry asks for the owner of a flow, one at a time.
+"""Chooses the service that an entry asks for the owner of a flow.
 
-A flow of a split route, or of one that was changed, may live at any of several
-services. A packet goes to one of them only: first to each home in turn that may
-know the owner, and if none does, to each in turn to search its agents. What a
-service has denied isn't asked again.
+A flow of a route that is split, or that was changed, may live at any of several
+services. Each packet goes to one of them: first to each home in turn, in case it has a
+pointer to the owner, and if none has, to each service in turn to search its agents. A
+service that has denied the flow isn't asked again.
 """
 
 from __future__ import annotations
@@ -18,35 +18,35 @@
 __all__ = ["Question", "Questions"]
 
 KNOWN_TIMEOUT_SECONDS = 0.15
-"""Seconds until another home is asked first though one hasn't answered: below the
-0.2 s after which a client repeats its packet. No answer doesn't mean that it
-doesn't know: it has passed the packet on, and the way to the owner may be cut.
-What goes wrong if it does: the other services are searched, and their targets
-get packets of a flow whose owner is known."""
+"""Seconds until another home is asked although one hasn't answered: less than the 0.2 s
+after which a client repeats its packet. A home that doesn't answer may still know the
+owner: it has passed the packet on, and the link to the owner may be cut. If its silence
+counted as a denial, the other services would be searched, and their targets would get
+packets of a flow whose owner is known."""
 
 SERVICE_SEARCH_TIMEOUT_SECONDS = 0.35
-"""The same for a search: above the 0.2 s in which an agent finds out that its
-target holds a flow, below the 0.6 s of a client's second repetition. What goes
-wrong without: a home that waits for a silent agent keeps every packet from the
-service that owns the flow."""
+"""The same for a search: more than the 0.2 s in which an agent finds out whether its
+target holds a flow, and less than the 0.6 s of a client's second repetition. Otherwise
+a home that waits for a silent agent keeps every packet from the service that owns the
+flow."""
 
 LAST_ASKED_EXPIRY_SECONDS = 2.0
-"""Seconds after which a service's silence says nothing more: above the 1.6 s at
-which a client repeats a packet at the longest."""
+"""Seconds after which a service's silence has no meaning any more: more than the 1.6 s
+within which a client repeats a packet."""
 
 NO_POINTER_SECONDS = 0.1
-"""Seconds for which a home that doesn't know the owner isn't asked again: it may
-learn it at any moment. What goes wrong with more: a search has found the owner
-long since, and other targets get the packet."""
+"""Seconds for which a home without a pointer to the owner isn't asked again. It may
+learn the owner at any moment. If this were longer, a search might have found the owner
+long before, and other targets would get the packet."""
 
 ANSWERS_EXPIRY_SECONDS = 4.0
-"""Seconds for which answers count: as long as agents keep what they denied."""
+"""Seconds for which answers count: as long as agents remember their denials."""
 
 QUESTIONS_LIMIT = 65536
 
 
 class Question(NamedTuple):
-    """Whom to ask with a packet, and how."""
+    """The service to ask with a packet, and the marks to send."""
 
     service: str
     marks: int
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class _Answers:
-    """What the services have answered for one flow."""
+    """The answers of the services for one flow."""
 
     begun: float
     acknowledged: int
@@ -75,7 +75,7 @@
     last_search: LastAsked = NOT_ASKED
 
     def without_pointer_at(self, now: float) -> set[str]:
-        """Return the services whose homes have just not known the owner."""
+        """Return the services whose homes recently had no pointer to the owner."""
         return {
             s for s, at in self.without_pointer.items() if now - at < NO_POINTER_SECONDS
         }
@@ -91,11 +91,11 @@
         return flow in self._by_flow
 
     def forget(self, flow: bytes) -> None:
-        """Forget what was asked for a flow: its owner is known, or it is new."""
+        """Drop the answers for a flow: its owner is known, or the flow is new."""
         self._by_flow.pop(flow, None)
 
     def next(self, now: float, packet: Packet, services: list[str]) -> Question | None:
-        """Return whom to ask with a packet, None if nobody is left."""
+        """Return the next question for a packet, or None if none is left."""
         answers = self._get(now, packet)
         if len(services) > 1:
             known = self._left(
@@ -126,12 +126,12 @@
             answers.unsure.add(service)
 
     def is_sure(self, flow: bytes) -> bool:
-        """Tell whether every answer was certain."""
+        """Return whether every answer was certain."""
         answers = self._by_flow.get(flow)
         return answers is not None and not answers.unsure
 
     def unsure(self, flow: bytes) -> list[str]:
-        """Return the services that couldn't tell for sure."""
+        """Return the services whose answer was uncertain."""
         answers = self._by_flow.get(flow)
         return sorted(answers.unsure) if answers is not None else []
 
@@ -156,7 +156,7 @@
 def _next_asked(
     now: float, last: LastAsked, left: list[str], patience: float
 ) -> LastAsked:
-    """Return whom to ask: the same again for a while, then the next in turn."""
+    """Return the service asked last until it times out, then the next one."""
     silent_for = now - last.at
     if last.service not in left or silent_for >= LAST_ASKED_EXPIRY_SECONDS:
         return LastAsked(left[0], now)
@@ -166,6 +166,6 @@
 
 
 def _is_same_flow(answers: _Answers, packet: Packet) -> bool:
-    """Tell whether a packet is of the same flow, not of a later one of its port."""
+    """Return whether a packet isn't of a later flow from the same port."""
     ahead = (packet.acknowledged - answers.acknowledged) % SEQUENCE_SPAN
     return min(ahead, SEQUENCE_SPAN - ahead) <= WINDOW
--- a/packages/zinniahook-core/src/zinniahook_core/packets/registry.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/registry.py
@@ -1,4 +1,4 @@
-"""Tells homes and entries which flows an agent owns."""
+"""Notifies homes and entries of the flows that an agent owns."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 __all__ = ["Registry"]
 
 KEYS_PER_DATAGRAM = 100
-"""Flows told in one datagram: 1,200 bytes, which no link splits."""
+"""Flows in one datagram: 1,200 bytes, which no link fragments."""
 
 ENDED_PER_DATAGRAM = 70
 
 REGISTERED_PER_TICK = 200
-"""Flows told again to new homes in a tick, 4,000 a second: an agent has 3,200
-at the size designed for. A tick must stay far below the time-outs of others."""
+"""Flows checked for new homes in a tick, 4,000 a second. An agent has 3,200 at the
+design size. A tick must stay far below the time-outs of other daemons."""
 
 
 class Registry:
-    """The telling of one agent's flows.
+    """Announces the flows of one agent.
 
     Parameters
     ----------
     node : Node
         The agent; sends.
     membership : Membership
-        Whom to tell.
+        The agents of the service.
     flows : Flows
         The flows.
     home : Home
@@ -49,7 +49,7 @@
         self._restarted: set[str] = set()
 
     def announce_owner(self, now: float, address: str, keys: list[bytes]) -> None:
-        """Tell a daemon that this agent owns flows."""
+        """Notify a daemon that this agent owns flows."""
         for start in range(0, len(keys), KEYS_PER_DATAGRAM):
             batch = keys[start : start + KEYS_PER_DATAGRAM]
             body = tunnel.encode_owner(self._node.address, batch)
@@ -57,7 +57,7 @@
             self._node.send(now, address, Kind.OWNER, body, service=service)
 
     def register(self, now: float, flow: Flow, force: bool = False) -> None:
-        """Tell a flow's homes, if they don't know it."""
+        """Notify a flow's homes if they have changed."""
         homes = tuple(self._membership.roster.homes(now, flow.key))
         if homes == flow.homes and not force:
             return
@@ -66,16 +66,16 @@
             self._notify_home(now, home, [flow.key])
 
     def register_all(self) -> None:
-        """Look at every flow again, some in each tick: homes may have changed."""
+        """Check every flow again, some in each tick, as homes may have changed."""
         self._pending = list(self._flows.by_key)
 
     def peer_restarted(self, address: str) -> None:
-        """Tell a peer that has just started every flow that it is a home of."""
+        """Notify a restarted peer of every flow that it is a home of."""
         self._restarted.add(address)
         self.register_all()
 
     def tick(self, now: float) -> None:
-        """Tell some of the flows that are due."""
+        """Notify homes of some of the flows that are due."""
         batch = self._pending[-REGISTERED_PER_TICK:]
         del self._pending[-REGISTERED_PER_TICK:]
         keys_by_home: dict[str, list[bytes]] = {}
@@ -91,21 +91,21 @@
             self._restarted.clear()
 
     def _homes_to_notify(self, now: float, flow: Flow) -> list[str]:
-        """Return the homes of a flow that don't know it; take note of them.
+        """Return the homes of a flow that don't know it, and store its homes.
 
-        What goes wrong if every home is told again: one agent comes or goes, and
-        all of them tell each other all flows.
+        If every home were notified again whenever an agent joins or leaves, all agents
+        would send each other all of their flows.
         """
         known = set(flow.homes) - self._restarted
         flow.homes = tuple(self._membership.roster.homes(now, flow.key))
         return [home for home in flow.homes if home not in known]
 
     def announce_ended(self, now: float, flows: list[Flow]) -> None:
-        """Tell the homes of flows that they have ended together with the target.
+        """Notify the homes of flows that have ended together with the target.
 
-        What goes wrong without: each of the two searches the whole service for
-        them as soon as their clients go on. Only flows that this process saw the
-        target open are certain: others may live elsewhere.
+        Otherwise each of the two homes searches the whole service when the clients
+        continue. Only flows that this process saw the target open are certain: other
+        flows may live elsewhere.
         """
         ended_by_home: dict[str, list[Ended]] = {}
         for flow in flows:
@@ -133,7 +133,7 @@
             self._home.learn(now, home, keys)
 
     def deny(self, now: float, asker: str, key: bytes) -> None:
-        """Tell who asked that this agent doesn't own a flow."""
+        """Notify the asking agent that this agent doesn't own a flow."""
         if asker == self._node.address or not asker:
             self._home.denied(now, self._node.address, [key])
             return
@@ -142,7 +142,7 @@
         self._node.send(now, asker, Kind.DENIAL, body, service=service)
 
     def receive(self, now: float, sender: str, head: Head, body: bytes) -> None:
-        """Take what a peer tells of flows."""
+        """Handle a peer's datagram about flows."""
         if head.service != self._membership.service:
             self._node.log.count("datagrams.malformed")
         elif head.kind is Kind.ENDED:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/relays.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/relays.py
@@ -1,4 +1,4 @@
-"""Packets of a search that are sent on to an agent whose home can't reach it."""
+"""Forwards packets of a search to agents that the searching home can't reach."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 RELAYED_LIMIT = 4096
 RELAY_EXPIRY_SECONDS = 2.0
-"""Seconds for which who asked hears of an owner: a target that doesn't answer is on
-trial for 1.5 s."""
+"""Seconds for which the asking home is notified of an owner. A trial at a target that
+doesn't answer lasts 1.5 s."""
 
 
 class _Relayed(NamedTuple):
-    """A home that had a packet sent on, and when."""
+    """The home that asked for a packet to be forwarded, and when."""
 
     home: str
     at: float
 
 
 class Relays:
-    """What one agent sends on between a home and an agent that it can't reach.
+    """Packets that one agent forwards for homes that can't reach another agent.
 
     Parameters
     ----------
@@ -41,9 +41,9 @@
         self._by_flow: dict[bytes, _Relayed] = {}
 
     def forward(self, now: float, sender: str, head: Head, body: bytes) -> None:
-        """Send a searched packet on to the agent that the body names.
+        """Forward a searched packet to the agent that the body names.
 
-        Only to a member of the service: others have nothing to deny.
+        It must be a member of the service: other daemons have nothing to deny.
         """
         decoded = tunnel.decode_relay(body)
         packet = self._node.codec.from_client(decoded[1]) if decoded else None
@@ -72,10 +72,10 @@
             del self._by_flow[next(iter(self._by_flow))]
 
     def found(self, now: float, owner: str, flows: list[bytes]) -> None:
-        """Tell the homes that asked by way of this agent who owns flows.
+        """Notify the homes that asked through this agent of the owner of flows.
 
-        What goes wrong without: the owner can't tell a home that it is cut off from,
-        and the flow is searched for in other services.
+        Otherwise the owner can't notify a home that it is cut off from, and the flow is
+        searched for in other services.
         """
         for flow in flows:
             relayed = self._by_flow.pop(flow, None)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/search.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/search.py
@@ -1,4 +1,4 @@
-"""One search for the owner of a flow."""
+"""The state of one search for the owner of a flow."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 __all__ = ["RELAY_AFTER_SECONDS", "Search", "Acceptance"]
 
 RELAY_AFTER_SECONDS = 0.1
-"""Seconds of a search after which agents that haven't answered are asked by way
-of a peer: two questions got lost, or the link to them is cut."""
+"""Seconds of a search after which agents that haven't answered are asked through a
+peer: two questions were lost, or the link to them is cut."""
 
 RELAY_INTERVAL_SECONDS = 0.4
-"""Seconds until a silent agent is asked so again. It may have started without
-hearing of its peers, and its denial is what ends the search; a client gives up
-after seconds. What goes wrong with less: after a loss of power each flow of a
-target that is gone costs a hundred datagrams to agents that don't run."""
+"""Seconds until a silent agent is asked through a peer again. It may have started
+without hearing of its peers, and the search needs its denial to end; a client gives up
+after seconds. With a shorter interval, after a power loss each flow of a lost target
+would cost a hundred datagrams to agents that don't run."""
 
 
 class Acceptance(enum.Enum):
-    """What this agent itself says to an opening or a search."""
+    """What this agent itself answers to an opening or a search."""
 
     YES = "yes"
     NO = "no"
     OPEN = "open"
-    """It gave the packet to its target and will know in a moment."""
+    """It passed the packet to its target and will soon know."""
 
 
 @dataclass(slots=True)
@@ -92,20 +92,20 @@
     candidates_epoch: int = -1
 
     def __post_init__(self) -> None:
-        """Count the time that the service is asked from the beginning."""
+        """Start the time for which the service is asked."""
         self.asked_at = self.begun
 
     def resume(self, now: float, head: Head, packet: Packet) -> None:
-        """Go on with a newer packet, as the service is asked again."""
+        """Continue with a newer packet, as the service is asked again."""
         self.asked_at = now
         self.given_back = False
         self.head, self.packet = head, packet
 
     def take_last_unanswered(self, own: str) -> set[str]:
-        """Return whom to ask again at once, as everybody else has answered.
+        """Return the agents to ask again at once: the only one without an answer.
 
-        What goes wrong without: its question got lost, and it has gone by the time of
-        the next repeat, but three other targets have had the packet.
+        It is returned once. Otherwise, if its question was lost, it may be gone by the
+        time of the next retry, after three other targets have had the packet.
         """
         late = self.waiting.keys() - self.retried_early - {own}
         if len(late) > 1:
@@ -114,7 +114,7 @@
         return late
 
     def is_relay_due(self, now: float, address: str) -> bool:
-        """Tell whether one that doesn't answer is asked by way of a peer again."""
+        """Return whether a silent agent must be asked through a peer now."""
         at = self.relayed.get(address)
         if at is None:
             return now - self.begun >= RELAY_AFTER_SECONDS
--- a/packages/zinniahook-core/src/zinniahook_core/packets/searches.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/searches.py
@@ -1,10 +1,10 @@
 """Searches for the owners of flows among the agents of a service.
 
-A home that knows nothing of a flow passes the packet itself to the peers that
-the flow belongs to, a few at a time: the owner delivers it, the others deny. If
-all have denied it, a wider circle is asked once, the same in a service of any
-size. Nobody is asked once the owner is known, and what everybody has denied
-isn't searched for again: see `verdicts`.
+A home without a pointer passes the packet itself to the flow's candidates, a few at a
+time. The owner delivers the packet, the other agents deny. If all have denied, a wider
+set of candidates is asked once; its size doesn't depend on the size of the service. A
+search ends as soon as the owner is known. Its result is remembered if there is no
+owner; see `verdicts`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from .indirect import IndirectQueries
 from .member import Member
-from .members import LOGGED_NAMES_LIMIT, Roster
+from .members import LOGGED_NAMES, Roster
 from .models import Packet
 from .node import Node
 from .search import RELAY_AFTER_SECONDS, Acceptance, Search
@@ -23,58 +23,57 @@
 __all__ = ["ENTRY_MARKS", "Searches", "Acceptance"]
 
 SEARCH_TIMEOUT_SECONDS = 5.0
-"""Seconds for a search: above the time for which a silent agent may still hold
-flows. A search that ended sooner would leave the client to its next packet,
-which comes up to 1.6 s later."""
+"""Seconds until a search ends: longer than a silent agent may still hold flows. If it
+ended sooner, the client would have to wait for its next packet, which comes up to 1.6 s
+later."""
 
 SEARCH_RETRY_SECONDS = 0.06
-"""Seconds until those that haven't answered are asked again: above the time in
-which a target returns a packet. What goes wrong without: the question to the
-owner gets lost, and only other targets have seen the packet."""
+"""Seconds until agents that haven't answered are asked again: longer than a target
+takes to return a packet. If it were shorter, the question to the owner might be lost
+and only other targets would have seen the packet."""
 
 WAVE_TIMEOUT_SECONDS = 0.22
-"""Seconds until more are asked although some haven't answered: above the time
-in which an agent finds out that its target kept the packet twice (twice 0.05 s
-and a tick).
-What goes wrong without: the owner is just about to claim the flow, and three
-more targets get its packet."""
+"""Seconds until more agents are asked although some haven't answered: longer than an
+agent takes to find out that its target kept the packet twice (twice 0.05 s and a tick).
+Otherwise the owner is about to claim the flow when three more targets get its packet.
+"""
 
 SEARCH_FAST_RETRY_PHASE_SECONDS = 0.5
-"""Seconds of a search after which the silent are asked at longer pauses: most
-of them are gone."""
+"""Seconds of a search after which silent agents are asked less often, as most of them
+are gone."""
 
 SEARCH_SLOW_RETRY_SECONDS = 0.2
 
 HELD_LIMIT = 16
-"""Packets kept for a search: what a client may have in flight."""
+"""Packets held for a search: what a client may have in flight."""
 
 WAVE_AGENTS = 2
-"""Agents asked at a time: after a restart of all agents each one asked has to
-try the packet at its target, and a flow counts as broken if three others get
+"""Agents asked at a time. After a restart of all agents, each agent that is asked has
+to try the packet at its target, and a flow counts as broken if three other targets get
 packets and its own target none. A wave takes 3 ms."""
 
 WAVES_LIMIT = 8
-"""Waves in which even the wider circle is asked."""
+"""Waves in which even the wide set of candidates is asked."""
 
 SEARCHES_LIMIT = 4096
 
 GIVE_BACK_AFTER_SECONDS = 0.25
-"""Seconds of a search after which packets go to other services that may own the
-flow: above the 0.2 s in which an agent finds out that its target holds it. What
-goes wrong without: one target is down, its agent has no verdict for 1.5 s, and
-the service that owns the flow isn't asked."""
+"""Seconds of a search after which packets go to other services that may own the flow:
+longer than the 0.2 s in which an agent finds out that its target holds it. Otherwise,
+if one target is down, its agent has no answer for 1.5 s, and the service that owns the
+flow isn't asked meanwhile."""
 
 GIVE_BACK_LATEST_SECONDS = 0.5
-"""The same while agents are left to ask: they are asked first. What goes wrong
-without: the owner is among them, and all targets of other services come before."""
+"""The same while candidates are left to ask. They are asked first, as the owner may be
+among them; otherwise all targets of other services would come before it."""
 
 CANDIDATES_CACHE_SECONDS = 0.2
-"""Seconds for which a search keeps whom it may ask, if nobody comes meanwhile:
-who goes is left out anyway. What goes wrong without: they are worked out anew
-for each few answers, which costs more than the questions."""
+"""Seconds for which a search keeps its candidates if no agent joins meanwhile. Agents
+that leave are skipped anyway. Computing the candidates for every few answers would cost
+more than the questions."""
 
 ENTRY_MARKS = Mark.SHARED | Mark.KNOWN
-"""What the entry asked with a packet, told on with it."""
+"""The marks of an entry's question that are passed on with its packet."""
 
 
 class Searches:
@@ -108,11 +107,11 @@
 
     @property
     def verdicts(self) -> int:
-        """The number of flows whose search is remembered."""
+        """The number of flows whose search result is remembered."""
         return len(self._verdicts)
 
     def begin(self, now: float, head: Head, packet: Packet) -> None:
-        """Search for the owner of a packet's flow."""
+        """Start a search for the owner of a packet's flow."""
         if len(self._by_flow) >= SEARCHES_LIMIT:
             self.node.log.count("searches.refused")
             self.give_back(now, head, packet, Mark.UNSURE)
@@ -140,9 +139,9 @@
         self._continue(now, packet.flow, search)
 
     def _recall_denials(self, now: float, search: Search) -> bool:
-        """Take over who has denied a flow before; return whether anybody has.
+        """Mark agents as denied by an earlier verdict; return whether there was one.
 
-        Those that have come since are asked, and who hadn't answered.
+        Agents that have joined since, or that hadn't answered, are asked again.
         """
         verdict = self._verdicts.get(now, search.packet)
         if verdict is None:
@@ -158,10 +157,10 @@
         return True
 
     def recall(self, now: float, head: Head, packet: Packet) -> bool:
-        """Answer a packet by what is known of its flow; return whether it is.
+        """Answer a packet by the verdict on its flow; return whether that was possible.
 
-        What goes wrong without: a client repeats the closing of a flow whose
-        target is gone each 1.6 s, and every time the service is searched.
+        Otherwise, if a client repeats the closing of a flow whose target is gone every
+        1.6 s, the service is searched each time.
         """
         verdict = self._verdicts.get(now, packet)
         if verdict is None or verdict.missing:
@@ -178,14 +177,14 @@
         return True
 
     def recall_end(self, now: float, head: Head, packet: Packet) -> bool:
-        """Answer a packet of a flow that has certainly ended at its own target."""
+        """Answer a packet whose flow has certainly ended at its own target."""
         verdict = self._verdicts.get(now, packet)
         if verdict is None or not verdict.has_ended:
             return False
         return self.recall(now, head, packet)
 
     def _is_still_valid(self, now: float, head: Head, packet: Packet) -> bool:
-        """Tell whether nobody has come who may own a flow that nobody owned."""
+        """Return whether no possible owner has joined since the verdict."""
         search = Search(now, now, head, packet)
         self._recall_denials(now, search)
         unseen = self.roster.unseen(now, self._candidates(now, search))
@@ -198,14 +197,14 @@
             self.recall(now, head, packet)
 
     def remove(self, flow: bytes) -> list[tuple[Head, Packet]]:
-        """End a search that needn't go on; return all of its packets."""
+        """Remove a search and return all of its packets."""
         search = self._by_flow.pop(flow, None)
         if search is None:
             return []
         return [(search.head, search.packet), *search.held]
 
     def wait(self, now: float, head: Head, packet: Packet) -> None:
-        """Let a packet wait for a search, or ask other services meanwhile."""
+        """Add a packet to a search, or let the entry ask other services meanwhile."""
         search = self._by_flow[packet.flow]
         if head.marks & Mark.KNOWN:
             self.give_back(now, head, packet, Mark.UNSURE)
@@ -215,7 +214,7 @@
             search.held.append((head, packet))
 
     def _resume(self, now: float, head: Head, packet: Packet, search: Search) -> None:
-        """Go on with a search that was given back: its service is asked again."""
+        """Continue a search that was given back: the entry asks this service again."""
         search.resume(now, head, packet)
         if search.waiting:
             self._ask_again(now, packet.flow, search)
@@ -223,12 +222,12 @@
             self._continue(now, packet.flow, search)
 
     def found(self, flow: bytes) -> list[tuple[Head, Packet]]:
-        """End a search whose owner is known, asked or not; return its packets."""
+        """Remove the search for a flow whose owner is known; return its packets."""
         self._verdicts.forget(flow)
         return self.remove(flow)
 
     def opened(self, flow: bytes) -> None:
-        """Forget what was denied: a flow with the same key is opened here."""
+        """Drop the verdict on a flow: a flow with the same key is opened here."""
         self._verdicts.forget(flow)
 
     def denied(self, now: float, sender: str, flow: bytes) -> None:
@@ -244,7 +243,7 @@
             self._ask(now, search, search.take_last_unanswered(self.node.address))
 
     def tick(self, now: float) -> None:
-        """End what is overdue, and ask again."""
+        """End searches that are overdue, and ask silent agents again."""
         for flow, search in list(self._by_flow.items()):
             if now >= search.begun + SEARCH_TIMEOUT_SECONDS:
                 del self._by_flow[flow]
@@ -256,7 +255,7 @@
                 self._ask_again(now, flow, search)
 
     def _time_out(self, now: float, flow: bytes, search: Search) -> None:
-        """End a search in which somebody hasn't answered; remember who has."""
+        """End a search that lacks answers; remember the agents that are missing."""
         candidates = self._candidates(now, search)
         unseen = self.roster.unseen(now, candidates)
         missing = {*search.waiting, *unseen, *self._not_asked(now, search)}
@@ -267,7 +266,7 @@
             packet=search.packet.kind,
             length=search.packet.length,
             silent=sorted(search.waiting),
-            unseen=unseen[:LOGGED_NAMES_LIMIT],
+            unseen=unseen[:LOGGED_NAMES],
         )
 
     def _keep(self, now: float, search: Search, missing: frozenset[str]) -> None:
@@ -277,10 +276,10 @@
         )
 
     def _ask_again(self, now: float, flow: bytes, search: Search) -> None:
-        """Ask those that haven't answered, and take note of who has gone.
+        """Ask agents that haven't answered again, and skip those that are gone.
 
-        An agent that went silent is asked again if it comes back; until then
-        the search waits for as long as it may hold the flow.
+        An agent that went silent is asked again if it comes back. Until then the search
+        waits for as long as the agent may hold the flow.
         """
         self._schedule_retry(now, search)
         search.waiting = {
@@ -302,10 +301,10 @@
             self._give_back_if_shared(now, flow, search)
 
     def _must_wait(self, now: float, search: Search) -> bool:
-        """Tell whether one that was asked may be about to claim the flow.
+        """Return whether an agent that was asked may be about to claim the flow.
 
-        One that is silent is waited for until it would have shown that it runs, one
-        that runs until it would have found out.
+        A silent agent is waited for until it would have shown that it runs, a running
+        agent until it would have found out whether it owns the flow.
         """
         for address, asked_at in search.waiting.items():
             member = self.roster.by_address.get(address)
@@ -318,14 +317,14 @@
         return False
 
     def _schedule_retry(self, now: float, search: Search) -> None:
-        """Set when the silent are asked again."""
+        """Set when silent agents are asked again."""
         fast = now < search.begun + SEARCH_FAST_RETRY_PHASE_SECONDS
         search.ask_at = now + (
             SEARCH_RETRY_SECONDS if fast else SEARCH_SLOW_RETRY_SECONDS
         )
 
     def _candidates(self, now: float, search: Search) -> list[Member]:
-        """Return the members that may own the flow, as far as is searched yet."""
+        """Return the members that may own the flow, at the search's present width."""
         kept = now - search.candidates_at < CANDIDATES_CACHE_SECONDS
         if not kept or search.candidates_epoch != self.roster.epoch:
             search.candidates = self._compute_candidates(now, search)
@@ -343,14 +342,14 @@
         return near + [member for member in far if member.address not in known]
 
     def _continue(self, now: float, flow: bytes, search: Search) -> None:
-        """Ask the next few agents; end the search if none is left to ask."""
+        """Ask the next few agents; end the search if none is left."""
         left = self._not_asked(now, search)
         if not left and not search.is_wide:
             search.is_wide = True
             search.candidates_at = float("-inf")
             left = self._not_asked(now, search)
         if left and search.given_back:
-            # Another service is being asked, and may have found the owner.
+            # Another service is being asked and may have found the owner.
             return
         width = max(WAVE_AGENTS, len(left) // WAVES_LIMIT)
         wave = self.node.rng.sample(left, min(width, len(left)))
@@ -358,7 +357,7 @@
         self._ask(now, search, wave)
         if search.waiting:
             return
-        # An agent that is silent may be cut off from here only and hold it.
+        # A silent agent may hold the flow and be cut off only from here.
         unseen = self.roster.unseen(now, self._candidates(now, search))
         unseen = unseen or self._indirect.unconfirmed(now, search)
         if not unseen:
@@ -370,7 +369,7 @@
     def _log_unsure(
         self, now: float, flow: bytes, search: Search, unseen: list[str]
     ) -> None:
-        """Write a line, once, about who keeps a search from ending."""
+        """Log, once per search, the silent agents that keep it from ending."""
         if search.is_unsure:
             return
         search.is_unsure = True
@@ -381,8 +380,8 @@
             packet=search.packet.kind,
             length=search.packet.length,
             denied=len(search.denied),
-            unseen=unseen[:LOGGED_NAMES_LIMIT],
-            more=max(0, len(unseen) - LOGGED_NAMES_LIMIT),
+            unseen=unseen[:LOGGED_NAMES],
+            more=max(0, len(unseen) - LOGGED_NAMES),
             members=len(self.roster.by_address),
             silent_for=round(now - first.heard_at, 2),
             heard=first.confirmed,
@@ -390,7 +389,7 @@
         )
 
     def _not_asked(self, now: float, search: Search) -> list[str]:
-        """Return who is present and hasn't been asked yet."""
+        """Return the present candidates that haven't been asked yet."""
         asked = {*search.waiting, *search.denied, self.node.address}
         return [
             member.address
@@ -399,12 +398,12 @@
         ]
 
     def _may_answer(self, now: float, address: str) -> bool:
-        """Tell whether a member's answer is worth waiting for."""
+        """Return whether an answer of a member is worth waiting for."""
         roster = self.roster
         return roster.is_reachable(now, address) and not roster.has_ended(address)
 
     def _give_back_if_shared(self, now: float, flow: bytes, search: Search) -> None:
-        """Give packets back while a search goes on, if others may own the flow."""
+        """Give packets back during a search if other services may own the flow."""
         if not self._is_only_service(now, search.head, flow):
             self._give_back_all(now, search, Mark.UNSURE)
 
@@ -416,16 +415,16 @@
     def _conclude(self, now: float, flow: bytes, search: Search) -> None:
         """End a search that found no owner.
 
-        The flow has ended if no other service can hold it: its target is gone.
-        What goes wrong without telling: the client repeats its packets until
-        its time is over, instead of trying anew at another target.
+        If no other service can hold the flow, it has ended: its target is gone. Unless
+        its client is sent a reset, the client repeats its packets until it times out,
+        instead of trying another target.
         """
         packets = self.remove(flow)
         alone = self._is_only_service(now, search.head, flow)
         self._keep(now, search, frozenset())
         self._log_end(search.packet, alone, len(search.denied))
-        # Also if it was given back as unsure before. What goes wrong without: the
-        # entry hears of the verdict with the client's next packet only, up to
+        # The entry is answered even if the packet was given back as unsure before.
+        # Otherwise it learns the verdict only with the client's next packet, up to
         # 1.6 s later.
         for head, packet in packets[:1] if alone else packets:
             self._answer(now, head, packet, alone)
@@ -451,10 +450,11 @@
     # Flows that another service may own
 
     def _is_only_service(self, now: float, head: Head, flow: bytes) -> bool:
-        """Tell whether no other service can own a flow.
+        """Return whether no other service can own a flow.
 
-        Neither the entry nor this agent may know one; an agent without a
-        configuration, or that may lack a former one, leaves it to the entry.
+        That is so if neither the entry nor this agent knows another one. An agent that
+        has no configuration, or may lack a former one, leaves the decision to the
+        entry.
         """
         node = self.node
         if head.marks & Mark.SHARED or not node.formers.is_complete:
@@ -462,14 +462,14 @@
         return node.candidates(now, flow) == [self.roster.service]
 
     def _give_back_all(self, now: float, search: Search, marks: int) -> None:
-        """Give back what waits for a search, once."""
+        """Give back, once, the packets that wait for a search."""
         if not search.given_back:
             search.given_back = True
             self.node.log.event(
                 "search.given_back",
                 flow=search.packet.flow,
                 denied=len(search.denied),
-                silent=sorted(search.waiting)[:LOGGED_NAMES_LIMIT],
+                silent=sorted(search.waiting)[:LOGGED_NAMES],
                 left=len(self._not_asked(now, search)),
                 marks=marks,
             )
@@ -478,7 +478,7 @@
             search.held.clear()
 
     def give_back(self, now: float, head: Head, packet: Packet, marks: int) -> None:
-        """Let the entry ask another service with a packet."""
+        """Return a packet to its entry, which may ask another service."""
         if len(self.node.candidates(now, packet.flow)) > 1:
             marks |= Mark.SHARED
         self.node.log.count("packets.unowned")
--- a/packages/zinniahook-core/src/zinniahook_core/packets/sections.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/sections.py
@@ -1,9 +1,9 @@
-"""Optional parts of a status, one for each feature that tells something.
+"""Optional sections of a status, one for each feature that reports something.
 
-A status is the same few bytes in every deployment. What a feature adds follows
-it as a section: a number, a length, and bytes that only the feature reads. A
-daemon that doesn't know a section passes over it, so daemons of unlike versions
-understand each other during a rolling upgrade.
+A status has the same few bytes in every deployment. A feature appends a section: a
+number, a length, and bytes that only that feature decodes. A daemon skips sections that
+it doesn't know, so daemons of different versions understand each other during a rolling
+upgrade.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Section:
-    """The sections that exist; plain numbers as with `Flag`."""
+    """The section numbers; plain integers, as in `Flag`."""
 
     DEMAND: Final = 1
     """Demand and capacity of the sender's target, by kind."""
@@ -26,10 +26,10 @@
     """How the sender's target answers."""
 
     CAPACITY: Final = 3
-    """What the sender's target was measured to bear."""
+    """The measured capacity of the sender's target."""
 
     WORK: Final = 4
-    """What the open flows of the sender's target are going to ask."""
+    """The work that the open flows of the sender's target are expected to bring."""
 
 
 def encode_sections(by_kind: dict[int, bytes]) -> bytes:
@@ -46,7 +46,7 @@
 
 
 def decode_sections(data: bytes) -> dict[int, bytes] | None:
-    """Read what follows a status; None if it is cut off."""
+    """Decode what follows a status; return None if it is truncated."""
     by_kind: dict[int, bytes] = {}
     at = 0
     while at < len(data):
