--- a/packages/zinniahook-core/src/zinniahook_core/packets/tunnel.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/tunnel.py
@@ -1,8 +1,8 @@
 """Datagrams between daemons of the packet service.
 
-Every datagram begins with the same head, so that each one also tells which
-configuration its sender has and how fresh that is: a daemon that heard from
-anyone is never far behind. Control bodies are JSON or fixed records.
+Every datagram starts with the same head, which also shows the version and the freshness
+of its sender's configuration: a daemon that hears from any other is never far behind.
+Control bodies are JSON or fixed records.
 """
 
 from __future__ import annotations
@@ -49,91 +49,91 @@
 FLOW_SIZE = 12
 ADDRESS_SIZE = 4
 AGE_UNIT = 0.01
-"""Seconds a unit of an age on the wire; two bytes reach 655 s."""
+"""Seconds per unit of an age in a datagram; two bytes reach 655 s."""
 
 BYTE_MAX = 0xFF
 SHORT_MAX = 0xFFFF
 BUSY_UNITS = 100
 WARMING_UNITS = 10
 TIME_UNITS = 1000
-"""Steps a request, and steps a second, of the numbers in a status."""
+"""Units per request and units per second of the numbers in a status."""
 
 STATES = {int(state): state for state in State}
 NO_ADDRESS = "0.0.0.0"
 AGE_UNKNOWN = 0xFFFF
 ADDRESSES_CACHED = 65536
-"""IP addresses kept in both forms; a daemon meets fewer peers than that."""
+"""IP addresses cached in both forms; a daemon has fewer peers than that."""
 
 MAGIC = 0x50
-"""Upper half of the first byte; a stray datagram rarely has it."""
+"""Upper half of the first byte, which foreign datagrams rarely have."""
 
 
 class Kind(enum.IntEnum):
-    """What a datagram is."""
+    """The kind of a datagram."""
 
     FORWARD = 1
     """A client's packet on its way to the agent that owns or opens its flow."""
 
     RETURN = 2
-    """A client's packet back to who sent it here; ``reason`` tells why."""
+    """A client's packet back to its sender; ``reason`` says why."""
 
     STATUS = 3
-    """What an agent says of itself; asks nothing."""
+    """The state of an agent; needs no answer."""
 
     HELLO = 4
-    """Shows the sender's configuration; ``reason`` tells what it asks for."""
+    """Shows the sender's versions; ``reason`` is a `HelloRequest`."""
 
     OWNER = 5
-    """Tells an entry or a home which agent owns flows."""
+    """Notifies an entry or a home of the agent that owns flows."""
 
     DENIAL = 6
-    """The sender asked about flows certainly doesn't own them."""
+    """The sender was asked about flows and certainly doesn't own them."""
 
     ROSTER = 7
-    """Tells which agents there are, by service."""
+    """Lists agents, by service."""
 
     RELAY = 8
     """A client's packet for an agent that its sender can't reach itself."""
 
     EVACUATIONS = 9
-    """Tells which data centres are evacuated."""
+    """Lists the evacuated data centres."""
 
     ENDED = 10
-    """Tells a home which flows have ended together with the sender's target."""
+    """Notifies a home of flows that ended together with the sender's target."""
 
 
 KINDS = {int(kind): kind for kind in Kind}
 
 
 class Mark:
-    """How a forwarded packet was sent here; plain numbers as with `Flag`."""
+    """How a forwarded packet was sent; bits as in `Flag`."""
 
     NONE: Final = 0
     PLACED: Final = 1
     """The home chose this agent to open the flow."""
 
     SEARCH: Final = 2
-    """The home asks everyone; who doesn't own the flow must say so."""
+    """The home searches; an agent that doesn't own the flow must deny it."""
 
     POINTED: Final = 4
-    """A home had this agent as the owner."""
+    """A home has a pointer to this agent as the owner."""
 
     HINTED: Final = 8
     """The entry already has this agent as the owner."""
 
     SHARED: Final = 16
-    """Several services may own the flow, so nobody may conclude that none
-    does."""
+    """Several services may own the flow, so no home may conclude that it has no owner.
+    """
 
     KNOWN: Final = 32
-    """Only if the owner is known: whoever doesn't know it begins no search."""
+    """Only for a home with a pointer to the owner; others begin no search."""
 
     UNSURE: Final = 64
-    """Of a packet that comes back as owned by nobody: someone may own it yet."""
+    """The returned packet's flow may still have an owner in the service."""
 
 
 class Reason(enum.IntEnum):
-    """Why a packet comes back."""
+    """Why a packet is returned."""
 
     NONE = 0
     FULL = 1
@@ -145,33 +145,33 @@
     """No agent of the service is known to own the flow."""
 
     EVACUATED = 7
-    """The operator wants nothing new to go to the agent's data centre."""
+    """The agent's data centre is evacuated."""
 
 
 class HelloRequest(enum.IntEnum):
-    """What a hello asks for, told in place of a reason."""
+    """What a hello asks for; sent in place of a reason."""
 
     STATUS = 0
     MEMBERS = 1
-    """The status, and which agents there are."""
+    """The status, and the roster."""
 
     NOTHING = 2
-    """It only shows its sender's configuration."""
+    """Nothing: it only shows its sender's versions."""
 
     EVACUATIONS = 3
-    """Which data centres are evacuated."""
+    """The evacuated data centres."""
 
 
 class Head(NamedTuple):
     """The fixed part of every datagram.
 
-    ``entry`` is the address of the entry that the client's packet came to,
-    ``zone`` is the tag of the data centre it came to, ``service`` that of the
-    service it is for, ``age`` is how
-    many seconds ago ``watcher`` saw ``version`` as the newest, None if never.
-    ``evacuated_at`` and ``evacuated`` are the stamp of the sender's set of
-    evacuated data centres; see `evacuations`. The first is a position in the
-    store's history, and so tells the store's era to daemons that don't read it.
+    ``entry`` is the address of the entry that the client's packet came to, ``zone`` the
+    tag of that entry's data centre, and ``service`` the tag of the service that the
+    packet is for. ``age`` is how many seconds ago ``watcher`` confirmed ``version`` as
+    the newest, None if never. ``evacuated_at`` and ``evacuated`` are the stamp of the
+    sender's set of evacuated data centres; see `evacuations`. The first is a position
+    in the store's history, and so also shows the store's era to daemons that don't read
+    the store.
     """
 
     kind: Kind
@@ -200,12 +200,12 @@
 
 @functools.lru_cache(maxsize=ADDRESSES_CACHED)
 def tag(name: str) -> int:
-    """Return a short tag of a service's name, the same everywhere."""
+    """Return a short tag of a service's name, the same in every daemon."""
     return zlib.crc32(name.encode())
 
 
 def zone_tag(name: str) -> int:
-    """Return a shorter tag of a data centre's name; there are few of them."""
+    """Return an even shorter tag of a data centre's name; there are few of them."""
     return zlib.crc32(name.encode()) & 0xFFFF
 
 
@@ -213,9 +213,9 @@
     """Return a datagram."""
     units = AGE_UNKNOWN
     if head.age is not None:
-        # Rounded up, and one unit for the way: an age that is rounded down grows
-        # younger with each daemon that tells it on, and a version that nobody
-        # has confirmed for seconds passes for fresh everywhere.
+        # Rounded up, plus one unit for the transfer. A rounded-down age would
+        # become younger with each daemon that passes it on, and a version that
+        # was not confirmed for seconds would seem fresh everywhere.
         units = min(AGE_UNKNOWN - 1, math.ceil(max(0.0, head.age) / AGE_UNIT) + 1)
     packed = HEAD.pack(
         MAGIC | head.kind,
@@ -235,7 +235,7 @@
 
 
 def decode(data: bytes) -> tuple[Head, bytes] | None:
-    """Return the head and the body of a datagram, None if it is no such one."""
+    """Return the head and the body of a datagram, or None if it is malformed."""
     if len(data) < HEAD.size or data[0] & 0xF0 != MAGIC:
         return None
     (
@@ -274,7 +274,7 @@
 
 
 class Status(NamedTuple):
-    """What an agent says of itself; see `Member` for the fields."""
+    """The state of an agent; see `Member` for the fields."""
 
     incarnation: int
     state: State
@@ -289,7 +289,7 @@
 def encode_status(status: Status) -> bytes:
     """Return the body of a status: 18 bytes, sent several times a second.
 
-    Sections follow, if features that are on tell any.
+    The sections of features that are on follow it.
     """
     return STATUS.pack(
         status.incarnation,
@@ -303,7 +303,7 @@
 
 
 def decode_status(body: bytes) -> Status | None:
-    """Read the body of a status; None if it is malformed."""
+    """Decode the body of a status; return None if it is malformed."""
     if len(body) < STATUS.size:
         return None
     incarnation, state, slots, busy, flows, warming, time = STATUS.unpack_from(body)
@@ -328,7 +328,7 @@
 
 
 def decode_rosters(body: bytes) -> dict[str, Any] | None:
-    """Read the body of a roster; None if it is malformed."""
+    """Decode the body of a roster; return None if it is malformed."""
     try:
         fields = json.loads(body) if body else {}
     except ValueError:
@@ -337,24 +337,24 @@
 
 
 def encode_relay(address: str, raw: bytes) -> bytes:
-    """Return the body that asks for a packet to be sent on to an address."""
+    """Return the body that asks for a packet to be forwarded to an address."""
     return _pack_address(address) + raw
 
 
 def decode_relay(body: bytes) -> tuple[str, bytes] | None:
-    """Return the address and the packet, None if it is malformed."""
+    """Return the address and the packet, or None if the body is malformed."""
     if len(body) <= ADDRESS_SIZE:
         return None
     return _unpack_address(body[:ADDRESS_SIZE]), body[ADDRESS_SIZE:]
 
 
 def encode_owner(address: str, flows: list[bytes]) -> bytes:
-    """Return the body that tells who owns flows."""
+    """Return the body that names the owner of flows."""
     return _pack_address(address) + b"".join(flows)
 
 
 def decode_owner(body: bytes) -> tuple[str, list[bytes]] | None:
-    """Return the owner's address and the flows, None if it is malformed."""
+    """Return the owner's address and the flows, or None if malformed."""
     if len(body) < ADDRESS_SIZE or (len(body) - ADDRESS_SIZE) % FLOW_SIZE:
         return None
     starts = range(ADDRESS_SIZE, len(body), FLOW_SIZE)
@@ -366,8 +366,8 @@
 class Ended(NamedTuple):
     """A flow that has ended together with its target.
 
-    ``acknowledged`` is what its client had acknowledged: another flow may come
-    from the same port.
+    ``acknowledged`` is what its client had acknowledged; it distinguishes the flow from
+    a later one that uses the same port.
     """
 
     flow: bytes
@@ -375,12 +375,12 @@
 
 
 def encode_ended(flows: list[Ended]) -> bytes:
-    """Return the body that tells of flows that have ended."""
+    """Return the body that lists flows that have ended."""
     return b"".join(ENDED.pack(*each) for each in flows)
 
 
 def decode_ended(body: bytes) -> list[Ended] | None:
-    """Return the flows that have ended, None if the body is malformed."""
+    """Return the flows that have ended, or None if the body is malformed."""
     if len(body) % ENDED.size:
         return None
     return [Ended(flow, number) for flow, number in ENDED.iter_unpack(body)]
--- a/packages/zinniahook-core/src/zinniahook_core/packets/verdicts.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/verdicts.py
@@ -1,9 +1,9 @@
-"""What was found out of flows that nobody owns, for as long as it holds.
+"""Remembers flows for which a search has found no owner.
 
-A search asks a part of the service. What it has found out rests on who was there
-and who answered: nothing changes it but an agent that comes, comes back, starts
-again or hadn't answered, or an owner that tells of the flow. So a verdict keeps
-the roster's epoch in which its search began, and whose answer is missing.
+A search asks only some agents, so its result depends on the agents that were present
+and answered. It stays valid until an agent joins, comes back, restarts or gives a
+missing answer, or until an owner reports the flow. A verdict therefore records the
+roster's epoch at the start of its search and the agents whose answers are missing.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 __all__ = ["PERMANENT_EPOCH", "SearchVerdict", "Verdicts"]
 
 VERDICTS_LIMIT = 16384
-"""Verdicts kept, 4 MB; the oldest is forgotten, and its flow searched for again."""
+"""Verdicts kept, 4 MB. When the oldest is dropped, its flow is searched for again."""
 
 PERMANENT_EPOCH = 1 << 62
-"""Epoch of a verdict that no agent's coming changes: the flow has ended at its
+"""Epoch of a verdict that stays valid whatever agents join: the flow has ended at its
 own target."""
 
 SAME_FLOW_BYTES = 1 << 16
-"""Bytes around what the client acknowledged: more than a target has in flight.
-What goes wrong with more: the client opens another flow from the same port, and
-its packets are taken for those of the former one."""
+"""Distance from the acknowledged number within which a packet belongs to the same flow:
+more than a target has in flight. With a larger one, packets of a new flow that the
+client opens from the same port would be considered those of the former flow."""
 
 
 @dataclass(slots=True)
 class SearchVerdict:
-    """What is known of one flow that nobody owns.
+    """The result of a search that found no owner of a flow.
 
-    ``epoch`` is the roster's as the search began, ``missing`` who was asked in
-    vain or was silent; without any, certainly nobody owns the flow. ``until`` is
-    when no flow can be as old any more.
+    ``epoch`` is that of the roster when the search began. ``missing`` are the agents
+    that were silent or didn't answer; if there are none, the flow certainly has no
+    owner. ``until`` is when the flow exceeds its maximum age.
     """
 
     until: float
@@ -45,18 +45,18 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether the agent of the flow's own target has told its end."""
+        """Whether the agent of the flow's own target has reported its end."""
         return self.epoch == PERMANENT_EPOCH
 
     def covers(self, address: str, changed_epoch: int) -> bool:
-        """Tell whether it rests on an answer of an agent as it is now.
+        """Return whether the verdict includes the answer of an agent.
 
         Parameters
         ----------
         address : str
-            The agent's.
+            Address of the agent.
         changed_epoch : int
-            Epoch in which it came, came back, or started again.
+            Epoch in which it joined, came back or restarted.
         """
         return changed_epoch <= self.epoch and address not in self.missing
 
@@ -71,7 +71,7 @@
         return len(self._by_flow)
 
     def get(self, now: float, packet: Packet) -> SearchVerdict | None:
-        """Return the verdict on a packet's flow, None if there is none."""
+        """Return the verdict on a packet's flow, or None."""
         verdict = self._by_flow.get(packet.flow)
         if verdict is None or now >= verdict.until:
             return None
@@ -87,7 +87,7 @@
         epoch: int,
         missing: frozenset[str] = frozenset(),
     ) -> None:
-        """Remember what a search has found out, in place of what was known."""
+        """Store the result of a search, in place of an earlier one."""
         self._by_flow.pop(flow, None)
         until = now + FLOW_MAX_AGE_SECONDS
         self._by_flow[flow] = SearchVerdict(until, acknowledged, epoch, missing)
@@ -95,5 +95,5 @@
             del self._by_flow[next(iter(self._by_flow))]
 
     def forget(self, flow: bytes) -> None:
-        """Forget a verdict: the flow has an owner, or another one is opened."""
+        """Drop a verdict: the flow has an owner, or its key is used again."""
         self._by_flow.pop(flow, None)
--- a/packages/zinniahook-core/tests/test_packet_verdicts.py
+++ b/packages/zinniahook-core/tests/test_packet_verdicts.py
@@ -2,7 +2,7 @@
 
 import pytest
 from zinniahook_core.packets import Flag, Packet, State, tunnel
-from zinniahook_core.packets.candidates import CANDIDATES, LOST_AFTER_SECONDS
+from zinniahook_core.packets.candidates import CANDIDATES, LOST_SECONDS
 from zinniahook_core.packets.formers import FLOW_MAX_AGE_SECONDS
 from zinniahook_core.packets.members import Roster
 from zinniahook_core.packets.tunnel import Ended, Status
@@ -93,7 +93,7 @@
     def test_one_that_was_silent(self):
         roster = roster_of(NAMES[:3])
         epoch = roster.epoch
-        roster.learn(LOST_AFTER_SECONDS + 1, NAMES[1], 1, status())
+        roster.learn(LOST_SECONDS + 1, NAMES[1], 1, status())
         assert roster.by_address[NAMES[1]].changed_epoch == epoch + 1
 
     def test_one_whose_target_had_ended(self):
@@ -110,7 +110,7 @@
         epoch = roster.epoch
         roster.learn_heard_by_peer(0.1, NAMES[1], 0.0)
         assert roster.epoch == epoch
-        roster.learn_heard_by_peer(LOST_AFTER_SECONDS + 1, NAMES[1], 0.1)
+        roster.learn_heard_by_peer(LOST_SECONDS + 1, NAMES[1], 0.1)
         assert roster.by_address[NAMES[1]].changed_epoch == epoch + 1
 
 
@@ -134,16 +134,16 @@
         others = NAMES[:-1]
         self.heard(roster, 4.4, others)
         assert not roster.refresh(4.4).homes_changed
-        self.heard(roster, LOST_AFTER_SECONDS + 0.2, others)
-        assert roster.refresh(LOST_AFTER_SECONDS + 0.2).homes_changed
+        self.heard(roster, LOST_SECONDS + 0.2, others)
+        assert roster.refresh(LOST_SECONDS + 0.2).homes_changed
 
     def test_not_in_a_service_in_which_every_flow_concerns_all(self):
         names = NAMES[:CANDIDATES]
         roster = roster_of(names)
         roster.learn(0.1, names[-1], 2, status(State.ENDED))
         roster.refresh(0.2)
-        self.heard(roster, LOST_AFTER_SECONDS + 0.2, names[:-1])
-        assert not roster.refresh(LOST_AFTER_SECONDS + 0.2).homes_changed
+        self.heard(roster, LOST_SECONDS + 0.2, names[:-1])
+        assert not roster.refresh(LOST_SECONDS + 0.2).homes_changed
 
 
 class TestEntriesAndAgentsSeeTheSameHomes:
@@ -164,7 +164,7 @@
             for name in NAMES[4:]:
                 roster.learn(0.1, name, 0, status(State.ENDED))
             self.heard(roster, 0.2, [*NAMES[:4], "10.0.1.1", "10.0.1.2", "10.0.1.3"])
-            later = LOST_AFTER_SECONDS + 1.0
+            later = LOST_SECONDS + 1.0
             self.heard(roster, later, [*NAMES[:4], "10.0.1.1", "10.0.1.2", "10.0.1.3"])
         return entry, agent, later
 
