--- a/packages/zinniahook-core/src/zinniahook_core/packets/candidates.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/candidates.py
@@ -106,29 +106,33 @@
         }
 
     def _following(
-        self, now: float, ring: HashRing, flow: bytes, most: int
+        self, now: float, ring: HashRing, flow: bytes, limit: int
     ) -> Iterator[Member]:
         """Yield the candidates of a flow.
 
-        They are the first ``most`` members on the ring that aren't lost, and more if
+        They are the first ``limit`` members on the ring that aren't lost, and more if
         few of them are present: some agent must be able to open the flow.
         """
-        found = here = 0
+        found = present = 0
         for address in ring.after(flow):
             member = self._by_address[address]
             if self.is_lost(now, member):
                 continue
             found += 1
-            here += not self._is_silent(now, member)
+            present += not self._is_silent(now, member)
             yield member
-            if found >= WIDE_FACTOR * most or (found >= most and 2 * here >= most):
+            if found >= WIDE_FACTOR * limit or (
+                found >= limit and 2 * present >= limit
+            ):
                 return
 
-    def for_flow(self, now: float, flow: bytes, most: int = CANDIDATES) -> list[Member]:
+    def for_flow(
+        self, now: float, flow: bytes, limit: int = CANDIDATES
+    ) -> list[Member]:
         """Return the candidates of a flow, for clients of any data centre."""
-        if len(self._by_address) <= most:
+        if len(self._by_address) <= limit:
             return list(self._by_address.values())
-        return list(self._following(now, self._ring, flow, most))
+        return list(self._following(now, self._ring, flow, limit))
 
     def for_zone(self, now: float, flow: bytes, zone: int) -> list[Member]:
         """Return the members that may own a flow from one data centre."""
@@ -154,18 +158,18 @@
             return list(by_address.values())
         rings = [(self._ring, CANDIDATES)]
         rings += [(ring, 2 * ZONE_CANDIDATES) for ring in self._rings_by_zone.values()]
-        for ring, most in rings:
-            for member in self._ever_following(now, ring, flow, most):
+        for ring, limit in rings:
+            for member in self._ever_following(now, ring, flow, limit):
                 by_address[member.address] = member
         return list(by_address.values())
 
     def _ever_following(
-        self, now: float, ring: HashRing, flow: bytes, most: int
+        self, now: float, ring: HashRing, flow: bytes, limit: int
     ) -> Iterator[Member]:
         """Yield the members that may ever have been candidates of a flow.
 
         A flow that was opened before a member joined never had that member before its
-        other candidates. So a member counts if fewer than ``most`` members that joined
+        other candidates. So a member counts if fewer than ``limit`` members that joined
         no later than it precede it on the ring. In a service that has grown, a few more
         members are asked, not all.
         """
@@ -174,6 +178,6 @@
             member = self._by_address[address]
             if self.is_lost(now, member):
                 continue
-            if bisect.bisect_right(orders, member.order) < most:
+            if bisect.bisect_right(orders, member.order) < limit:
                 yield member
             bisect.insort(orders, member.order)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/entry.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/entry.py
@@ -456,12 +456,12 @@
         self,
         now: float,
         routes: Routes,
-        told: list[FormerService] | None = None,
+        reported: list[FormerService] | None = None,
         whole: bool = True,
     ) -> bool:
         """Apply a configuration; see `Node.configure`."""
-        installed = super().configure(now, routes, told, whole)
-        if installed or told:
+        installed = super().configure(now, routes, reported, whole)
+        if installed or reported:
             self._names_by_tag = {tag(name): name for name in self._services()}
         return installed
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/evacuations.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/evacuations.py
@@ -134,8 +134,8 @@
             self._install(stamp.position, NO_CENTRES)
             return False
         if stamp.position <= self._confirmed:
-            # This daemon's set is the newer one. What goes wrong without: others
-            # keep the older one, as its stamp is above the one told here.
+            # This daemon's set is the newer one. Its stamp is raised, as others would
+            # otherwise keep the older set, whose stamp is higher.
             self.stamp = self.stamp._replace(position=self._confirmed)
             return False
         if not self._is_behind(now):
@@ -199,7 +199,7 @@
         if self.stamp.position and era_of(position) > self.era:
             self.retained = former
             self._retained_until = None
-        # Once the store lists an order again, it also tells when that order ends.
+        # Once the store lists an order again, the store also shows when it ends.
         self.retained -= names
         self._listed = names
         self.stamp = Stamp(position, _digest(names, position))
--- a/packages/zinniahook-core/src/zinniahook_core/packets/formers.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/formers.py
@@ -73,13 +73,15 @@
                 for service in route.names - kept.names:
                     self._add(address, service, now + FLOW_MAX_AGE_SECONDS)
 
-    def learn(self, now: float, told: list[FormerService], whole: bool = True) -> None:
+    def learn(
+        self, now: float, reported: list[FormerService], whole: bool = True
+    ) -> None:
         """Add the former services of a peer or of the record.
 
         Then nothing older is missing, unless ``whole`` is false, as for the record of a
         restored store.
         """
-        for former in told:
+        for former in reported:
             left = min(FLOW_MAX_AGE_SECONDS, max(0.0, former.left))
             self._add(former.address, former.service, now + left)
         self.is_complete = self.is_complete or whole
@@ -98,8 +100,8 @@
         untils = self._until_by_address.get(route_key(flow))
         if not untils:
             return []
-        here = [(until, name) for name, until in untils.items() if until > now]
-        return [name for _, name in sorted(here, reverse=True)]
+        valid = [(until, name) for name, until in untils.items() if until > now]
+        return [name for _, name in sorted(valid, reverse=True)]
 
     def services(self) -> set[str]:
         """Return all former services."""
--- a/packages/zinniahook-core/src/zinniahook_core/packets/homes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/homes.py
@@ -344,7 +344,7 @@
         reasons = set(attempt.refused.values())
         if Reason.FULL in reasons and reasons <= LASTING_REASONS:
             return "reset.full"
-        # A copy may follow one that another home has placed, and whose target
+        # A copy may follow an opening that another home has placed and whose target
         # has answered: a reset would end an open flow.
         first = not attempt.tried and not packet.acknowledged
         certain = self.node.evacuations.is_certain(now)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/incarnations.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/incarnations.py
@@ -65,19 +65,21 @@
         self._born_by_former: dict[str, int | None] = {}
         self._unconfirmed: _Unconfirmed | None = None
 
-    def classify(self, now: float, beat: Heartbeat) -> HeartbeatOrigin:
+    def classify(self, now: float, heartbeat: Heartbeat) -> HeartbeatOrigin:
         """Record a heartbeat and return its origin."""
-        start = _Start(beat.target, beat.born)
+        start = _Start(heartbeat.target, heartbeat.born)
         current = self._current
         if current is None:
-            return self._begin(start, beat)
-        if self._is_current(current, start) and beat.number > self._number:
-            self._number = beat.number
+            return self._begin(start, heartbeat)
+        if self._is_current(current, start) and heartbeat.number > self._number:
+            self._number = heartbeat.number
             self._unconfirmed = None
             return HeartbeatOrigin.CURRENT
-        if self._is_later(current, start) or self._persists(now, start, beat.number):
+        if self._is_later(current, start) or self._persists(
+            now, start, heartbeat.number
+        ):
             self._retire(current)
-            return self._begin(start, beat)
+            return self._begin(start, heartbeat)
         return HeartbeatOrigin.LATE
 
     def is_former(self, target: str, born: int | None) -> bool:
@@ -87,9 +89,9 @@
             return target in self._born_by_former
         return _is_later(current.born, born)
 
-    def _begin(self, start: _Start, beat: Heartbeat) -> HeartbeatOrigin:
+    def _begin(self, start: _Start, heartbeat: Heartbeat) -> HeartbeatOrigin:
         self._current = start
-        self._number = beat.number
+        self._number = heartbeat.number
         self._unconfirmed = None
         return HeartbeatOrigin.STARTED
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/members.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/members.py
@@ -314,7 +314,7 @@
         """Return the members that may own a flow opened under another roster."""
         return self._candidates.widened(now, flow)
 
-    def homes(self, now: float, flow: bytes, most: int = 2) -> list[str]:
+    def homes(self, now: float, flow: bytes, limit: int = 2) -> list[str]:
         """Return the best ranked present members for a flow.
 
         Agents without a target are skipped while others exist. Such an agent is new and
@@ -323,12 +323,12 @@
         gone.
         """
         members = self._candidates.for_flow(now, flow)
-        here = [member for member in members if not self.is_silent(now, member)]
-        with_target = [m.address for m in here if not m.has_no_target]
-        names = with_target or [m.address for m in here]
+        present = [member for member in members if not self.is_silent(now, member)]
+        with_target = [m.address for m in present if not m.has_no_target]
+        names = with_target or [m.address for m in present]
         if len(names) <= 1:
             return names
-        return rendezvous.rank(flow, names)[:most]
+        return rendezvous.rank(flow, names)[:limit]
 
     def home(self, now: float, flow: bytes) -> str | None:
         """Return the home of a flow, which knows its owner or places it."""
@@ -359,7 +359,7 @@
     def _accepting(
         self, now: float, members: list[Member], without: Iterable[str]
     ) -> list[Member]:
-        here = [
+        present = [
             member
             for member in members
             if member.address not in without
@@ -368,10 +368,10 @@
         ]
         takers: list[Member] = []
         for state in (State.READY, State.ANSWERING):
-            takers += [member for member in here if member.state is state]
+            takers += [member for member in present if member.state is state]
             if any(member.has_free_slot for member in takers):
                 return takers
-        starting = [member for member in here if member.state is State.STARTING]
+        starting = [member for member in present if member.state is State.STARTING]
         if not takers:
             return starting
         return takers + [m for m in starting if m.has_free_slot and not m.placed]
@@ -413,8 +413,8 @@
         """
         among = list(self.by_address.values()) if among is None else among
         absent = self.absent(now, among)
-        most = 2 * len(absent) > len(among)
-        unknown_after = LOST_SECONDS if most else UNHEARD_LOST_SECONDS
+        mostly_silent = 2 * len(absent) > len(among)
+        unknown_after = LOST_SECONDS if mostly_silent else UNHEARD_LOST_SECONDS
         unseen = []
         for address in absent:
             # A search may still refer to a member that was forgotten.
--- a/packages/zinniahook-core/src/zinniahook_core/packets/membership.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/membership.py
@@ -190,8 +190,8 @@
         self.work.tick(now)
         if self.work.is_due(now):
             members = self.roster.by_address.values()
-            told = (m.sections.get(Section.WORK, b"") for m in members)
-            self.work.pool(now, told)
+            reported = (m.sections.get(Section.WORK, b"") for m in members)
+            self.work.pool(now, reported)
 
     def ask(self, now: float, address: str) -> None:
         """Ask a peer for its status, unless a question is already pending."""
@@ -337,14 +337,14 @@
             self._send_rows(now, entry, self.roster.rows(now))
 
     def _answer_entry(self, now: float, entry: str, body: bytes) -> None:
-        told = self._answered_at_by_entry.get(entry, NEVER)
+        answered_at = self._answered_at_by_entry.get(entry, NEVER)
         self._answered_at_by_entry[entry] = now
         self._entries_owed.pop(entry, None)
         self._send(now, entry, body)
-        if self.roster.last_joined_at <= told or told == NEVER:
+        if self.roster.last_joined_at <= answered_at or answered_at == NEVER:
             return
         if self._node.rng.random() * len(self.roster.by_address) < NEW_MEMBER_REPORTERS:
-            self._send_rows(now, entry, self.roster.rows(now, told))
+            self._send_rows(now, entry, self.roster.rows(now, answered_at))
 
     def _send(self, now: float, address: str, body: bytes) -> None:
         self._node.send(now, address, Kind.STATUS, body, service=self.service)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/node.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/node.py
@@ -77,25 +77,25 @@
         self.evacuations = Evacuations()
         self.zone = zone_tag(data_centre)
         self.data_centres: frozenset[str] = frozenset()
-        """All data centres of the deployment; empty if the settings tell none."""
+        """All data centres of the deployment; empty if the settings name none."""
 
     def configure(
         self,
         now: float,
         routes: Routes,
-        told: list[FormerService] | None = None,
+        reported: list[FormerService] | None = None,
         whole: bool = True,
     ) -> bool:
         """Apply a configuration unless it is older than the present one.
 
-        ``told`` are the former services that the sender knows, None if it reports none;
-        ``whole`` is whether they are complete.
+        ``reported`` are the former services that the sender knows, None if it reports
+        none; ``whole`` is whether they are complete.
 
         Without the version check, a slow answer of the store that is overtaken by a
         push brings back a route that was removed.
         """
-        if told is not None:
-            self.formers.learn(now, told, whole)
+        if reported is not None:
+            self.formers.learn(now, reported, whole)
         if routes.version <= self.routes.version:
             return False
         former = self.routes.version
@@ -115,8 +115,8 @@
     def may_lack_routes(self) -> bool:
         """Whether the configuration may come from an older copy of the store.
 
-        A process that starts can't tell until a peer reports a newer one, or that the
-        record belongs to the store's present era.
+        A process that starts doesn't know a newer one until a peer reports it, or
+        reports that the record belongs to the store's present era.
         """
         return self.evacuations.era > 0 and not self.formers.is_complete
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/searches.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/searches.py
@@ -119,10 +119,10 @@
         search = Search(now, now + SEARCH_RETRY_SECONDS, head, packet)
         search.epoch = self.roster.epoch
         again = self._recall_denials(now, search)
-        here = Acceptance.NO
+        acceptance = Acceptance.NO
         if self.node.address not in search.denied:
-            here = self._search_here(now, head, packet)
-        if here is Acceptance.YES:
+            acceptance = self._search_here(now, head, packet)
+        if acceptance is Acceptance.YES:
             return
         self._by_flow[packet.flow] = search
         self.node.log.event(
@@ -132,7 +132,7 @@
             length=packet.length,
             agents=len(self._not_asked(now, search)),
         )
-        if here is Acceptance.OPEN:
+        if acceptance is Acceptance.OPEN:
             search.wave_at = now
             search.waiting[self.node.address] = now
             return
@@ -308,10 +308,10 @@
         """
         for address, asked_at in search.waiting.items():
             member = self.roster.by_address.get(address)
-            shown = member is not None and member.status_received_at >= asked_at
-            shown = shown or address == self.node.address
+            is_running = member is not None and member.status_received_at >= asked_at
+            is_running = is_running or address == self.node.address
             if now - asked_at < (
-                WAVE_TIMEOUT_SECONDS if shown else SEARCH_RETRY_SECONDS
+                WAVE_TIMEOUT_SECONDS if is_running else SEARCH_RETRY_SECONDS
             ):
                 return True
         return False
