--- a/packages/zinniahook-core/tests/test_packet_evacuations.py
+++ b/packages/zinniahook-core/tests/test_packet_evacuations.py
@@ -13,24 +13,24 @@
 AB = frozenset({"thies-a", "thies-b"})
 
 
-def knowing(revision, names):
+def evacuations_at(revision, names):
     evacuations = Evacuations()
     evacuations.read(revision, names)
     return evacuations
 
 
-def tell(teller, hearer):
+def send(sender, receiver):
     """Let one daemon's datagram arrive at another, which asks if it must."""
-    if hearer.compare(NOW, teller.stamp):
-        hearer.merge(teller.encode())
+    if receiver.compare(NOW, sender.stamp):
+        receiver.merge(sender.encode())
 
 
 class TestReadingTheStore:
-    def test_nothing_is_certain_before(self):
+    def test_nothing_is_certain_before_the_first_read(self):
         assert not Evacuations().is_certain(NOW)
 
     def test_an_order_and_its_end_are_taken(self):
-        known = knowing(5, NONE)
+        known = evacuations_at(5, NONE)
         assert known.is_certain(NOW)
         assert known.read(6, A)
         assert known.names == A
@@ -43,52 +43,52 @@
         Sequence: a read is answered late, after a peer told of a newer set.
         Cause: the answer passes for the newest because it came last.
         """
-        known = knowing(5, A)
-        known.merge(knowing(8, NONE).encode())
+        known = evacuations_at(5, A)
+        known.merge(evacuations_at(8, NONE).encode())
         assert not known.read(6, A)
         assert known.names == NONE
 
     def test_a_revision_of_zero_is_known(self):
-        assert knowing(0, NONE).is_certain(NOW)
+        assert evacuations_at(0, NONE).is_certain(NOW)
 
 
-class TestHearingOthers:
+class TestReceivingSets:
     def test_a_newer_set_is_asked_for_and_taken(self):
-        hearer, teller = knowing(5, NONE), knowing(9, A)
-        assert hearer.compare(NOW, teller.stamp)
-        assert not hearer.is_certain(NOW)
-        assert hearer.merge(teller.encode())
-        assert hearer.is_certain(NOW)
-        assert hearer.names == A
+        receiver, sender = evacuations_at(5, NONE), evacuations_at(9, A)
+        assert receiver.compare(NOW, sender.stamp)
+        assert not receiver.is_certain(NOW)
+        assert receiver.merge(sender.encode())
+        assert receiver.is_certain(NOW)
+        assert receiver.names == A
 
     def test_an_older_set_is_not(self):
-        hearer, teller = knowing(9, A), knowing(5, NONE)
-        assert not hearer.compare(NOW, teller.stamp)
-        assert not hearer.merge(teller.encode())
-        assert hearer.names == A
-
-    def test_a_daemon_that_starts_need_not_ask_for_nothing(self):
-        hearer = Evacuations()
-        assert not hearer.compare(NOW, knowing(9, NONE).stamp)
-        assert hearer.is_certain(NOW)
-
-    def test_a_daemon_that_starts_asks_for_orders(self):
-        hearer, teller = Evacuations(), knowing(9, A)
-        tell(teller, hearer)
-        assert hearer.names == A
-
-    def test_one_that_knows_nothing_shows_nothing(self):
-        hearer = knowing(5, A)
-        assert not hearer.compare(NOW, Evacuations().stamp)
-        assert hearer.names == A
+        receiver, sender = evacuations_at(9, A), evacuations_at(5, NONE)
+        assert not receiver.compare(NOW, sender.stamp)
+        assert not receiver.merge(sender.encode())
+        assert receiver.names == A
+
+    def test_a_starting_daemon_need_not_request_the_empty_set(self):
+        receiver = Evacuations()
+        assert not receiver.compare(NOW, evacuations_at(9, NONE).stamp)
+        assert receiver.is_certain(NOW)
+
+    def test_a_starting_daemon_requests_orders(self):
+        receiver, sender = Evacuations(), evacuations_at(9, A)
+        send(sender, receiver)
+        assert receiver.names == A
+
+    def test_a_daemon_without_a_set_shows_nothing(self):
+        receiver = evacuations_at(5, A)
+        assert not receiver.compare(NOW, Evacuations().stamp)
+        assert receiver.names == A
 
     def test_the_same_set_under_a_later_revision_is_not_asked_for(self):
-        hearer, teller = knowing(5, A), knowing(9, A)
-        assert not hearer.compare(NOW, teller.stamp)
-        assert hearer.agrees(teller.stamp)
+        receiver, sender = evacuations_at(5, A), evacuations_at(9, A)
+        assert not receiver.compare(NOW, sender.stamp)
+        assert receiver.agrees(sender.stamp)
 
     def test_a_malformed_set_changes_nothing(self):
-        known = knowing(5, A)
+        known = evacuations_at(5, A)
         for body in (
             b"",
             b"{}",
@@ -104,8 +104,8 @@
         assert known.names == A
         assert known.stamp.position == 5
 
-    def test_questions_are_spaced(self):
-        known = knowing(5, A)
+    def test_requests_are_spaced(self):
+        known = evacuations_at(5, A)
         assert known.may_request(1.0)
         assert not known.may_request(1.01)
         assert known.may_request(1.1)
@@ -120,34 +120,38 @@
     """
 
     def test_the_last_order_stands(self):
-        first, second = knowing(5, A), knowing(7, NONE)
+        first, second = evacuations_at(5, A), evacuations_at(7, NONE)
         first.read(9, A)
-        tell(second, first)
+        send(second, first)
         assert first.names == A
-        tell(first, second)
+        send(first, second)
         assert second.names == A
 
-    def test_all_agree_in_whichever_order_they_hear(self):
-        first, second, third = knowing(5, A), knowing(7, NONE), knowing(3, AB)
+    def test_all_agree_in_any_order_of_datagrams(self):
+        first, second, third = (
+            evacuations_at(5, A),
+            evacuations_at(7, NONE),
+            evacuations_at(3, AB),
+        )
         first.read(9, A)
-        for teller, hearer in ((second, third), (third, first), (second, first)):
-            tell(teller, hearer)
-        for hearer in (second, third):
-            tell(first, hearer)
+        for sender, receiver in ((second, third), (third, first), (second, first)):
+            send(sender, receiver)
+        for receiver in (second, third):
+            send(first, receiver)
         assert first.names == second.names == third.names == A
 
-    def test_a_sleeper_brings_nothing_back(self):
-        sleeper, awake = knowing(5, A), knowing(8, NONE)
-        tell(sleeper, awake)
+    def test_a_suspended_daemon_restores_no_older_set(self):
+        suspended, awake = evacuations_at(5, A), evacuations_at(8, NONE)
+        send(suspended, awake)
         assert awake.names == NONE
-        tell(awake, sleeper)
-        assert sleeper.names == NONE
+        send(awake, suspended)
+        assert suspended.names == NONE
 
-    def test_history_is_never_run_backwards(self):
+    def test_positions_never_decrease(self):
         known, seen = Evacuations(), []
         history = [(2, NONE), (4, A), (6, NONE), (8, A), (9, AB)]
         for revision, names in (history[1], history[0], history[3], history[2]):
-            known.merge(knowing(revision, names).encode())
+            known.merge(evacuations_at(revision, names).encode())
             seen.append(known.stamp.position)
         known.read(*history[4])
         assert seen == sorted(seen)
@@ -159,20 +163,20 @@
         assert Evacuations().stamp == Stamp(0, 0)
 
     def test_sets_differ(self):
-        digests = {knowing(1, names).stamp.digest for names in (NONE, A, AB)}
+        digests = {evacuations_at(1, names).stamp.digest for names in (NONE, A, AB)}
         assert len(digests) == 3
 
 
-class TestNewerSetThatNobodyTells:
+class TestNewerSetThatNoDaemonSends:
     """Symptom: a target gets nothing for as long as its agent runs.
 
     Sequence: a daemon reads an order, shows its stamp and dies before it is asked.
     Cause: whoever has seen the stamp waits for a set that nobody has.
     """
 
-    def test_is_waited_for_and_then_looked_up(self):
-        known = knowing(5, NONE)
-        assert known.compare(NOW, knowing(9, A).stamp)
+    def test_is_waited_for_and_then_read_from_the_store(self):
+        known = evacuations_at(5, NONE)
+        assert known.compare(NOW, evacuations_at(9, A).stamp)
         assert not known.is_certain(NOW)
         assert not known.must_read(NOW)
         assert known.must_read(NOW + CLAIM_WAIT_SECONDS + 0.01)
@@ -180,10 +184,10 @@
         assert known.is_certain(NOW + CLAIM_WAIT_SECONDS + 0.02)
 
     def test_is_not_waited_for_ever(self):
-        known = knowing(5, NONE)
-        known.compare(NOW, knowing(9, A).stamp)
+        known = evacuations_at(5, NONE)
+        known.compare(NOW, evacuations_at(9, A).stamp)
         assert not known.is_certain(NOW + CLAIM_EXPIRY_SECONDS)
         assert known.is_certain(NOW + CLAIM_EXPIRY_SECONDS + 0.01)
 
-    def test_a_daemon_that_knows_no_set_waits_for_one(self):
+    def test_a_daemon_without_a_set_waits_for_one(self):
         assert not Evacuations().is_certain(NOW + 100 * CLAIM_EXPIRY_SECONDS)
--- a/packages/zinniahook-core/tests/test_packet_members.py
+++ b/packages/zinniahook-core/tests/test_packet_members.py
@@ -17,11 +17,11 @@
     return Status(incarnation, state, 2, 0.0, 0, 0.0, 0.05)
 
 
-def roster(count=2, now=0.0):
-    made = Roster("tally", OWN)
+def roster_of(count=2, now=0.0):
+    roster = Roster("tally", OWN)
     for number in range(1, count + 1):
-        made.learn(now, f"10.0.{number // 250}.{number % 250}", 1, status())
-    return made
+        roster.learn(now, f"10.0.{number // 250}.{number % 250}", 1, status())
+    return roster
 
 
 class TestMemberThatIsForgotten:
@@ -32,10 +32,10 @@
         silent for a minute and is forgotten; the search goes on. Cause: it was
         looked up among the members again.
         """
-        made = roster()
-        lost = made.by_address[PEER]
-        made.drop(PEER)
-        assert made.unseen(MEMBER_EXPIRY_SECONDS + 1.0, [lost]) == []
+        roster = roster_of()
+        lost = roster.by_address[PEER]
+        roster.drop(PEER)
+        assert roster.unseen(MEMBER_EXPIRY_SECONDS + 1.0, [lost]) == []
 
 
 class TestMemberThatComesBack:
@@ -46,14 +46,14 @@
         it is heard more rarely; it comes back. Cause: by the new measure it had never
         been silent, and what was found without it went on counting.
         """
-        made = roster(50)
+        roster = roster_of(50)
         later = 6.0
         for number in range(51, 400):
-            made.learn(later, f"10.0.{number // 250}.{number % 250}", 1, status())
-        member = made.by_address[PEER]
-        assert not made.is_silent(later, member)
+            roster.learn(later, f"10.0.{number // 250}.{number % 250}", 1, status())
+        member = roster.by_address[PEER]
+        assert not roster.is_silent(later, member)
         before = member.changed_epoch
-        made.learn(later, PEER, 1, status())
+        roster.learn(later, PEER, 1, status())
         assert member.changed_epoch > before
 
 
@@ -65,13 +65,13 @@
         cut off from the home only; peers tell that they hear it. Cause: the last
         word of the former one stood for ever.
         """
-        made = roster(3)
-        made.learn(1.0, PEER, 1, status(State.ENDED))
-        made.learn_heard_by_peer(1.4, PEER, 0.3)
-        assert made.has_ended(PEER)
-        made.learn_heard_by_peer(4.0, PEER, 0.1)
-        assert not made.has_ended(PEER)
-        assert made.unseen(6.5, [made.by_address[PEER]]) == [PEER]
+        roster = roster_of(3)
+        roster.learn(1.0, PEER, 1, status(State.ENDED))
+        roster.learn_heard_by_peer(1.4, PEER, 0.3)
+        assert roster.has_ended(PEER)
+        roster.learn_heard_by_peer(4.0, PEER, 0.1)
+        assert not roster.has_ended(PEER)
+        assert roster.unseen(6.5, [roster.by_address[PEER]]) == [PEER]
 
 
 class TestRowsOfARoster:
--- a/packages/zinniahook-core/tests/test_packet_neighbours.py
+++ b/packages/zinniahook-core/tests/test_packet_neighbours.py
@@ -46,8 +46,8 @@
             assert sorted(ring.after(key)) == sorted(NAMES)
 
     def test_the_order_of_adding_changes_nothing(self):
-        one, other = ring_of(NAMES), ring_of(reversed(NAMES))
-        assert all(list(one.after(k)) == list(other.after(k)) for k in KEYS[:20])
+        first, second = ring_of(NAMES), ring_of(reversed(NAMES))
+        assert all(list(first.after(k)) == list(second.after(k)) for k in KEYS[:20])
 
     def test_a_name_that_leaves_only_closes_its_own_gap(self):
         ring = ring_of(NAMES)
@@ -65,7 +65,7 @@
 
 
 class TestMembersOfAFlow:
-    def test_a_flow_concerns_as_many_in_any_service(self):
+    def test_a_flow_has_as_many_candidates_in_any_service(self):
         for size in (20, 100):
             roster = roster_of(NAMES[:size])
             for key in KEYS[:50]:
@@ -87,7 +87,7 @@
             assert homes <= set(addresses(roster.candidates(0.0, key, 2)))
 
     @pytest.mark.parametrize("factor", [2, 5])
-    def test_the_wider_circle_holds_owners_of_before_the_growth(self, factor):
+    def test_the_wide_candidates_include_owners_from_before_the_growth(self, factor):
         """Symptom: a flow is reset although its target lives.
 
         Sequence: the service grows manyfold, then every agent starts again.
@@ -105,7 +105,7 @@
     asking whether they are back. Cause: each is asked twice a second.
     """
 
-    def test_are_asked_ever_more_rarely(self):
+    def test_are_probed_less_and_less_often(self):
         roster = roster_of(NAMES[:1])
         roster.expect_answer(0.0, NAMES[0])
         asked = [now for now in range(2, 60) if roster.probes_due(float(now))]
@@ -114,7 +114,7 @@
         assert max(pauses) == PROBE_MAX_SECONDS
 
 
-class TestInquiries:
+class TestLoadPolls:
     def setup_method(self):
         self.asked = []
         self.done = []
@@ -138,7 +138,7 @@
         near = [m for m in self.takers if m.address in self.asked and m.zone == 0]
         assert len(near) >= KNOWN_LOADS / 2
 
-    def test_ends_when_all_have_told(self):
+    def test_ends_when_all_have_reported(self):
         self.begin()
         for address in self.asked:
             assert self.done == []
@@ -152,13 +152,13 @@
         self.polls.tick(POLL_TIMEOUT_SECONDS)
         assert self.done == [self.packet.flow]
 
-    def test_asks_nobody_whose_load_is_known(self):
+    def test_asks_no_agent_whose_load_is_known(self):
         for member in self.takers[:KNOWN_LOADS]:
             member.status_received_at = 0.0
         assert not self.begin(0.01)
         assert self.asked == []
 
-    def test_who_has_not_told_is_not_chosen_if_others_have(self):
+    def test_agents_without_known_load_are_skipped_if_others_have_one(self):
         self.takers[2].status_received_at = 1.0
         assert with_known_load(1.0, "own", self.takers) == [self.takers[2]]
         assert with_known_load(2.0, "own", self.takers) == self.takers
--- a/packages/zinniahook-core/tests/test_packet_restores.py
+++ b/packages/zinniahook-core/tests/test_packet_restores.py
@@ -22,20 +22,20 @@
 ROUTE = bytes((198, 18, 0, 1, 1, 187))
 
 
-def knowing(revision, names, era=1):
+def evacuations_at(revision, names, era=1):
     evacuations = Evacuations()
     evacuations.read(revision, names, era)
     return evacuations
 
 
-def tell(teller, hearer, now=NOW):
+def send(sender, receiver, now=NOW):
     """Let one daemon's datagram arrive at another, which asks if it must."""
-    place, digest = teller.stamp
-    sent = tunnel.encode(Head(Kind.HELLO, evacuated_at=place, evacuated=digest))
+    position, digest = sender.stamp
+    sent = tunnel.encode(Head(Kind.HELLO, evacuated_at=position, evacuated=digest))
     head, _ = tunnel.decode(sent)
-    if hearer.compare(now, Stamp(head.evacuated_at, head.evacuated)):
-        hearer.merge(teller.encode())
-    hearer.expire(now)
+    if receiver.compare(now, Stamp(head.evacuated_at, head.evacuated)):
+        receiver.merge(sender.encode())
+    receiver.expire(now)
 
 
 class TestPositions:
@@ -69,18 +69,18 @@
     """
 
     def test_an_order_of_the_new_era_is_taken_at_a_lower_revision(self):
-        known = knowing(1000, NONE)
+        known = evacuations_at(1000, NONE)
         assert not known.read(900, NONE, 2)
         assert known.read(950, B, 2)
         assert known.names == B
 
     def test_the_same_revision_with_other_orders_is_taken(self):
-        known = knowing(1000, NONE)
+        known = evacuations_at(1000, NONE)
         assert known.read(1000, A, 2)
         assert known.names == A
 
     def test_two_restores_within_a_second(self):
-        known = knowing(1000, NONE)
+        known = evacuations_at(1000, NONE)
         known.read(900, A, 2)
         known.read(800, B, 3)
         assert not known.read(901, AB, 2)
@@ -92,58 +92,61 @@
         sent, the store is restored, others tell the new set, the read is answered.
         Cause: its revision is the higher one.
         """
-        known = knowing(1000, NONE)
-        known.merge(knowing(900, NONE, 2).encode())
-        known.compare(NOW, knowing(901, NONE, 2).stamp)
+        known = evacuations_at(1000, NONE)
+        known.merge(evacuations_at(900, NONE, 2).encode())
+        known.compare(NOW, evacuations_at(901, NONE, 2).stamp)
         assert not known.read(1001, A, 1)
         assert known.names == NONE
 
-    def test_a_late_told_set_of_the_former_era_changes_nothing(self):
-        known = knowing(900, NONE, 2)
-        assert not known.merge(knowing(1001, A, 1).encode())
-        assert not known.compare(NOW, knowing(1001, A, 1).stamp)
+    def test_a_late_set_of_the_former_era_changes_nothing(self):
+        known = evacuations_at(900, NONE, 2)
+        assert not known.merge(evacuations_at(1001, A, 1).encode())
+        assert not known.compare(NOW, evacuations_at(1001, A, 1).stamp)
         assert known.names == NONE
         assert known.is_certain(NOW)
 
-    def test_who_does_not_read_hears_of_it_from_datagrams(self):
+    def test_a_daemon_that_cannot_read_learns_it_from_datagrams(self):
         """Symptom: a third of the daemons, cut off from the store, keep old orders.
         Sequence: they hear others only. Cause: a stamp without the era is older.
         """
-        reader, cut_off = knowing(900, B, 2), knowing(1000, NONE)
-        tell(reader, cut_off)
+        reader, cut_off = evacuations_at(900, B, 2), evacuations_at(1000, NONE)
+        send(reader, cut_off)
         assert cut_off.names == B
         assert cut_off.era == 2
 
-    def test_who_has_the_same_orders_need_not_ask(self):
+    def test_a_daemon_with_the_same_orders_need_not_request(self):
         for names in (NONE, A):
-            reader, hearer = knowing(900, names, 2), knowing(1000, names)
-            assert not hearer.compare(NOW, reader.stamp)
-            assert hearer.era == 2
-            assert hearer.agrees(reader.stamp)
-            assert hearer.encode() == reader.encode()
-
-    def test_one_that_slept_through_it_brings_nothing_back(self):
-        sleeper, awake = knowing(1000, A), knowing(900, NONE, 2)
-        tell(sleeper, awake)
+            reader, receiver = (
+                evacuations_at(900, names, 2),
+                evacuations_at(1000, names),
+            )
+            assert not receiver.compare(NOW, reader.stamp)
+            assert receiver.era == 2
+            assert receiver.agrees(reader.stamp)
+            assert receiver.encode() == reader.encode()
+
+    def test_a_daemon_suspended_meanwhile_restores_no_older_set(self):
+        suspended, awake = evacuations_at(1000, A), evacuations_at(900, NONE, 2)
+        send(suspended, awake)
         assert awake.names == NONE
-        tell(awake, sleeper)
-        assert sleeper.era == 2
+        send(awake, suspended)
+        assert suspended.era == 2
 
-    def test_one_that_starts_knows_the_empty_set_at_once(self):
-        starter = Evacuations()
-        assert not starter.compare(NOW, knowing(900, NONE, 2).stamp)
-        assert starter.is_certain(NOW)
+    def test_a_starting_daemon_knows_the_empty_set_at_once(self):
+        starting = Evacuations()
+        assert not starting.compare(NOW, evacuations_at(900, NONE, 2).stamp)
+        assert starting.is_certain(NOW)
 
     def test_daemons_of_different_eras_do_not_confirm_each_other(self):
         """Symptom: an order is acted on late. Sequence: a daemon still reads the
         former era and confirms the same set; everybody rests on it. Cause: the
         sets have the same digest.
         """
-        assert not knowing(900, A, 2).agrees(knowing(1000, A, 1).stamp)
+        assert not evacuations_at(900, A, 2).agrees(evacuations_at(1000, A, 1).stamp)
 
     def test_without_eras_everything_is_as_before(self):
-        assert knowing(9, A, 0).encode() == b'[9,"thies-a"]'
-        assert knowing(9, NONE, 0).stamp == Stamp(9, 0)
+        assert evacuations_at(9, A, 0).encode() == b'[9,"thies-a"]'
+        assert evacuations_at(9, NONE, 0).stamp == Stamp(9, 0)
 
 
 class TestOrdersThatTheCopyLacks:
@@ -155,7 +158,7 @@
     """
 
     def test_stay_in_force_for_a_while(self):
-        known = knowing(1000, A)
+        known = evacuations_at(1000, A)
         assert not known.read(900, NONE, 2)
         assert not known.expire(NOW)
         assert known.names == A
@@ -163,34 +166,34 @@
         assert known.expire(NOW + RETAINED_SECONDS)
         assert known.names == NONE
 
-    def test_at_daemons_that_hear_of_the_restore_too(self):
-        hearer = knowing(1000, A)
-        tell(knowing(900, NONE, 2), hearer)
-        assert hearer.names == A
-        assert hearer.tags
-        assert hearer.is_certain(NOW)
+    def test_also_at_daemons_that_learn_of_the_restore_from_others(self):
+        receiver = evacuations_at(1000, A)
+        send(evacuations_at(900, NONE, 2), receiver)
+        assert receiver.names == A
+        assert receiver.tags
+        assert receiver.is_certain(NOW)
 
-    def test_others_are_told_only_what_the_store_lists(self):
+    def test_others_are_sent_only_what_the_store_lists(self):
         """Symptom: everybody reads the store. Sequence: one daemon retains an order
         and another one has just started. Cause: their sets never agree.
         """
-        retaining, starter = knowing(1000, A), knowing(900, NONE, 2)
+        retaining, starting = evacuations_at(1000, A), evacuations_at(900, NONE, 2)
         retaining.read(900, NONE, 2)
-        assert retaining.agrees(starter.stamp)
+        assert retaining.agrees(starting.stamp)
 
-    def test_written_again_they_end_when_they_are_taken_back(self):
+    def test_written_again_they_end_when_they_are_withdrawn(self):
         """Symptom: a data centre stays empty though its order was taken back.
         Cause: the order counts as one of the former era for its whole time.
         """
-        known = knowing(1000, A)
+        known = evacuations_at(1000, A)
         known.read(900, NONE, 2)
         known.expire(NOW)
         known.read(905, A, 2)
         known.read(910, NONE, 2)
         assert known.names == NONE
 
-    def test_a_second_restore_begins_their_time_anew(self):
-        known = knowing(1000, A)
+    def test_a_second_restore_restarts_their_time(self):
+        known = evacuations_at(1000, A)
         known.read(900, NONE, 2)
         known.expire(NOW)
         known.read(800, NONE, 3)
@@ -199,7 +202,7 @@
         assert known.names == A
 
     def test_an_order_that_the_copy_has_again_is_in_force(self):
-        known = knowing(1000, NONE)
+        known = evacuations_at(1000, NONE)
         known.read(900, A, 2)
         known.read(901, NONE, 2)
         assert known.names == NONE
@@ -214,14 +217,14 @@
     """
 
     def test_it_takes_a_set_of_the_new_era_as_the_newest(self):
-        place = position_of(2, 900)
-        assert knowing(900, A, 2).encode() == b'[%d,"thies-a"]' % place
-        assert 0 < place < 1 << 63
+        position = position_of(2, 900)
+        assert evacuations_at(900, A, 2).encode() == b'[%d,"thies-a"]' % position
+        assert 0 < position < 1 << 63
 
-    def test_its_confirmations_count_for_nothing(self):
-        place = knowing(900, NONE, 2).stamp.position
-        without_era = Stamp(place, 0)
-        assert not knowing(900, NONE, 2).agrees(without_era)
+    def test_its_confirmations_are_ignored(self):
+        position = evacuations_at(900, NONE, 2).stamp.position
+        without_era = Stamp(position, 0)
+        assert not evacuations_at(900, NONE, 2).agrees(without_era)
 
     def test_a_stamp_that_is_cut_short_is_malformed(self):
         whole = tunnel.encode(Head(Kind.HELLO, evacuated_at=position_of(2, 9)))
@@ -230,11 +233,11 @@
 
     @pytest.mark.parametrize("body", [b"[%d]" % POSITION_LIMIT, b"[-1]", b"[2,900]"])
     def test_a_set_at_no_position_is_malformed(self, body):
-        assert knowing(900, A, 2).merge(body) is None
+        assert evacuations_at(900, A, 2).merge(body) is None
 
 
 class TestFormerServicesOfACopy:
-    def test_are_learned_without_passing_for_all(self):
+    def test_are_learned_as_incomplete(self):
         formers = FormerServices()
         formers.begin(NOW)
         formers.learn(NOW, [FormerService(ROUTE, "docs", 9.0)], whole=False)
--- a/packages/zinniahook-core/tests/test_packet_sections.py
+++ b/packages/zinniahook-core/tests/test_packet_sections.py
@@ -10,18 +10,18 @@
 
 
 class TestSections:
-    def test_a_status_without_any_is_as_short_as_ever(self):
+    def test_a_status_without_sections_has_18_bytes(self):
         assert len(encode_status(STATUS)) == 18
 
-    def test_they_come_back_with_their_status(self):
-        told = STATUS._replace(sections={Section.HEALTH: b"ab", Section.DEMAND: b""})
-        assert decode_status(encode_status(told)) == told
+    def test_sections_are_decoded_with_their_status(self):
+        status = STATUS._replace(sections={Section.HEALTH: b"ab", Section.DEMAND: b""})
+        assert decode_status(encode_status(status)) == status
 
-    def test_one_that_nobody_knows_is_kept_apart(self):
-        told = STATUS._replace(sections={200: b"x" * 255})
-        assert decode_status(encode_status(told)) == told
+    def test_an_unknown_section_is_kept(self):
+        status = STATUS._replace(sections={200: b"x" * 255})
+        assert decode_status(encode_status(status)) == status
 
-    def test_one_that_is_cut_off_is_malformed(self):
+    def test_a_truncated_section_is_malformed(self):
         """A datagram of another version, or a torn one, must raise nothing."""
         whole = encode_status(STATUS._replace(sections={Section.DEMAND: b"abc"}))
         for size in range(len(whole)):
@@ -40,14 +40,14 @@
 
 
 class TestFeatures:
-    def test_routes_of_one_urgency_are_no_rivals(self):
+    def test_routes_of_one_urgency_do_not_compete(self):
         assert not has_competing_routes(routes(), "tally")
         assert not has_competing_routes(
             routes(Urgency(1, 0.3), Urgency(1, 0.5)), "tally"
         )
         assert not has_competing_routes(routes(Urgency(1), Urgency(2)), "tally")
 
-    def test_routes_of_two_priorities_are_rivals_at_their_service_alone(self):
+    def test_routes_of_two_priorities_compete_only_at_their_service(self):
         ranked = routes(Urgency(1, 0.3), Urgency(2, 0.3))
         assert has_competing_routes(ranked, "tally")
         assert not has_competing_routes(ranked, "ledger")
--- a/packages/zinniahook-core/tests/test_packet_verdicts.py
+++ b/packages/zinniahook-core/tests/test_packet_verdicts.py
@@ -54,7 +54,7 @@
             verdicts.keep(0.0, number.to_bytes(12, "big"), 0, 3)
         assert len(verdicts) == VERDICTS_LIMIT
 
-    def test_rests_on_who_was_there_and_answered(self):
+    def test_covers_agents_that_were_present_and_answered(self):
         verdicts = Verdicts()
         verdicts.keep(0.0, FLOW, 1000, 3, frozenset({"10.0.0.9"}))
         verdict = verdicts.get(0.0, packet())
@@ -62,7 +62,7 @@
         assert not verdict.covers("10.0.0.1", 4)
         assert not verdict.covers("10.0.0.9", 1)
 
-    def test_that_of_the_own_target_s_end_rests_on_nobody(self):
+    def test_of_an_ended_target_covers_every_agent(self):
         verdicts = Verdicts()
         verdicts.keep(0.0, FLOW, 1000, PERMANENT_EPOCH)
         verdict = verdicts.get(0.0, packet())
@@ -70,7 +70,7 @@
         assert verdict.covers("10.0.0.1", 10**9)
 
 
-class TestWhoMayOwnWhatNobodyOwned:
+class TestAgentsThatMayOwnUnownedFlows:
     """Symptom: a verdict outlives what it rests on, and a flow that lives is
     reset. Sequence: an agent comes, comes back or starts again after everybody
     has denied a flow. Cause: nobody notes that one more may own it.
@@ -114,7 +114,7 @@
         assert roster.by_address[NAMES[1]].changed_epoch == epoch + 1
 
 
-class TestHomesThatChange:
+class TestChangesOfHomes:
     """Symptom: an agent searches for flows whose owners have told their homes.
 
     Sequence: a member that was no home any more, as its target had ended, is
@@ -137,7 +137,7 @@
         self.heard(roster, LOST_SECONDS + 0.2, others)
         assert roster.refresh(LOST_SECONDS + 0.2).homes_changed
 
-    def test_not_in_a_service_in_which_every_flow_concerns_all(self):
+    def test_not_in_a_service_where_every_member_is_a_candidate(self):
         names = NAMES[:CANDIDATES]
         roster = roster_of(names)
         roster.learn(0.1, names[-1], 2, status(State.ENDED))
@@ -192,15 +192,17 @@
             (Flag.RESET, 0, "reset", False),
         ],
     )
-    def test_what_nobody_owns_may_be_reset(self, flags, length, kind, resettable):
+    def test_packets_of_unowned_flows_may_be_reset(
+        self, flags, length, kind, resettable
+    ):
         one = packet(flags=flags, length=length)
         assert (one.kind, one.is_resettable) == (kind, resettable)
 
 
 class TestEnded:
     def test_is_read_as_it_was_written(self):
-        told = [Ended(FLOW, 7), Ended(FLOW[::-1], 2**32 - 1)]
-        assert tunnel.decode_ended(tunnel.encode_ended(told)) == told
+        ended = [Ended(FLOW, 7), Ended(FLOW[::-1], 2**32 - 1)]
+        assert tunnel.decode_ended(tunnel.encode_ended(ended)) == ended
 
     def test_what_is_cut_off_is_malformed(self):
         assert tunnel.decode_ended(tunnel.encode_ended([Ended(FLOW, 7)])[:-1]) is None
