--- a/packages/zinniahook-core/tests/test_packet_evacuations.py
+++ b/packages/zinniahook-core/tests/test_packet_evacuations.py
@@ -1,4 +1,4 @@
-"""Which set of evacuated data centres is in force at one daemon."""
+"""The set of evacuated data centres that is in force at a daemon."""
 
 from zinniahook_core.packets.evacuations import (
     CLAIM_EXPIRY_SECONDS,
@@ -20,7 +20,7 @@
 
 
 def send(sender, receiver):
-    """Let one daemon's datagram arrive at another, which asks if it must."""
+    """Deliver one daemon's stamp to another, which requests the set if needed."""
     if receiver.compare(NOW, sender.stamp):
         receiver.merge(sender.encode())
 
@@ -38,10 +38,10 @@
         assert known.names == NONE
 
     def test_a_late_answer_changes_nothing(self):
-        """Symptom: an evacuation that was taken back is in force again.
+        """An evacuation that was withdrawn must not come back into force.
 
-        Sequence: a read is answered late, after a peer told of a newer set.
-        Cause: the answer passes for the newest because it came last.
+        The answer to a read arrives after a peer has sent a newer set, and the daemon
+        considers the answer the newest because it came last.
         """
         known = evacuations_at(5, A)
         known.merge(evacuations_at(8, NONE).encode())
@@ -112,11 +112,11 @@
 
 
 class TestOrderGivenTakenBackAndGivenAgain:
-    """Symptom: an evacuation ends by itself while the operator wants it.
+    """An evacuation must not end while the operator still wants it.
 
-    Sequence: one daemon sees the order, its end and the order again as no change;
-    another one saw the end, at a revision above that of the first order.
-    Cause: the end's stamp is the higher one, and the first daemon believes it.
+    One daemon sees an order, its end and the order again as no change. Another has read
+    the end, at a higher revision than that of the first order. The stamp of the end is
+    then the higher one, and the first daemon accepts it.
     """
 
     def test_the_last_order_stands(self):
@@ -168,10 +168,10 @@
 
 
 class TestNewerSetThatNoDaemonSends:
-    """Symptom: a target gets nothing for as long as its agent runs.
+    """A target must not go without flows for as long as its agent runs.
 
-    Sequence: a daemon reads an order, shows its stamp and dies before it is asked.
-    Cause: whoever has seen the stamp waits for a set that nobody has.
+    A daemon reads an order, shows its stamp and dies before the set is requested. Every
+    daemon that has seen the stamp then waits for a set that none has.
     """
 
     def test_is_waited_for_and_then_read_from_the_store(self):
--- a/packages/zinniahook-core/tests/test_packet_members.py
+++ b/packages/zinniahook-core/tests/test_packet_members.py
@@ -1,4 +1,4 @@
-"""Members that are forgotten, come back, or are told of wrongly."""
+"""Members that are forgotten, come back, or are reported wrongly."""
 
 import math
 
@@ -26,11 +26,10 @@
 
 class TestMemberThatIsForgotten:
     def test_a_search_may_still_know_it(self):
-        """Symptom: a daemon ends a minute after a peer was lost.
+        """A daemon must not crash a minute after a peer was lost.
 
-        Sequence: a search has worked out whom it may ask; a member of these has been
-        silent for a minute and is forgotten; the search goes on. Cause: it was
-        looked up among the members again.
+        A search has computed its candidates. One of them is forgotten after a minute of
+        silence while the search continues, and is looked up in the roster again.
         """
         roster = roster_of()
         lost = roster.by_address[PEER]
@@ -40,11 +39,11 @@
 
 class TestMemberThatComesBack:
     def test_it_counts_as_changed_though_the_service_has_grown(self):
-        """Symptom: a flow is reset after its agent was frozen.
+        """A flow must not be reset after its agent was frozen.
 
-        Sequence: a search finds nobody while the agent is away; others join, so that
-        it is heard more rarely; it comes back. Cause: by the new measure it had never
-        been silent, and what was found without it went on counting.
+        A search finds no owner while the agent is away. Other agents join, so that
+        statuses become rarer, and the agent comes back. By the new silence limit it was
+        never silent, and the result found without it stays valid.
         """
         roster = roster_of(50)
         later = 6.0
@@ -59,11 +58,11 @@
 
 class TestMemberThatHasEnded:
     def test_it_holds_nothing_until_a_peer_hears_another_one_there(self):
-        """Symptom: a flow is reset though its target lives.
+        """A flow must not be reset although its target lives.
 
-        Sequence: a target ends; another one starts at its address, and its agent is
-        cut off from the home only; peers tell that they hear it. Cause: the last
-        word of the former one stood for ever.
+        A target ends and another one starts at its address, with an agent that only the
+        home is cut off from. Peers report that they hear it, but the final status of
+        the former agent counts for ever.
         """
         roster = roster_of(3)
         roster.learn(1.0, PEER, 1, status(State.ENDED))
@@ -89,12 +88,12 @@
         ],
     )
     def test_what_is_no_address_is_left_out(self, address):
-        """A question to it later ended the process."""
+        """A question to such an address would end the process."""
         assert _decode_row([address, 1, 0.5]) is None
 
     @pytest.mark.parametrize("age", [math.nan, math.inf, -1.0, 1e300, "1"])
     def test_what_is_no_age_is_left_out(self, age):
-        """A member with it would never pass for silent."""
+        """A member with such an age would never be considered silent."""
         assert _decode_row([PEER, 1, age]) is None
 
     @pytest.mark.parametrize("age", [None, 0, 0.25, 60.0])
@@ -104,10 +103,10 @@
 
 class TestStampsOfDatagrams:
     def test_one_that_no_store_reaches_is_not_believed(self):
-        """Symptom: no order of the operator is taken any more.
+        """Orders of the operator must still be accepted after a corrupt datagram.
 
-        Sequence: a torn datagram shows a position above all others to a daemon that
-        has just started. Cause: only what was read was checked.
+        A corrupt datagram shows a daemon that has just started a position above all
+        others. Only positions that were read from the store were checked.
         """
         evacuations = Evacuations()
         nothing = Evacuations()
--- a/packages/zinniahook-core/tests/test_packet_neighbours.py
+++ b/packages/zinniahook-core/tests/test_packet_neighbours.py
@@ -1,4 +1,4 @@
-"""Which agents a flow belongs to, and how their loads are asked for."""
+"""The candidates of a flow, and the polls for their loads."""
 
 import itertools
 import random
@@ -88,10 +88,10 @@
 
     @pytest.mark.parametrize("factor", [2, 5])
     def test_the_wide_candidates_include_owners_from_before_the_growth(self, factor):
-        """Symptom: a flow is reset although its target lives.
+        """A flow must not be reset although its target lives.
 
-        Sequence: the service grows manyfold, then every agent starts again.
-        Cause: the owner isn't among the first any more.
+        The service grows several times over and then every agent restarts. The owner
+        isn't among the first candidates any more.
         """
         former = roster_of(NAMES[: len(NAMES) // factor])
         grown = roster_of(NAMES)
@@ -101,8 +101,9 @@
 
 
 class TestSilentMembers:
-    """Symptom: after many agents have gone, every daemon spends its time on
-    asking whether they are back. Cause: each is asked twice a second.
+    """Daemons must not spend their time on probing agents that are gone.
+
+    After many agents have gone, each is asked twice a second whether it is back.
     """
 
     def test_are_probed_less_and_less_often(self):
--- a/packages/zinniahook-core/tests/test_packet_restores.py
+++ b/packages/zinniahook-core/tests/test_packet_restores.py
@@ -1,4 +1,4 @@
-"""Which evacuations are in force after the store came back from an older copy."""
+"""The evacuations in force after the store was restored from an older copy."""
 
 import pytest
 from zinniahook_core.packets import tunnel
@@ -29,7 +29,7 @@
 
 
 def send(sender, receiver, now=NOW):
-    """Let one daemon's datagram arrive at another, which asks if it must."""
+    """Deliver one daemon's datagram to another, which requests the set if needed."""
     position, digest = sender.stamp
     sent = tunnel.encode(Head(Kind.HELLO, evacuated_at=position, evacuated=digest))
     head, _ = tunnel.decode(sent)
@@ -62,10 +62,10 @@
 
 
 class TestRestoredStore:
-    """Symptom: orders given after a restore aren't acted on for minutes.
+    """Orders given after a restore must take effect at once, not minutes later.
 
-    Sequence: the store comes back from a copy, its revisions are lower than those
-    seen before. Cause: what is read there passes for older than what is known.
+    The store is restored from a copy, so its revisions are lower than those seen
+    before. What is read there seems older than what is known.
     """
 
     def test_an_order_of_the_new_era_is_taken_at_a_lower_revision(self):
@@ -88,9 +88,10 @@
         assert known.era == 3
 
     def test_a_late_answer_of_the_former_era_changes_nothing(self):
-        """Symptom: an order that nobody wants is in force. Sequence: a read is
-        sent, the store is restored, others tell the new set, the read is answered.
-        Cause: its revision is the higher one.
+        """An order that was lost in a restore must not come into force.
+
+        A read is sent, the store is restored, other daemons send the new set, and then
+        the read is answered with the higher revision.
         """
         known = evacuations_at(1000, NONE)
         known.merge(evacuations_at(900, NONE, 2).encode())
@@ -106,8 +107,10 @@
         assert known.is_certain(NOW)
 
     def test_a_daemon_that_cannot_read_learns_it_from_datagrams(self):
-        """Symptom: a third of the daemons, cut off from the store, keep old orders.
-        Sequence: they hear others only. Cause: a stamp without the era is older.
+        """Daemons cut off from the store must not keep old orders.
+
+        A third of them only receive datagrams of others. A stamp without the era would
+        seem older than theirs.
         """
         reader, cut_off = evacuations_at(900, B, 2), evacuations_at(1000, NONE)
         send(reader, cut_off)
@@ -138,9 +141,10 @@
         assert starting.is_certain(NOW)
 
     def test_daemons_of_different_eras_do_not_confirm_each_other(self):
-        """Symptom: an order is acted on late. Sequence: a daemon still reads the
-        former era and confirms the same set; everybody rests on it. Cause: the
-        sets have the same digest.
+        """An order must not take effect late.
+
+        A daemon still reads the former era and confirms the same set, and every other
+        daemon accepts that if both sets have the same digest.
         """
         assert not evacuations_at(900, A, 2).agrees(evacuations_at(1000, A, 1).stamp)
 
@@ -150,11 +154,11 @@
 
 
 class TestOrdersThatTheCopyLacks:
-    """Symptom: flows are opened where power is about to be cut.
+    """Flows must not be opened where power is about to be cut.
 
-    Sequence: an order is given and confirmed, four seconds later the store comes
-    back from a copy without it, the operator writes it again some seconds later.
-    Cause: what the copy lists passes for all that is wanted.
+    An order is given and confirmed. Four seconds later the store is restored from a
+    copy without it, and the operator writes it again some seconds later. Meanwhile the
+    list in the copy seems to be complete.
     """
 
     def test_stay_in_force_for_a_while(self):
@@ -174,16 +178,20 @@
         assert receiver.is_certain(NOW)
 
     def test_others_are_sent_only_what_the_store_lists(self):
-        """Symptom: everybody reads the store. Sequence: one daemon retains an order
-        and another one has just started. Cause: their sets never agree.
+        """Daemons must not all read the store.
+
+        One daemon retains an order and another one has just started, so that their sets
+        would never agree if the retained order were sent.
         """
         retaining, starting = evacuations_at(1000, A), evacuations_at(900, NONE, 2)
         retaining.read(900, NONE, 2)
         assert retaining.agrees(starting.stamp)
 
     def test_written_again_they_end_when_they_are_withdrawn(self):
-        """Symptom: a data centre stays empty though its order was taken back.
-        Cause: the order counts as one of the former era for its whole time.
+        """A data centre must not stay empty after its order was withdrawn.
+
+        The order was written again after the restore, but would count as one of the
+        former era until its time has expired.
         """
         known = evacuations_at(1000, A)
         known.read(900, NONE, 2)
@@ -209,11 +217,11 @@
 
 
 class TestMixedVersions:
-    """Symptom: during a rolling upgrade an order isn't acted on.
+    """An order must take effect during a rolling upgrade.
 
-    Sequence: a daemon of a version without eras takes a set at a position of the
-    new era as a revision, refuses its own reads as older and confirms for ever.
-    Cause: newer daemons rest on its confirmations.
+    A daemon of a version without eras accepts a set at a position of the new era as a
+    revision, rejects its own reads as older, and confirms that set for ever. Newer
+    daemons must not rely on its confirmations.
     """
 
     def test_it_takes_a_set_of_the_new_era_as_the_newest(self):
--- a/packages/zinniahook-core/tests/test_packet_sections.py
+++ b/packages/zinniahook-core/tests/test_packet_sections.py
@@ -1,4 +1,4 @@
-"""Sections that follow a status, and the features that call for them."""
+"""Sections that follow a status, and the features that require them."""
 
 from zinniahook_core.packets import Features, Route, Routes, ServiceShare, Urgency
 from zinniahook_core.packets.features import has_competing_routes
@@ -22,7 +22,7 @@
         assert decode_status(encode_status(status)) == status
 
     def test_a_truncated_section_is_malformed(self):
-        """A datagram of another version, or a torn one, must raise nothing."""
+        """A datagram of another version, or a truncated one, must not raise."""
         whole = encode_status(STATUS._replace(sections={Section.DEMAND: b"abc"}))
         for size in range(len(whole)):
             decoded = decode_status(whole[:size])
--- a/packages/zinniahook-core/tests/test_packet_verdicts.py
+++ b/packages/zinniahook-core/tests/test_packet_verdicts.py
@@ -1,4 +1,4 @@
-"""What is remembered of flows that nobody owns, and what it rests on."""
+"""Verdicts on flows without an owner, and what makes them invalid."""
 
 import pytest
 from zinniahook_core.packets import Flag, Packet, State, tunnel
@@ -71,9 +71,10 @@
 
 
 class TestAgentsThatMayOwnUnownedFlows:
-    """Symptom: a verdict outlives what it rests on, and a flow that lives is
-    reset. Sequence: an agent comes, comes back or starts again after everybody
-    has denied a flow. Cause: nobody notes that one more may own it.
+    """A verdict must not outlive what it depends on: a live flow would be reset.
+
+    An agent joins, comes back or restarts after every agent has denied a flow, and may
+    now own it.
     """
 
     def test_one_that_comes(self):
@@ -115,11 +116,11 @@
 
 
 class TestChangesOfHomes:
-    """Symptom: an agent searches for flows whose owners have told their homes.
+    """An agent must not search for flows that their owners have reported to homes.
 
-    Sequence: a member that was no home any more, as its target had ended, is
-    lost after seconds, and flows concern another one in its place. Cause: the
-    owners look again only if those that may be homes change.
+    A member that is no home any more, as its target has ended, is lost after seconds,
+    and flows get another candidate in its place. Their owners check the homes again
+    only if the candidates for homes are seen to change.
     """
 
     def heard(self, roster, now, names):
@@ -147,10 +148,11 @@
 
 
 class TestEntriesAndAgentsSeeTheSameHomes:
-    """Symptom: after many targets were replaced, packets come to homes that nobody
-    told of their flows. Sequence: agents end; entries send them nothing any more,
-    so they never notice that they are silent. Cause: for entries the ended ones
-    keep their places among those that a flow concerns, for ever.
+    """Packets must not go to homes that no owner has notified.
+
+    Many targets are replaced and their agents end. Entries send these agents nothing
+    any more, so they never notice their silence. For entries the ended agents would
+    keep their places among the candidates for ever.
     """
 
     def heard(self, roster, now, names):
