--- a/packages/zinniahook-core/src/zinniahook_core/packets/questions.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/questions.py
@@ -154,13 +154,13 @@
 
 
 def _next_asked(
-    now: float, last: LastAsked, left: list[str], patience: float
+    now: float, last: LastAsked, left: list[str], timeout: float
 ) -> LastAsked:
     """Return the service asked last until it times out, then the next one."""
     silent_for = now - last.at
     if last.service not in left or silent_for >= LAST_ASKED_EXPIRY_SECONDS:
         return LastAsked(left[0], now)
-    if silent_for < patience:
+    if silent_for < timeout:
         return last
     return LastAsked(left[(left.index(last.service) + 1) % len(left)], now)
 
