--- a/packages/zinniahook-core/src/zinniahook_core/packets/entry.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/entry.py
@@ -1,9 +1,9 @@
-"""The entry: sends each packet of a client to the agent it belongs to.
+"""The entry: sends each packet of a client to the agent that it belongs to.
 
-An entry decides nothing about a flow. Openings go to the flow's home among
-the agents of the service, later packets to the owner that an agent has told,
-else to the home. What an entry remembers is a cache: it may be restarted, and
-any other entry may get the next packet.
+An entry decides nothing about a flow. Openings go to the flow's home among the agents
+of the service. Later packets go to the owner that an agent has reported, otherwise to
+the home. An entry only caches owners: it may be restarted, and any other entry may get
+the next packet.
 """
 
 from __future__ import annotations
@@ -14,49 +14,49 @@
 
 from . import tunnel
 from .features import Features
-from .formers import Former
+from .formers import FormerService
 from .holding import Holding
-from .members import UNANSWERED_AFTER, Roster
+from .members import ENTRY_ANSWER_TIMEOUT_SECONDS, Roster
 from .models import Codec, Links, Log, Packet, Routes, route_key
 from .node import HOP_LIMIT, Node
 from .questions import Questions
-from .tunnel import Head, Kind, Mark, Reason, Wish, tag, zone_tag
+from .tunnel import Head, HelloRequest, Kind, Mark, Reason, tag, zone_tag
 from .unanswered import REPEAT_AFTER, REPEAT_KNOWN_AFTER, Asked, Unanswered
 
 __all__ = ["Entry"]
 
 HINTS_LIMIT = 65536
-"""Owners remembered: four times the flows of an entry at the size designed
-for (120 million over 7,300), 16 MB."""
+"""Owners remembered: four times the flows of an entry at the design size (120 million
+over 7,300 entries), 16 MB."""
 
-GREETED = 16
-"""Agents of a service that an entry asks for their status as it learns of them.
-What goes wrong without: it takes those that have no target for homes, or that
-are gone, until packets are lost there. Of more it learns as it sends to them."""
+HELLO_AGENTS_LIMIT = 16
+"""Agents of a service that an entry asks for their status when it learns of them.
+Otherwise it uses agents without a target, or agents that are gone, as homes until
+packets are lost there. It learns the status of further agents when it sends to them."""
 
-KEEP_ALIVE_EVERY = 0.5
-"""Seconds between hellos to a few agents while no client sends, so that the
-configuration stays fresh here."""
+KEEP_ALIVE_INTERVAL_SECONDS = 0.5
+"""Seconds between hellos to a few agents while no client sends, so that the entry's
+configuration stays fresh."""
 
-TRUSTED_FOR = 0.7
-"""Seconds since a home was heard for which copies of an opening go there too:
-it answers an entry that sends packets each 0.6 s."""
+HOME_TRUST_SECONDS = 0.7
+"""Seconds since a home was heard for which copies of an opening go there too. A home
+answers an entry that sends packets every 0.6 s."""
 
-ROSTERS_TOLD = 32
-"""Services whose agents are told to a daemon that starts, in one datagram; it
-looks up further ones when it needs them."""
+ROSTERS_SENT_LIMIT = 32
+"""Services whose rosters are sent to a daemon that starts, in one datagram. It looks up
+further services when it needs them."""
 
-KEEP_ALIVE_WIDTH = 3
-NEIGHBOURS_WITHIN = 10.0
+KEEP_ALIVE_AGENTS = 3
+NEIGHBOUR_HEARD_WITHIN_SECONDS = 10.0
 
 
-SETTLED_FOR = 1.0
-"""Seconds after an owner was learned for which a service that gives the flow back
-has only not heard of it: above the longest that a search keeps packets."""
+OWNER_SETTLED_SECONDS = 1.0
+"""Seconds after an owner was learned during which a service that gives the flow back
+merely hasn't heard of it: longer than a search keeps packets."""
 
 
 class Entry(Node):
-    """One entry; the parameters are those of `Node`."""
+    """An entry; the parameters are those of `Node`."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         self.last_client_at = float("-inf")
         self._holding = Holding()
         self._unanswered = Unanswered()
-        self._settled: dict[bytes, float] = {}
+        self._settled_at_by_flow: dict[bytes, float] = {}
         self._kept_alive_at = float("-inf")
 
     @property
@@ -98,37 +98,40 @@
         centre: str,
         order: int | None = None,
     ) -> None:
-        """Take an agent that announced itself in the store."""
+        """Add an agent that the store lists."""
         roster = self._roster(service)
-        if address not in roster.by_address and len(roster.by_address) < GREETED:
+        if (
+            address not in roster.by_address
+            and len(roster.by_address) < HELLO_AGENTS_LIMIT
+        ):
             self.hello(now, address)
         roster.add(now, address, zone_tag(centre))
 
     def neighbours(self, now: float) -> list[str]:
-        """Return the agents heard of lately, in random order."""
+        """Return the agents heard recently, in random order."""
         addresses = [
             member.address
             for roster in self.rosters_by_service.values()
             for member in roster.by_address.values()
-            if now - member.heard_at < NEIGHBOURS_WITHIN
+            if now - member.heard_at < NEIGHBOUR_HEARD_WITHIN_SECONDS
         ]
         self.rng.shuffle(addresses)
         return addresses
 
     def client(self, now: float, raw: bytes) -> None:
-        """Route a packet of a client."""
+        """Route a packet from a client."""
         packet = self.codec.from_client(raw)
         if packet is None:
             self.log.count("packets.malformed")
             return
         self.last_client_at = now
         if not packet.is_bare:
-            # Its repeats are counted anew.
+            # The repeats of this packet are counted anew.
             self._unanswered.take(packet.flow)
         self._route(now, packet, None)
 
     def handle(self, now: float, sender: str, head: Head, body: bytes) -> None:
-        """Handle a datagram of an agent or of another entry."""
+        """Handle a datagram from an agent or another entry."""
         self._heard(now, sender, head.service)
         if head.kind is Kind.OWNER:
             self._learn_owner(now, sender, body)
@@ -138,14 +141,14 @@
             self._status(now, sender, head, body)
         elif head.kind is Kind.ROSTER:
             self._learn_members(now, body)
-        elif head.kind is Kind.HELLO and head.reason == Wish.MEMBERS:
-            self.send(now, sender, Kind.ROSTER, tunnel.control(self._rows(now)))
+        elif head.kind is Kind.HELLO and head.reason == HelloRequest.MEMBERS:
+            self.send(now, sender, Kind.ROSTER, tunnel.encode_rosters(self._rows(now)))
 
     def tick(self, now: float) -> None:
-        """Do what time demands; call it about twenty times a second."""
+        """Handle everything that is due; to be called about twenty times a second."""
         self.formers.tick(now)
         for roster in self.rosters_by_service.values():
-            for address in roster.unanswered(now):
+            for address in roster.hellos_due(now):
                 self.hello(now, address)
             if roster.is_due(now):
                 self._review(now, roster)
@@ -154,16 +157,16 @@
         self._holding.expire(now)
         self._ask_again(now)
         self._forget_settled(now)
-        if now - self._kept_alive_at >= KEEP_ALIVE_EVERY:
+        if now - self._kept_alive_at >= KEEP_ALIVE_INTERVAL_SECONDS:
             self._kept_alive_at = now
-            for address in self.neighbours(now)[:KEEP_ALIVE_WIDTH]:
+            for address in self.neighbours(now)[:KEEP_ALIVE_AGENTS]:
                 self.hello(now, address)
 
     def _review(self, now: float, roster: Roster) -> None:
         changes = roster.refresh(now)
-        if changes.come or changes.gone:
-            self.log.event("roster", service=roster.service, **changes.told())
-        for address in roster.probes(now):
+        if changes.arrived or changes.departed:
+            self.log.event("roster", service=roster.service, **changes.log_fields())
+        for address in roster.probes_due(now):
             self.hello(now, address)
 
     def _roster(self, service: str) -> Roster:
@@ -173,12 +176,12 @@
         return roster
 
     def _rows(self, now: float) -> dict[str, Any]:
-        """Return what another daemon that has just started needs to know."""
-        rosters = itertools.islice(self.rosters_by_service.items(), ROSTERS_TOLD)
+        """Return the rosters for a daemon that has just started."""
+        rosters = itertools.islice(self.rosters_by_service.items(), ROSTERS_SENT_LIMIT)
         return {service: roster.rows(now) for service, roster in rosters}
 
     def _heard(self, now: float, sender: str, service: int) -> None:
-        """Note a sign of life of an agent, in the service that it speaks for."""
+        """Note that an agent was heard in the service that its datagram names."""
         name = self._names_by_tag.get(service, "")
         roster = self.rosters_by_service.get(name)
         member = roster.by_address.get(sender) if roster else None
@@ -190,11 +193,11 @@
     def _route(self, now: float, packet: Packet, head: Head | None) -> None:
         route = self.routes.by_address.get(route_key(packet.flow))
         if route is None:
-            self._unrouted(packet)
+            self._handle_unrouted(packet)
             return
         if packet.is_opening:
             self.hints_by_flow.pop(packet.flow, None)
-            self._settled.pop(packet.flow, None)
+            self._settled_at_by_flow.pop(packet.flow, None)
             self._forget_questions(packet.flow)
             service = route.services(packet.flow)[0]
             self._forward_home(now, packet, service, Mark.NONE, head)
@@ -224,7 +227,7 @@
                 self._unanswered.keep(now, packet, after)
                 return
             self.questions.unowned(now, packet, service, marks | Mark.UNSURE)
-        self._unowned(now, packet, services)
+        self._end_unowned(now, packet, services)
 
     def _ask_again(self, now: float) -> None:
         for asked in self._unanswered.due(now):
@@ -232,16 +235,16 @@
             self._unanswered.begun_at(asked)
 
     def _forget_settled(self, now: float) -> None:
-        for flow, at in list(self._settled.items()):
-            if now - at < SETTLED_FOR:
+        for flow, at in list(self._settled_at_by_flow.items()):
+            if now - at < OWNER_SETTLED_SECONDS:
                 break
-            del self._settled[flow]
+            del self._settled_at_by_flow[flow]
 
-    def _unowned(self, now: float, packet: Packet, services: list[str]) -> None:
-        """End a flow that no service holds.
+    def _end_unowned(self, now: float, packet: Packet, services: list[str]) -> None:
+        """End a flow that no service owns.
 
-        What goes wrong if a daemon does so that may lack a former service: the
-        flow lives there, and its client is reset.
+        It is reset only if no former service can be missing here: otherwise the flow
+        may live at one, and its client would be reset.
         """
         sure = self.questions.is_sure(packet.flow) and self.formers.is_complete
         ended = sure and packet.is_resettable
@@ -258,15 +261,15 @@
             reset = self.codec.reset(packet.flow, packet.acknowledged)
             self.links.to_client(packet.flow, reset)
         elif not sure:
-            # A search that was given back goes on only if it is asked again.
+            # A search that was given back continues only if it is asked again.
             self.questions.forget(packet.flow)
             self._unanswered.keep(now, packet, REPEAT_AFTER)
 
-    def _unrouted(self, packet: Packet) -> None:
+    def _handle_unrouted(self, packet: Packet) -> None:
         version = self.routes.version
         if not version or self.may_lack_routes:
-            # What goes wrong if it is reset: its route was added in the seconds
-            # that the store has lost, and its target lives.
+            # It isn't reset: its route may have been added in the seconds that the
+            # store has lost, and its target lives.
             self.log.count("packets.before_configuration")
             return
         self.log.event("reset.no_route", flow=packet.flow, version=version)
@@ -301,9 +304,9 @@
             return False
         home = homes[0]
         if packet.is_opening and packet.acknowledged:
-            # A copy of an opening tells that the first home may be gone.
+            # A copy of an opening suggests that the first home is gone.
             heard = roster.by_address[home].heard_at
-            if now - heard > TRUSTED_FOR:
+            if now - heard > HOME_TRUST_SECONDS:
                 home = homes[packet.acknowledged % len(homes)]
         self._forward(now, packet, roster, home, marks, head)
         return True
@@ -317,11 +320,11 @@
         marks: int,
         head: Head | None,
     ) -> None:
-        roster.sent(now, address)
+        roster.expect_answer(now, address)
         hops = head.hops + 1 if head else 0
         service = tag(roster.service)
         self.log.count("packets.forwarded")
-        if not roster.by_address[address].has_told and not hops:
+        if not roster.by_address[address].has_reported and not hops:
             self._holding.add(now, address, packet)
         self.send(
             now,
@@ -334,9 +337,10 @@
         )
 
     def _release(self, now: float, address: str) -> None:
-        """Route again what was held for an agent.
+        """Route the packets held for an agent again.
 
-        Not straight to it: its address may serve another service by now.
+        They aren't sent straight to it, as its address may serve another service by
+        now.
         """
         lost = self._holding.release(now, address)
         if lost:
@@ -344,10 +348,10 @@
         for packet in lost:
             self._route(now, packet, None)
 
-    # What agents tell
+    # Datagrams from agents
 
     def _learn_owner(self, now: float, sender: str, body: bytes) -> None:
-        """Note the owner of flows; who tells of another one can't reach it."""
+        """Set the owner of flows; a sender that isn't the owner can't reach it."""
         decoded = tunnel.decode_owner(body)
         if decoded is None:
             self.log.count("datagrams.malformed")
@@ -357,8 +361,8 @@
             self.hints_by_flow.pop(flow, None)
             self.hints_by_flow[flow] = owner
             if flow in self.questions:
-                self._settled.pop(flow, None)
-                self._settled[flow] = now
+                self._settled_at_by_flow.pop(flow, None)
+                self._settled_at_by_flow[flow] = now
             asked = self._forget_questions(flow)
             if asked is not None and sender != owner:
                 self._route(now, asked.packet, None)
@@ -383,11 +387,11 @@
         self._route(now, packet, head)
 
     def _given_back(self, now: float, sender: str, head: Head, packet: Packet) -> None:
-        """Ask the next service with a packet that one doesn't own.
+        """Ask the next service with a packet that a service doesn't own.
 
-        It begins with no hops again: each answer leaves fewer to ask. What goes
-        wrong if an owner that was learned meanwhile is forgotten: its link to the
-        home is cut, the home never hears of it, and other services are searched.
+        The packet starts with zero hops again, as each answer leaves fewer services to
+        ask. An owner learned meanwhile is kept: its link to the home may be cut, so
+        that the home never hears of it, and other services would be searched.
         """
         if self._is_settled(now, packet.flow):
             self._route(now, packet, None)
@@ -398,22 +402,26 @@
         if service not in services:
             self.log.count("packets.returned_dropped")
         elif head.marks & Mark.SHARED and len(services) == 1:
-            # The home knows a former service that this entry doesn't.
+            # The home knows a former service that this entry doesn't know.
             self.links.fetch(sender)
         else:
             self.questions.unowned(now, packet, service, head.marks)
             self._ask(now, packet, services, None)
 
     def _is_settled(self, now: float, flow: bytes) -> bool:
-        """Tell whether the owner of a flow was learned while it was asked for."""
-        at = self._settled.get(flow)
-        return at is not None and now - at < SETTLED_FOR and flow in self.hints_by_flow
+        """Return whether the owner was learned while services were asked for it."""
+        at = self._settled_at_by_flow.get(flow)
+        return (
+            at is not None
+            and now - at < OWNER_SETTLED_SECONDS
+            and flow in self.hints_by_flow
+        )
 
     def _drop_member(self, address: str, keep: int) -> None:
-        """Forget an agent in the rosters of services that it doesn't serve.
+        """Drop an agent from the rosters of services that it doesn't serve.
 
-        What goes wrong without: an address is used again by a target of
-        another service, and openings of the former one go on being sent there.
+        Otherwise, when an address is reused by a target of another service, openings of
+        the former service are still sent there.
         """
         for roster in self.rosters_by_service.values():
             if tag(roster.service) != keep and address in roster.by_address:
@@ -421,14 +429,14 @@
                 self.log.event("member.moved", service=roster.service, agent=address)
 
     def _learn_members(self, now: float, body: bytes) -> None:
-        for service, rows in self.rosters(body).items():
+        for service, rows in self.read_rosters(body).items():
             for address, zone, age in rows:
-                if age is not None and age >= UNANSWERED_AFTER:
+                if age is not None and age >= ENTRY_ANSWER_TIMEOUT_SECONDS:
                     continue
                 roster = self._roster(service)
                 member = roster.add(now, address, zone)
                 if age is not None and roster.is_silent(now, member):
-                    # Others hear it: it is back, or only the way was cut.
+                    # A peer hears it: it is back, or only the link was cut.
                     member.probe_at = now
 
     def _status(self, now: float, sender: str, head: Head, body: bytes) -> None:
@@ -448,12 +456,12 @@
         self,
         now: float,
         routes: Routes,
-        told: list[Former] | None = None,
+        reported: list[FormerService] | None = None,
         whole: bool = True,
     ) -> bool:
-        """Put a configuration in force; see `Node.configure`."""
-        installed = super().configure(now, routes, told, whole)
-        if installed or told:
+        """Apply a configuration; see `Node.configure`."""
+        installed = super().configure(now, routes, reported, whole)
+        if installed or reported:
             self._names_by_tag = {tag(name): name for name in self._services()}
         return installed
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/formers.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/formers.py
@@ -1,10 +1,9 @@
-"""Services that routes have led to lately, where open flows may still live.
+"""Former services of routes, where open flows may still live.
 
-A new configuration leaves open flows where they are, so a flow may live at a
-service that its route no longer leads to, for as long as a flow may be old.
-Each daemon keeps what it saw change; one that starts is told by its peers, or
-reads the record in the store. A service too many costs a question, one too few
-costs a flow.
+A new configuration doesn't move open flows, so a flow may live at a service that its
+route no longer leads to, until it reaches its maximum age. Each daemon remembers the
+changes that it saw. A daemon that starts learns them from its peers or from the record
+in the store. A service too many costs a question, a missing one costs a flow.
 """
 
 from __future__ import annotations
@@ -18,9 +17,9 @@
 
 __all__ = [
     "BUCKETS",
-    "FLOW_LONGEST",
-    "Former",
-    "Formers",
+    "FLOW_MAX_AGE_SECONDS",
+    "FormerService",
+    "FormerServices",
     "Record",
     "decode",
     "decode_rows",
@@ -29,25 +28,25 @@
     "merged",
 ]
 
-FLOW_LONGEST = 60.0
-"""Seconds that a flow may be old, and so that a former service counts."""
+FLOW_MAX_AGE_SECONDS = 60.0
+"""Longest lifetime of a flow in seconds, for which a former service counts."""
 
 ADDRESS_SIZE = 6
 
 
-class Former(NamedTuple):
-    """A service that a route led to, and for how many seconds it counts yet."""
+class FormerService(NamedTuple):
+    """A former service of a route, and the seconds for which it still counts."""
 
     address: bytes
     service: str
     left: float
 
 
-class Formers:
-    """What one daemon knows of former services.
+class FormerServices:
+    """The former services that one daemon knows.
 
-    ``is_complete`` tells whether nothing older than this daemon is missing. As
-    long as something may be, nobody can say that a flow has no owner.
+    ``is_complete`` is whether nothing from before this daemon's start is missing. Until
+    then no daemon can conclude that a flow has no owner.
     """
 
     def __init__(self) -> None:
@@ -61,9 +60,9 @@
         self._begun = now
 
     def replaced(self, now: float, former: Routes, newer: Routes) -> None:
-        """Note what a new configuration has changed.
+        """Note the changes of a new configuration.
 
-        A route that it drops ends its flows, and so leaves nothing here.
+        A route that is removed ends its flows, so it has no former services.
         """
         self._expire(now)
         for address, route in former.by_address.items():
@@ -72,22 +71,25 @@
                 self._until_by_address.pop(address, None)
             elif kept.shares != route.shares:
                 for service in route.names - kept.names:
-                    self._add(address, service, now + FLOW_LONGEST)
+                    self._add(address, service, now + FLOW_MAX_AGE_SECONDS)
 
-    def learn(self, now: float, told: list[Former], whole: bool = True) -> None:
-        """Take what a peer or the record tells; nothing older is missing then.
+    def learn(
+        self, now: float, reported: list[FormerService], whole: bool = True
+    ) -> None:
+        """Add the former services of a peer or of the record.
 
-        Unless it isn't ``whole``, as the record of a restored store may not be.
+        Then nothing older is missing, unless ``whole`` is false, as for the record of a
+        restored store.
         """
-        for former in told:
-            left = min(FLOW_LONGEST, max(0.0, former.left))
+        for former in reported:
+            left = min(FLOW_MAX_AGE_SECONDS, max(0.0, former.left))
             self._add(former.address, former.service, now + left)
         self.is_complete = self.is_complete or whole
 
-    def rows(self, now: float) -> list[Former]:
-        """Return what is known, for others to learn from."""
+    def rows(self, now: float) -> list[FormerService]:
+        """Return the known former services, for other daemons."""
         return [
-            Former(address, service, until - now)
+            FormerService(address, service, until - now)
             for address, untils in self._until_by_address.items()
             for service, until in untils.items()
             if until > now
@@ -98,16 +100,16 @@
         untils = self._until_by_address.get(route_key(flow))
         if not untils:
             return []
-        here = [(until, name) for name, until in untils.items() if until > now]
-        return [name for _, name in sorted(here, reverse=True)]
+        valid = [(until, name) for name, until in untils.items() if until > now]
+        return [name for _, name in sorted(valid, reverse=True)]
 
     def services(self) -> set[str]:
-        """Return every former service."""
+        """Return all former services."""
         return {name for untils in self._until_by_address.values() for name in untils}
 
     def tick(self, now: float) -> None:
-        """Note the time: no flow is older than this daemon after a while."""
-        if not self.is_complete and now - self._begun > FLOW_LONGEST:
+        """Set the data complete once no flow is older than this daemon."""
+        if not self.is_complete and now - self._begun > FLOW_MAX_AGE_SECONDS:
             self.is_complete = True
 
     def _add(self, address: bytes, service: str, until: float) -> None:
@@ -123,23 +125,23 @@
 
 
 BUCKETS = 16
-"""Parts of the record, each under a key of its own: a change writes one of them
-instead of the whole."""
+"""Parts of the record, each under its own key, so that a change writes one of them
+instead of the whole record."""
 
 
 class Record(NamedTuple):
-    """What the store keeps for daemons that start: where routes have led.
+    """The services that routes have led to, kept in the store for new daemons.
 
-    What goes wrong without: every process is killed just after a change, nobody
-    remembers the configuration before it, and flows at the former service are
-    searched among the new one's agents and reset.
+    Otherwise, if every process is killed just after a change, none remembers the former
+    configuration. Flows at the former service are then searched for among the new
+    service's agents, and reset.
     """
 
     services_by_address: dict[bytes, frozenset[str]]
 
     @classmethod
-    def of(cls, now: float, routes: Routes, formers: Formers) -> Record:
-        """Return what a daemon would write."""
+    def of(cls, now: float, routes: Routes, formers: FormerServices) -> Record:
+        """Return the record of a daemon's routes and former services."""
         known: dict[bytes, set[str]] = {
             address: set(route.names) for address, route in routes.by_address.items()
         }
@@ -147,20 +149,20 @@
             known.setdefault(former.address, set()).add(former.service)
         return cls({address: frozenset(names) for address, names in known.items()})
 
-    def formers(self, routes: Routes) -> list[Former]:
-        """Return the former services of routes that are in force.
+    def formers(self, routes: Routes) -> list[FormerService]:
+        """Return the former services of the present routes.
 
-        The record tells no times, as clocks may jump: each counts in full.
+        The record has no times, as clocks may jump: each service counts in full.
         """
         return [
-            Former(address, service, FLOW_LONGEST)
+            FormerService(address, service, FLOW_MAX_AGE_SECONDS)
             for address, names in self.services_by_address.items()
             if address in routes.by_address
             for service in names - routes.by_address[address].names
         ]
 
     def covers(self, other: Record) -> bool:
-        """Tell whether nothing that ``other`` has is missing here."""
+        """Return whether the record includes all of ``other``."""
         return all(
             names <= self.services_by_address.get(address, frozenset())
             for address, names in other.services_by_address.items()
@@ -177,20 +179,20 @@
         )
 
 
-def encode_rows(rows: list[Former]) -> bytes:
-    """Return former services as daemons tell each other."""
+def encode_rows(rows: list[FormerService]) -> bytes:
+    """Return former services as daemons exchange them."""
     return json.dumps(
         [[row.address.hex(), row.service, round(row.left, 1)] for row in rows],
         separators=(",", ":"),
     ).encode()
 
 
-def decode_rows(value: bytes) -> list[Former] | None:
-    """Read what another daemon tells; None if it is malformed."""
+def decode_rows(value: bytes) -> list[FormerService] | None:
+    """Decode another daemon's former services; return None if malformed."""
     try:
         rows = json.loads(value)
         return [
-            Former(bytes.fromhex(address), str(service), float(left))
+            FormerService(bytes.fromhex(address), str(service), float(left))
             for address, service, left in rows
         ]
     except (ValueError, TypeError):
@@ -207,7 +209,7 @@
 
 
 def decode(value: bytes) -> Record:
-    """Read a stored record; what can't be read is left out."""
+    """Decode a stored record; unreadable parts are skipped."""
     try:
         fields = json.loads(zlib.decompress(value))
     except (ValueError, zlib.error, RecursionError):
@@ -229,7 +231,7 @@
 
 
 def merged(records: Iterable[Record]) -> Record:
-    """Return what any of several records has."""
+    """Return the union of several records."""
     whole: dict[bytes, frozenset[str]] = {}
     for record in records:
         for address, names in record.services_by_address.items():
--- a/packages/zinniahook-core/src/zinniahook_core/packets/node.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/node.py
@@ -1,4 +1,4 @@
-"""What entries and agents of the packet service have in common."""
+"""The common base of entries and agents of the packet service."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 from .eras import revision_of
 from .evacuations import Evacuations, Stamp
 from .features import Features
-from .formers import Former, Formers
+from .formers import FormerService, FormerServices
 from .freshness import Freshness
-from .member import Row
+from .member import RosterRow
 from .models import Codec, Links, Log, Packet, Routes, route_key
-from .tunnel import Head, Kind, Wish, zone_tag
+from .tunnel import Head, HelloRequest, Kind, zone_tag
 
 __all__ = ["HOP_LIMIT", "Node"]
 
 HOP_LIMIT = 6
-"""Daemons that a packet may pass: entry, former home, home, two agents that
-can't take it, one to spare. Two daemons with different rosters would pass a
-packet to and fro for ever without."""
+"""Daemons that a packet may pass: an entry, a former home, the home, two agents that
+can't accept it, and one to spare. Without a limit, two daemons with different rosters
+would pass a packet back and forth for ever."""
 
 
 ADDRESS_PARTS = 4
-BYTE_MOST = 255
-AGE_MOST = 1e6
-"""Seconds of an age in a roster, above the life of any process that matters."""
+BYTE_MAX = 255
+AGE_MAX_SECONDS = 1e6
+"""Largest age accepted in a roster, above the lifetime of any relevant process."""
 
-NEWS_WIDTH = 8
-"""Daemons told at once of a new configuration. Each tells as many others, so one
-in 3,000 isn't told directly; it sees the version in the next datagram."""
+ANNOUNCEMENT_FANOUT = 8
+"""Daemons notified at once of a new configuration. Each notifies as many others, so one
+in 3,000 gets no such hello; it sees the version in the next datagram."""
 
 
 class Node:
-    """One daemon: its address, its configuration, and how it sends.
+    """A daemon: its address, its configuration, and how it sends.
 
     Parameters
     ----------
     address : str
-        IP address; the daemon's name among the others.
+        IP address, which identifies the daemon.
     data_centre : str
         Where it runs.
     codec : Codec
@@ -47,11 +47,11 @@
     links : Links
         Sends datagrams.
     log : Log
-        Where decisions are told.
+        Records decisions.
     rng : random.Random
-        Source of chance.
+        Source of randomness.
     features : Features, optional
-        Which optional parts the settings switch on or off.
+        The optional parts that the settings switch on or off.
     """
 
     def __init__(
@@ -73,29 +73,29 @@
         self.features = features
         self.routes = Routes.none()
         self.freshness = Freshness(address, rng)
-        self.formers = Formers()
+        self.formers = FormerServices()
         self.evacuations = Evacuations()
         self.zone = zone_tag(data_centre)
         self.data_centres: frozenset[str] = frozenset()
-        """All data centres of the deployment; empty if the settings tell none."""
+        """All data centres of the deployment; empty if the settings name none."""
 
     def configure(
         self,
         now: float,
         routes: Routes,
-        told: list[Former] | None = None,
+        reported: list[FormerService] | None = None,
         whole: bool = True,
     ) -> bool:
-        """Put a configuration in force; an older one is refused.
+        """Apply a configuration unless it is older than the present one.
 
-        ``told`` are the former services that its teller knows, None if it
-        tells of none; ``whole`` tells whether that is all there are.
+        ``reported`` are the former services that the sender knows, None if it reports
+        none; ``whole`` is whether they are complete.
 
-        What goes wrong without the check: a slow answer of the store is
-        overtaken by a push, and a route that was dropped comes back.
+        Without the version check, a slow answer of the store that is overtaken by a
+        push brings back a route that was removed.
         """
-        if told is not None:
-            self.formers.learn(now, told, whole)
+        if reported is not None:
+            self.formers.learn(now, reported, whole)
         if routes.version <= self.routes.version:
             return False
         former = self.routes.version
@@ -108,34 +108,34 @@
             former=former,
             routes=len(routes.by_address),
         )
-        self.show(now)
+        self.announce(now)
         return True
 
     @property
     def may_lack_routes(self) -> bool:
-        """Whether the configuration may be that of an older copy of the store.
+        """Whether the configuration may come from an older copy of the store.
 
-        A process that starts knows no other, until somebody tells it of a newer
-        one, or that the record is of the store's present era.
+        A process that starts doesn't know a newer one until a peer reports it, or
+        reports that the record belongs to the store's present era.
         """
         return self.evacuations.era > 0 and not self.formers.is_complete
 
-    def show(self, now: float) -> None:
-        """Show a few daemons what this one knows; they show it to others."""
+    def announce(self, now: float) -> None:
+        """Announce this daemon's versions to a few daemons, which do the same."""
         others = self.neighbours(now)
-        for address in self.rng.sample(others, min(NEWS_WIDTH, len(others))):
-            self.hello(now, address, Wish.NOTHING)
+        for address in self.rng.sample(others, min(ANNOUNCEMENT_FANOUT, len(others))):
+            self.hello(now, address, HelloRequest.NOTHING)
 
     def evacuate(
         self, now: float, revision: int, names: frozenset[str], era: int = 0
     ) -> None:
-        """Take which data centres the store lists as evacuated at a revision."""
+        """Apply the evacuated data centres that the store lists at a revision."""
         changed = self.evacuations.read(revision, names, era)
         if self.evacuations.expire(now) or changed:
-            self._evacuated(now)
+            self._evacuations_changed(now)
 
-    def _evacuated(self, now: float) -> None:
-        """Note that another set of evacuated data centres is in force."""
+    def _evacuations_changed(self, now: float) -> None:
+        """Log and announce a new set of evacuated data centres."""
         self.log.event(
             "evacuations.installed",
             centres=sorted(self.evacuations.names),
@@ -144,20 +144,20 @@
             revision=revision_of(self.evacuations.stamp.position),
             unknown=self._unknown_centres(),
         )
-        self.show(now)
+        self.announce(now)
 
     def _unknown_centres(self) -> list[str]:
         """Return the evacuated data centres that the deployment doesn't have.
 
-        What goes wrong without: an operator mistypes a name, the order counts as
-        in force, and the data centre that was meant goes on getting flows.
+        Otherwise, when an operator mistypes a name, the order seems to be in force
+        while the intended data centre still gets flows.
         """
         if not self.data_centres:
             return []
         return sorted(self.evacuations.names - self.data_centres)
 
     def candidates(self, now: float, flow: bytes) -> list[str]:
-        """Return the services that may own a flow, the likeliest first."""
+        """Return the services that may own a flow, the most likely first."""
         route = self.routes.by_address.get(route_key(flow))
         if route is None:
             return []
@@ -166,12 +166,14 @@
         return services + [name for name in former if name not in services]
 
     def neighbours(self, now: float) -> list[str]:
-        """Return the daemons to be told of a new configuration."""
+        """Return the daemons to notify of a new configuration."""
         raise NotImplementedError
 
-    def hello(self, now: float, address: str, wish: Wish = Wish.STATUS) -> None:
-        """Show this daemon's configuration to another, and ask for something."""
-        self.send(now, address, Kind.HELLO, reason=wish)
+    def hello(
+        self, now: float, address: str, request: HelloRequest = HelloRequest.STATUS
+    ) -> None:
+        """Announce this daemon's versions to another one and ask for something."""
+        self.send(now, address, Kind.HELLO, reason=request)
 
     def send(
         self,
@@ -184,9 +186,9 @@
         hops: int = 0,
         reason: int = 0,
         service: int = 0,
-        like: Head | None = None,
+        origin: Head | None = None,
     ) -> None:
-        """Send a datagram; ``like`` gives the origin of a client's packet."""
+        """Send a datagram; ``origin`` is the head of the client's packet, if any."""
         freshness = self.freshness
         head = Head(
             kind,
@@ -195,9 +197,9 @@
             reason,
             self.routes.version,
             freshness.age(now),
-            like.zone if like else self.zone,
+            origin.zone if origin else self.zone,
             service,
-            like.entry if like else self.address,
+            origin.entry if origin else self.address,
             freshness.watcher,
             *self.evacuations.stamp,
         )
@@ -216,85 +218,87 @@
             marks=marks,
             hops=head.hops + 1,
             service=head.service,
-            like=head,
+            origin=head,
         )
 
     def receive(self, now: float, sender: str, data: bytes) -> None:
-        """Handle a datagram of another daemon."""
+        """Handle a datagram from another daemon."""
         decoded = tunnel.decode(data)
         if decoded is None:
             self.log.count("datagrams.malformed")
             return
         head, body = decoded
-        self._compare(now, sender, head)
+        self._compare_versions(now, sender, head)
         if head.kind is Kind.EVACUATIONS:
-            self._evacuations_told(now, body)
-        elif head.kind is Kind.HELLO and head.reason == Wish.EVACUATIONS:
+            self._receive_evacuations(now, body)
+        elif head.kind is Kind.HELLO and head.reason == HelloRequest.EVACUATIONS:
             self.send(now, sender, Kind.EVACUATIONS, self.evacuations.encode())
         else:
             self.handle(now, sender, head, body)
 
-    def _compare(self, now: float, sender: str, head: Head) -> None:
-        """Ask a daemon for what it has newer than this one.
+    def _compare_versions(self, now: float, sender: str, head: Head) -> None:
+        """Ask the sender of a datagram for what it has newer than this daemon.
 
-        Its confirmation counts only if both have the same evacuations: it is one
-        of both documents.
+        Its confirmation covers both the configuration and the evacuations, so it counts
+        only if both daemons have the same evacuations.
         """
         stamp = Stamp(head.evacuated_at, head.evacuated)
-        if self.evacuations.shown(now, stamp) and self.evacuations.may_ask(now):
-            self.hello(now, sender, Wish.EVACUATIONS)
+        if self.evacuations.compare(now, stamp) and self.evacuations.may_request(now):
+            self.hello(now, sender, HelloRequest.EVACUATIONS)
         if self.evacuations.expire(now):
-            self._evacuated(now)
+            self._evacuations_changed(now)
         age = head.age if self.evacuations.agrees(stamp) else None
         if self.freshness.heard(now, head.watcher, head.version, age):
             self.links.fetch(sender)
 
-    def _evacuations_told(self, now: float, body: bytes) -> None:
-        changed = self.evacuations.told(body)
+    def _receive_evacuations(self, now: float, body: bytes) -> None:
+        changed = self.evacuations.merge(body)
         if changed is None:
             self.log.count("datagrams.malformed")
         elif self.evacuations.expire(now) or changed:
-            self._evacuated(now)
+            self._evacuations_changed(now)
 
     def handle(self, now: float, sender: str, head: Head, body: bytes) -> None:
-        """Handle a datagram whose head was read."""
+        """Handle a datagram whose head was decoded."""
         raise NotImplementedError
 
-    def rosters(self, body: bytes) -> dict[str, list[Row]]:
-        """Read the body of a roster; what is malformed is counted and left out."""
-        fields = tunnel.decode_control(body)
+    def read_rosters(self, body: bytes) -> dict[str, list[RosterRow]]:
+        """Decode the body of a roster; malformed parts are counted and skipped."""
+        fields = tunnel.decode_rosters(body)
         if fields is None:
             self.log.count("datagrams.malformed")
             return {}
-        rows_by_service: dict[str, list[Row]] = {}
+        rows_by_service: dict[str, list[RosterRow]] = {}
         for service, rows in fields.items():
-            read = [_row(row) for row in rows] if isinstance(rows, list) else [None]
+            read = (
+                [_decode_row(row) for row in rows] if isinstance(rows, list) else [None]
+            )
             rows_by_service[service] = [row for row in read if row is not None]
             if None in read:
                 self.log.count("datagrams.malformed")
         return rows_by_service
 
 
-def _row(fields: Any) -> Row | None:
-    """Read a row of a roster; None if it is malformed.
+def _decode_row(fields: Any) -> RosterRow | None:
+    """Decode a row of a roster; return None if it is malformed.
 
-    What goes wrong without the check: a daemon of another version tells rows of
-    another shape, and each of its datagrams ends in an exception.
+    Otherwise rows of another shape, from a daemon of another version, would raise an
+    exception with each of its datagrams.
     """
     match fields:
         case [str(address), int(zone), age] if _is_address(address) and _is_age(age):
-            return Row(address, zone, age)
+            return RosterRow(address, zone, age)
     return None
 
 
 def _is_address(text: str) -> bool:
-    """Tell whether a text is an IP address as datagrams carry it."""
+    """Return whether a text is an IP address as used in datagrams."""
     parts = text.split(".")
     return len(parts) == ADDRESS_PARTS and all(
-        part.isascii() and part.isdigit() and int(part) <= BYTE_MOST for part in parts
+        part.isascii() and part.isdigit() and int(part) <= BYTE_MAX for part in parts
     )
 
 
 def _is_age(age: Any) -> bool:
-    """Tell whether an age is one; what isn't a number compares false."""
-    return age is None or (isinstance(age, int | float) and 0 <= age < AGE_MOST)
+    """Return whether a value is None or a valid age; NaN compares false."""
+    return age is None or (isinstance(age, int | float) and 0 <= age < AGE_MAX_SECONDS)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/sections.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/sections.py
@@ -1,35 +1,35 @@
-"""Optional parts of a status, one for each feature that tells something.
+"""Optional sections of a status, one for each feature that reports something.
 
-A status is the same few bytes in every deployment. What a feature adds follows
-it as a section: a number, a length, and bytes that only the feature reads. A
-daemon that doesn't know a section passes over it, so daemons of unlike versions
-understand each other during a rolling upgrade.
+A status has the same few bytes in every deployment. A feature appends a section: a
+number, a length, and bytes that only that feature decodes. A daemon skips sections that
+it doesn't know, so daemons of different versions understand each other during a rolling
+upgrade.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-__all__ = ["SECTION_LONGEST", "Section", "decode_sections", "encode_sections"]
+__all__ = ["SECTION_MAX_BYTES", "Section", "decode_sections", "encode_sections"]
 
-HEAD_SIZE = 2
-SECTION_LONGEST: Final = 255
+SECTION_HEAD_BYTES = 2
+SECTION_MAX_BYTES: Final = 255
 
 
 class Section:
-    """The sections that exist; plain numbers as with `Flag`."""
+    """The section numbers; plain integers, as in `Flag`."""
 
-    ROOM: Final = 1
+    DEMAND: Final = 1
     """Demand and capacity of the sender's target, by kind."""
 
     HEALTH: Final = 2
     """How the sender's target answers."""
 
     CAPACITY: Final = 3
-    """What the sender's target was measured to bear."""
+    """The measured capacity of the sender's target."""
 
     WORK: Final = 4
-    """What the open flows of the sender's target are going to ask."""
+    """The work that the open flows of the sender's target are expected to bring."""
 
 
 def encode_sections(by_kind: dict[int, bytes]) -> bytes:
@@ -38,7 +38,7 @@
     Raises
     ------
     ValueError
-        If one is longer than `SECTION_LONGEST` bytes.
+        If one is longer than `SECTION_MAX_BYTES` bytes.
     """
     return b"".join(
         bytes((kind, len(body))) + body for kind, body in sorted(by_kind.items())
@@ -46,14 +46,14 @@
 
 
 def decode_sections(data: bytes) -> dict[int, bytes] | None:
-    """Read what follows a status; None if it is cut off."""
+    """Decode what follows a status; return None if it is truncated."""
     by_kind: dict[int, bytes] = {}
     at = 0
     while at < len(data):
-        if len(data) - at < HEAD_SIZE:
+        if len(data) - at < SECTION_HEAD_BYTES:
             return None
         kind, length = data[at], data[at + 1]
-        at += HEAD_SIZE
+        at += SECTION_HEAD_BYTES
         if len(data) - at < length:
             return None
         by_kind[kind] = data[at : at + length]
--- a/packages/zinniahook-core/tests/test_packet_verdicts.py
+++ b/packages/zinniahook-core/tests/test_packet_verdicts.py
@@ -1,14 +1,14 @@
-"""What is remembered of flows that nobody owns, and what it rests on."""
+"""Verdicts on flows without an owner, and what makes them invalid."""
 
 import pytest
 from zinniahook_core.packets import Flag, Packet, State, tunnel
-from zinniahook_core.packets.circles import FIRST, LOST_AFTER
-from zinniahook_core.packets.formers import FLOW_LONGEST
+from zinniahook_core.packets.candidates import CANDIDATES, LOST_SECONDS
+from zinniahook_core.packets.formers import FLOW_MAX_AGE_SECONDS
 from zinniahook_core.packets.members import Roster
 from zinniahook_core.packets.tunnel import Ended, Status
 from zinniahook_core.packets.verdicts import (
-    FOR_EVER,
-    SAME_FLOW,
+    PERMANENT_EPOCH,
+    SAME_FLOW_BYTES,
     VERDICTS_LIMIT,
     Verdicts,
 )
@@ -37,15 +37,15 @@
     def test_holds_as_long_as_a_flow_may_live(self):
         verdicts = Verdicts()
         verdicts.keep(10.0, FLOW, 1000, 3)
-        assert verdicts.get(10.0 + FLOW_LONGEST - 1, packet()) is not None
-        assert verdicts.get(10.0 + FLOW_LONGEST, packet()) is None
+        assert verdicts.get(10.0 + FLOW_MAX_AGE_SECONDS - 1, packet()) is not None
+        assert verdicts.get(10.0 + FLOW_MAX_AGE_SECONDS, packet()) is None
 
-    @pytest.mark.parametrize("ahead", [-SAME_FLOW, 0, SAME_FLOW])
+    @pytest.mark.parametrize("ahead", [-SAME_FLOW_BYTES, 0, SAME_FLOW_BYTES])
     def test_is_of_packets_of_the_same_flow(self, ahead):
         verdicts = Verdicts()
         verdicts.keep(0.0, FLOW, 10, 3)
         assert verdicts.get(0.0, packet((10 + ahead) % 2**32)) is not None
-        beyond = (10 + ahead + (1 if ahead >= 0 else -1) * SAME_FLOW * 2) % 2**32
+        beyond = (10 + ahead + (1 if ahead >= 0 else -1) * SAME_FLOW_BYTES * 2) % 2**32
         assert verdicts.get(0.0, packet(beyond)) is None
 
     def test_their_number_is_bounded(self):
@@ -54,7 +54,7 @@
             verdicts.keep(0.0, number.to_bytes(12, "big"), 0, 3)
         assert len(verdicts) == VERDICTS_LIMIT
 
-    def test_rests_on_who_was_there_and_answered(self):
+    def test_covers_agents_that_were_present_and_answered(self):
         verdicts = Verdicts()
         verdicts.keep(0.0, FLOW, 1000, 3, frozenset({"10.0.0.9"}))
         verdict = verdicts.get(0.0, packet())
@@ -62,25 +62,26 @@
         assert not verdict.covers("10.0.0.1", 4)
         assert not verdict.covers("10.0.0.9", 1)
 
-    def test_that_of_the_own_target_s_end_rests_on_nobody(self):
+    def test_of_an_ended_target_covers_every_agent(self):
         verdicts = Verdicts()
-        verdicts.keep(0.0, FLOW, 1000, FOR_EVER)
+        verdicts.keep(0.0, FLOW, 1000, PERMANENT_EPOCH)
         verdict = verdicts.get(0.0, packet())
         assert verdict.has_ended
         assert verdict.covers("10.0.0.1", 10**9)
 
 
-class TestWhoMayOwnWhatNobodyOwned:
-    """Symptom: a verdict outlives what it rests on, and a flow that lives is
-    reset. Sequence: an agent comes, comes back or starts again after everybody
-    has denied a flow. Cause: nobody notes that one more may own it.
+class TestAgentsThatMayOwnUnownedFlows:
+    """A verdict must not outlive what it depends on: a live flow would be reset.
+
+    An agent joins, comes back or restarts after every agent has denied a flow, and may
+    now own it.
     """
 
     def test_one_that_comes(self):
         roster = roster_of(NAMES[:3])
         epoch = roster.epoch
         member = roster.add(1.0, NAMES[5], 0)
-        assert member.changed == roster.epoch == epoch + 1
+        assert member.changed_epoch == roster.epoch == epoch + 1
 
     def test_one_that_starts_again(self):
         roster = roster_of(NAMES[:3])
@@ -88,13 +89,13 @@
         roster.learn(0.1, NAMES[1], 1, status())
         assert roster.epoch == epoch
         roster.learn(0.2, NAMES[1], 1, status(incarnation=2))
-        assert roster.by_address[NAMES[1]].changed == epoch + 1
+        assert roster.by_address[NAMES[1]].changed_epoch == epoch + 1
 
     def test_one_that_was_silent(self):
         roster = roster_of(NAMES[:3])
         epoch = roster.epoch
-        roster.learn(LOST_AFTER + 1, NAMES[1], 1, status())
-        assert roster.by_address[NAMES[1]].changed == epoch + 1
+        roster.learn(LOST_SECONDS + 1, NAMES[1], 1, status())
+        assert roster.by_address[NAMES[1]].changed_epoch == epoch + 1
 
     def test_one_whose_target_had_ended(self):
         roster = roster_of(NAMES[:3])
@@ -103,23 +104,23 @@
         roster.learn(0.2, NAMES[1], 1, status(State.ENDED))
         assert roster.epoch == epoch
         roster.learn(0.3, NAMES[1], 1, status(State.READY))
-        assert roster.by_address[NAMES[1]].changed == epoch + 1
+        assert roster.by_address[NAMES[1]].changed_epoch == epoch + 1
 
     def test_one_that_only_a_peer_hears(self):
         roster = roster_of(NAMES[:3])
         epoch = roster.epoch
-        roster.vouch(0.1, NAMES[1], 0.0)
+        roster.learn_heard_by_peer(0.1, NAMES[1], 0.0)
         assert roster.epoch == epoch
-        roster.vouch(LOST_AFTER + 1, NAMES[1], 0.1)
-        assert roster.by_address[NAMES[1]].changed == epoch + 1
+        roster.learn_heard_by_peer(LOST_SECONDS + 1, NAMES[1], 0.1)
+        assert roster.by_address[NAMES[1]].changed_epoch == epoch + 1
 
 
-class TestHomesThatChange:
-    """Symptom: an agent searches for flows whose owners have told their homes.
+class TestChangesOfHomes:
+    """An agent must not search for flows that their owners have reported to homes.
 
-    Sequence: a member that was no home any more, as its target had ended, is
-    lost after seconds, and flows concern another one in its place. Cause: the
-    owners look again only if those that may be homes change.
+    A member that is no home any more, as its target has ended, is lost after seconds,
+    and flows get another candidate in its place. Their owners check the homes again
+    only if the candidates for homes are seen to change.
     """
 
     def heard(self, roster, now, names):
@@ -130,27 +131,28 @@
         roster = roster_of(NAMES)
         roster.refresh(0.0)
         roster.learn(0.1, NAMES[-1], 2, status(State.ENDED))
-        assert roster.refresh(0.2).homes
+        assert roster.refresh(0.2).homes_changed
         others = NAMES[:-1]
         self.heard(roster, 4.4, others)
-        assert not roster.refresh(4.4).homes
-        self.heard(roster, LOST_AFTER + 0.2, others)
-        assert roster.refresh(LOST_AFTER + 0.2).homes
+        assert not roster.refresh(4.4).homes_changed
+        self.heard(roster, LOST_SECONDS + 0.2, others)
+        assert roster.refresh(LOST_SECONDS + 0.2).homes_changed
 
-    def test_not_in_a_service_in_which_every_flow_concerns_all(self):
-        names = NAMES[:FIRST]
+    def test_not_in_a_service_where_every_member_is_a_candidate(self):
+        names = NAMES[:CANDIDATES]
         roster = roster_of(names)
         roster.learn(0.1, names[-1], 2, status(State.ENDED))
         roster.refresh(0.2)
-        self.heard(roster, LOST_AFTER + 0.2, names[:-1])
-        assert not roster.refresh(LOST_AFTER + 0.2).homes
+        self.heard(roster, LOST_SECONDS + 0.2, names[:-1])
+        assert not roster.refresh(LOST_SECONDS + 0.2).homes_changed
 
 
 class TestEntriesAndAgentsSeeTheSameHomes:
-    """Symptom: after many targets were replaced, packets come to homes that nobody
-    told of their flows. Sequence: agents end; entries send them nothing any more,
-    so they never notice that they are silent. Cause: for entries the ended ones
-    keep their places among those that a flow concerns, for ever.
+    """Packets must not go to homes that no owner has notified.
+
+    Many targets are replaced and their agents end. Entries send these agents nothing
+    any more, so they never notice their silence. For entries the ended agents would
+    keep their places among the candidates for ever.
     """
 
     def heard(self, roster, now, names):
@@ -164,7 +166,7 @@
             for name in NAMES[4:]:
                 roster.learn(0.1, name, 0, status(State.ENDED))
             self.heard(roster, 0.2, [*NAMES[:4], "10.0.1.1", "10.0.1.2", "10.0.1.3"])
-            later = LOST_AFTER + 1.0
+            later = LOST_SECONDS + 1.0
             self.heard(roster, later, [*NAMES[:4], "10.0.1.1", "10.0.1.2", "10.0.1.3"])
         return entry, agent, later
 
@@ -192,15 +194,17 @@
             (Flag.RESET, 0, "reset", False),
         ],
     )
-    def test_what_nobody_owns_may_be_reset(self, flags, length, kind, resettable):
+    def test_packets_of_unowned_flows_may_be_reset(
+        self, flags, length, kind, resettable
+    ):
         one = packet(flags=flags, length=length)
         assert (one.kind, one.is_resettable) == (kind, resettable)
 
 
 class TestEnded:
     def test_is_read_as_it_was_written(self):
-        told = [Ended(FLOW, 7), Ended(FLOW[::-1], 2**32 - 1)]
-        assert tunnel.decode_ended(tunnel.ended(told)) == told
+        ended = [Ended(FLOW, 7), Ended(FLOW[::-1], 2**32 - 1)]
+        assert tunnel.decode_ended(tunnel.encode_ended(ended)) == ended
 
     def test_what_is_cut_off_is_malformed(self):
-        assert tunnel.decode_ended(tunnel.ended([Ended(FLOW, 7)])[:-1]) is None
+        assert tunnel.decode_ended(tunnel.encode_ended([Ended(FLOW, 7)])[:-1]) is None
