--- a/packages/zinniahook-core/src/zinniahook_core/packets/__init__.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/__init__.py
@@ -21,7 +21,7 @@
     State,
     Urgency,
 )
-from .pace import ColdLimit
+from .pacing import ColdLimit
 from .target import Target
 
 __all__ = [
--- a/packages/zinniahook-core/src/zinniahook_core/packets/agent.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/agent.py
@@ -9,19 +9,19 @@
 
 import random
 
-from .endings import Endings
 from .features import Features
-from .flows import Flow, Flows, Standing
+from .flows import Flow, Flows, FlowState
 from .homes import Home
 from .members import Roster
 from .membership import Membership
 from .models import Beat, Codec, Flag, Links, Log, Packet, route_key
 from .node import Node
-from .openings import Openings, standing
-from .pace import ColdLimit, Pace
-from .queueing import Queue
+from .openings import Openings, initial_state
+from .pacing import ColdLimit, Pacer
+from .queueing import RequestQueue
 from .registry import Registry
 from .requests import Requests
+from .resets import Resets
 from .searches import Taken
 from .target import Target
 from .trials import Trials
@@ -29,8 +29,8 @@
 
 __all__ = ["Agent"]
 
-EXPIRE_EVERY = 0.2
-EXPIRED_AT_ONCE = 800
+EXPIRY_INTERVAL_SECONDS = 0.2
+FLOWS_PER_EXPIRY = 800
 """Flows looked at each time: 4,000 a second; an agent has 3,200 at the size
 designed for."""
 
@@ -66,18 +66,20 @@
         super().__init__(address, data_centre, codec, links, log, rng, features)
         self.target = target
         self.flows = Flows()
-        target.watch(features, log, self.flows)
-        self.endings = Endings(self, target, self.flows)
+        target.enable_measurement(features, log, self.flows)
+        self.resets = Resets(self, target, self.flows)
         self._expire_at = float("-inf")
         self.membership = Membership(self, target, self.flows, incarnation)
         self.requests = Requests(self, target, self.flows)
         self.trials = Trials(
             self.flows, target, links, self._found, self.membership.show
         )
-        self._pace = Pace(cold_limit)
-        self.queue = Queue(self, target, self.flows, self.membership, self.requests)
+        self._pacer = Pacer(cold_limit)
+        self.queue = RequestQueue(
+            self, target, self.flows, self.membership, self.requests
+        )
         self.openings = Openings(
-            self, target, self.flows, self.membership, self._pace, self.queue
+            self, target, self.flows, self.membership, self._pacer, self.queue
         )
         self.membership.openings_waiting = self.openings.waiting
         self._make_home()
@@ -85,7 +87,7 @@
     def start(self, now: float) -> None:
         """Begin; flows may be older than this process for a while."""
         self.target.start(now)
-        self._pace.start(now)
+        self._pacer.start(now)
         self.trials.start(now)
         self.freshness.wait(now)
 
@@ -111,7 +113,7 @@
 
     def _evacuated(self, now: float) -> None:
         self.roster.closed = self.evacuations.tags
-        self.target.doubt(now)
+        self.target.suspect_cold(now)
         super()._evacuated(now)
         self.openings.tick(now)
         self.membership.tick(now)
@@ -129,7 +131,7 @@
         self.queue.tick(now)
         self.membership.tick(now)
 
-    def beat(self, now: float, beat: Beat) -> bool:
+    def heartbeat(self, now: float, beat: Beat) -> bool:
         """Take a heartbeat of the target; return False if it can't be one.
 
         What goes wrong without the check: another writer names a service that
@@ -139,11 +141,11 @@
         if former and beat.service != former and not self._is_named(beat.service):
             self.log.event("heartbeat.foreign", target=beat.target, of=beat.service)
             return False
-        replaced = self.target.beat(now, beat)
+        replaced = self.target.heartbeat(now, beat)
         if replaced:
             until = self.target.former_until
             self.flows.forget_work()
-            ended = self.endings.end_all("target.replaced", until)
+            ended = self.resets.end_all("target.replaced", until)
             self.registry.tell_ended(now, ended)
             self.queue.admit(now)
         if beat.service != former:
@@ -155,23 +157,23 @@
         """Tell whether the configuration in force leads to a service."""
         return any(service in r.names for r in self.routes.by_address.values())
 
-    def left(self, now: float, target: str, born: int | None = None) -> None:
+    def note_ended(self, now: float, target: str, born: int | None = None) -> None:
         """Note that the target has ended."""
-        self.target.left(target, born)
+        self.target.note_ended(target, born)
         self.home.hand_on()
         self.membership.tick(now)
 
-    def absent(self, now: float) -> None:
+    def note_absent(self, now: float) -> None:
         """Note that no target runs on this instance, if none was ever seen."""
-        self.target.absent()
+        self.target.note_absent()
         self.membership.tick(now)
 
-    def appeared(self, now: float) -> None:
+    def note_appeared(self, now: float) -> None:
         """Note that a process runs where none did."""
-        self.target.appeared()
+        self.target.note_appeared()
         self.membership.tick(now)
 
-    def farewell(self, now: float) -> None:
+    def announce_end(self, now: float) -> None:
         """Tell the others for the last time, as this process ends.
 
         The flows of a target that has ended go with it.
@@ -207,22 +209,22 @@
         self.formers.tick(now)
         self.openings.tick(now)
         if self.target.is_dead(now) and len(self.flows):
-            ended = self.endings.end_all("target.silent", now)
+            ended = self.resets.end_all("target.silent", now)
             self.registry.tell_ended(now, ended)
         self.queue.tick(now)
         self.trials.tick(now)
         self.home.tick(now)
         self.membership.waiting = len(self.openings.waiting) + len(self.queue)
-        self.membership.held_back = self.openings.is_held_back(now)
+        self.membership.held_back = self.openings.is_throttled(now)
         self.membership.tick(now)
         if self.roster.is_due(now):
-            self._review(now)
+            self._review_roster(now)
         self.registry.tick(now)
         if now >= self._expire_at:
-            self._expire_at = now + EXPIRE_EVERY
-            self.flows.expire(now, self.routes.idle_timeout, EXPIRED_AT_ONCE)
+            self._expire_at = now + EXPIRY_INTERVAL_SECONDS
+            self.flows.expire(now, self.routes.idle_timeout, FLOWS_PER_EXPIRY)
 
-    def _review(self, now: float) -> None:
+    def _review_roster(self, now: float) -> None:
         """Look over who is present; flows may have other homes now."""
         changes = self.roster.refresh(now)
         if changes.come or changes.gone:
@@ -262,7 +264,7 @@
             self._opening(now, sender, head, packet)
             return
         flow = self.flows.get(packet.flow)
-        if flow is not None and flow.standing is Standing.TRIED:
+        if flow is not None and flow.state is FlowState.TRIED:
             self._wait_for_trial(now, head, packet)
             return
         if flow is not None and flow.matches(packet.acknowledged):
@@ -270,7 +272,7 @@
             if head.marks & Mark.SEARCH:
                 self._answer_search(now, sender, flow)
         else:
-            self._stray(now, sender, head, packet)
+            self._misrouted(now, sender, head, packet)
 
     def _wait_for_trial(self, now: float, head: Head, packet: Packet) -> None:
         """Handle a packet of a flow that is on trial here.
@@ -292,7 +294,7 @@
         agent that has just started and has none takes what entries let pass.
         """
         if head.service != tag(self.target.service):
-            self.openings.give_back(now, sender, head, packet, Reason.WRONG_SERVICE)
+            self.openings.send_back(now, sender, head, packet, Reason.WRONG_SERVICE)
             return False
         if not self.routes.version or head.version > self.routes.version:
             return True
@@ -304,7 +306,7 @@
             self.log.event(
                 "reset.no_route", flow=packet.flow, version=self.routes.version
             )
-            self.endings.reset(packet.flow, packet.acknowledged)
+            self.resets.reset(packet.flow, packet.acknowledged)
             return False
         if packet.is_opening and not route.opens_at(self.target.service):
             self.log.event("drop.stale_route", flow=packet.flow, version=head.version)
@@ -317,16 +319,16 @@
             return
         reason = self.openings.take(now, sender, head, packet)
         if reason is not Reason.NONE:
-            self.openings.give_back(now, sender, head, packet, reason)
+            self.openings.send_back(now, sender, head, packet, reason)
 
     def _deliver(self, now: float, head: Head, packet: Packet, flow: Flow) -> None:
         self.queue.deliver(now, flow, packet)
-        flow.seen = now
+        flow.last_seen = now
         flow.acknowledged = packet.acknowledged
         if packet.flags & Flag.CLOSING:
             flow.client_closed = True
-        if flow.standing is Standing.OFFERED:
-            self._opened(now, flow)
+        if flow.state is FlowState.OFFERED:
+            self._note_opened(now, flow)
         if flow.entry != head.entry or not head.marks & Mark.HINTED:
             flow.entry = head.entry
             self.registry.tell_owner(now, head.entry, [flow.key])
@@ -341,14 +343,14 @@
             self.registry.tell_owner(now, asker, [flow.key])
         self.registry.register(now, flow, force=True)
 
-    def _opened(self, now: float, flow: Flow) -> None:
-        flow.standing = Standing.OPEN
+    def _note_opened(self, now: float, flow: Flow) -> None:
+        flow.state = FlowState.OPEN
         flow.opening = b""
         self.openings.answered(flow)
-        self.log.event("flow.opened", flow=flow.key, opening=flow.client_first)
+        self.log.event("flow.opened", flow=flow.key, opening=flow.client_isn)
         self.registry.register(now, flow)
 
-    def _stray(self, now: float, sender: str, head: Head, packet: Packet) -> None:
+    def _misrouted(self, now: float, sender: str, head: Head, packet: Packet) -> None:
         """Handle a packet of a flow that isn't known to be owned here."""
         asked = head.marks & (Mark.SEARCH | Mark.POINTED)
         if not asked:
@@ -372,15 +374,15 @@
             return
         if packet.flags & Flag.RETURNED:
             self.target.heard(now)
-            self._bounced(now, packet)
+            self._returned(now, packet)
             return
         flow = self.flows.get(packet.flow)
         reset = bool(packet.flags & Flag.RESET)
-        if reset and flow is not None and flow.standing is Standing.TRIED:
+        if reset and flow is not None and flow.state is FlowState.TRIED:
             self._reset_on_trial(now, flow)
             return
         if packet.flags & Flag.OPENING or packet.length:
-            self.target.spoke(now)
+            self.target.note_working(now)
         else:
             # Resets and acknowledgements also come where no target works any
             # more. What goes wrong if they count: an instance whose target has
@@ -412,22 +414,22 @@
         flow = self.flows.get(packet.flow)
         if flow is None:
             # This process is younger than the flow, or has given its opening up.
-            flow = Flow(packet.flow, standing(packet), now, "", since=now)
+            flow = Flow(packet.flow, initial_state(packet), now, "", accepted_at=now)
             self.flows.add(flow)
             self.registry.register(now, flow)
-        flow.seen = now
+        flow.last_seen = now
         if packet.flags & Flag.OPENING:
             self._accepted(now, flow, packet)
             return
         if packet.length:
             self.home.volumes.add(flow, packet.length)
-        if flow.standing is Standing.TRIED:
+        if flow.state is FlowState.TRIED:
             self.trials.succeeded(now, flow)
         self.queue.acknowledged(flow, packet)
         ends = packet.flags & (Flag.RESET | Flag.CLOSING)
         freed = self._note_answer(now, flow, packet)
         if ends:
-            flow.standing = Standing.CLOSED
+            flow.state = FlowState.CLOSED
             flow.client_closed |= bool(packet.flags & Flag.RESET)
             self.queue.ended(now, flow)
         if freed:
@@ -436,7 +438,7 @@
     def _note_answer(self, now: float, flow: Flow, packet: Packet) -> bool:
         """Note what the target answers; return whether a request was in progress."""
         if packet.flags & Flag.RESET:
-            return self.requests.broken_off(now, flow)
+            return self.requests.aborted(now, flow)
         if not packet.length and not packet.flags & Flag.CLOSING:
             return False
         if self.queue.note_sent(flow, packet):
@@ -445,14 +447,14 @@
         return self.requests.answered(now, flow, packet)
 
     def _accepted(self, now: float, flow: Flow, packet: Packet) -> None:
-        flow.first = packet.sequence
-        flow.since = min(flow.since, now)
+        flow.target_isn = packet.sequence
+        flow.accepted_at = min(flow.accepted_at, now)
         self.openings.answered(flow)
         if flow.entry:
             # The client's next packet comes in a few milliseconds.
             self.registry.tell_owner(now, flow.entry, [flow.key])
 
-    def _bounced(self, now: float, packet: Packet) -> None:
+    def _returned(self, now: float, packet: Packet) -> None:
         cleared = self.codec.cleared(packet.raw)
         packet = packet._replace(raw=cleared)
         flow = self.flows.get(packet.flow)
@@ -461,12 +463,12 @@
             return
         if flow is None:
             return
-        if flow.standing is Standing.TRIED:
+        if flow.state is FlowState.TRIED:
             self._deny_trial(now, flow)
             return
         self.flows.drop(flow.key)
         if flow.is_proven:
-            self.endings.lost(flow, packet)
+            self.resets.lost(flow, packet)
             self.registry.tell_ended(now, [flow])
         else:
             self._disown(now, flow)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/room.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/allocation.py
@@ -14,80 +14,80 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
+from .backlog import MAX_WAIT_SECONDS
 from .flows import Flows
 from .member import Member
 from .models import Routes, State, route_key
 from .placement import WARMING_FACTOR
 from .sections import Section
-from .waiting import PATIENCE
 
 __all__ = [
-    "PRIORITY_MOST",
-    "Cell",
-    "Census",
+    "MAX_PRIORITY",
+    "TrafficClass",
+    "RequestCounter",
     "Count",
-    "Room",
-    "Sharing",
+    "ServiceLoad",
+    "Allocation",
     "all_wait",
     "decode_counts",
     "encode_counts",
     "max_min",
-    "shares",
-    "sharing",
+    "divide_slots",
+    "allocate",
 ]
 
-ROW = struct.Struct("!HBHB")
+ROW_FORMAT = struct.Struct("!HBHB")
 BUSY_UNITS = 100
-PRIORITY_MOST = 0xFF
+MAX_PRIORITY = 0xFF
 """Priorities above are counted with this one."""
 
-WAITING_MOST = 0xFF
-SHORT = 0xFFFF
-ROWS_MOST = 16
+MAX_WAITING = 0xFF
+MAX_UINT16 = 0xFFFF
+MAX_ROWS = 16
 """Rows that an agent tells, 6 bytes each: four data centres and four priorities."""
 
-COUNTS_KEPT = 2.0
+MAX_COUNTS_AGE_SECONDS = 2.0
 """Seconds for which counts are used. In a large service statuses come more rarely,
 and it is judged by the members that were heard within that time."""
 
-SAMPLE_LEAST = 0.25
+MIN_SAMPLE_SHARE = 0.25
 """Share of the ready members whose counts must be known. What goes wrong without:
 a daemon that is cut off from most sees two full agents and rejects for all."""
 
-FULL_SHARE = 0.9
+OVERLOAD_FULL_SHARE = 0.9
 """Share of the slots at which openings must wait for an overload to begin: the
 others are too few to reach all of a flow's takers."""
 
-RELIEVED_SHARE = 0.7
+RELIEF_FULL_SHARE = 0.7
 """The same below which it ends. What goes wrong with one bound for both: each
 status that tells of an empty queue turns rejecting off, and the next one on."""
 
-RELIEVED_DEMAND = 0.9
+RELIEF_DEMAND = 0.9
 """Demand, in capacities, below which an overload ends."""
 
-FLOOR = 0.5
+FLOOR_SHARE = 0.5
 """Part of an even share that each kind of each data centre gets before weights
 count, so that the least urgent one isn't left without any."""
 
-WEIGHT_STEP = 0.5
+PRIORITY_WEIGHT_RATIO = 0.5
 """Weight of a priority in that of the next more urgent one."""
 
-REVIEWED_EVERY = 0.2
-REVIEWED_PER_SECOND = 1600
+MIN_REVIEW_INTERVAL_SECONDS = 0.2
+MEMBERS_REVIEWED_PER_SECOND = 1600
 """Seconds between two looks at the members, and members looked at in a second."""
 
-REJECT_AFTER = 4.2
+REJECT_AFTER_SECONDS = 4.2
 """Seconds that an overload must have lasted before anything is rejected: three
 tries of a client that hears nothing. What goes wrong without: a client that is
 rejected at once uses up its tries within a second, while one that hears nothing
 would have been served at its last try, after a short overload."""
 
-ANSWER_TIME_LEAST = 0.001
+MIN_ANSWER_SECONDS = 0.001
 """Seconds that an answer is taken to need at least: members that have answered
 nothing yet tell 0, and no wait would follow from any number of openings."""
 
 
-class Cell(NamedTuple):
+class TrafficClass(NamedTuple):
     """One kind of request of one data centre: the tag of it and the priority."""
 
     zone: int
@@ -101,53 +101,55 @@
     waiting: int
 
 
-class Sharing(NamedTuple):
+class Allocation(NamedTuple):
     """How a service's slots are shared.
 
     ``demand`` and ``capacity`` are in slots, ``full`` is the share of the slots at
-    members where openings wait, ``shares_by_cell`` are slots, and ``waits_by_cell``
+    members where openings wait, ``slots_by_class`` are slots, and ``waits_by_class``
     seconds.
     """
 
     demand: float
     capacity: float
     full: float
-    shares_by_cell: dict[Cell, float]
-    waits_by_cell: dict[Cell, float]
+    slots_by_class: dict[TrafficClass, float]
+    waits_by_class: dict[TrafficClass, float]
 
     def shares_by_priority(self) -> dict[int, float]:
         """Return the slots of each priority, of all data centres together."""
         by_priority: dict[int, float] = {}
-        for cell, share in self.shares_by_cell.items():
-            by_priority[cell.priority] = by_priority.get(cell.priority, 0.0) + share
+        for traffic_class, share in self.slots_by_class.items():
+            by_priority[traffic_class.priority] = (
+                by_priority.get(traffic_class.priority, 0.0) + share
+            )
         return by_priority
 
 
-def encode_counts(counts_by_cell: Mapping[Cell, Count]) -> bytes:
+def encode_counts(counts_by_class: Mapping[TrafficClass, Count]) -> bytes:
     """Return what an agent tells of its requests, the largest cells first."""
     rows = sorted(
-        counts_by_cell.items(),
+        counts_by_class.items(),
         key=lambda item: (-item[1].waiting, -item[1].busy, item[0]),
     )
     return b"".join(
-        ROW.pack(
-            cell.zone,
-            max(0, min(PRIORITY_MOST, cell.priority)),
-            min(SHORT, round(count.busy * BUSY_UNITS)),
-            min(WAITING_MOST, count.waiting),
+        ROW_FORMAT.pack(
+            traffic_class.zone,
+            max(0, min(MAX_PRIORITY, traffic_class.priority)),
+            min(MAX_UINT16, round(count.busy * BUSY_UNITS)),
+            min(MAX_WAITING, count.waiting),
         )
-        for cell, count in rows[:ROWS_MOST]
+        for traffic_class, count in rows[:MAX_ROWS]
     )
 
 
-def decode_counts(body: bytes) -> dict[Cell, Count]:
+def decode_counts(body: bytes) -> dict[TrafficClass, Count]:
     """Read what an agent told; nothing if it is malformed."""
-    if len(body) % ROW.size:
+    if len(body) % ROW_FORMAT.size:
         return {}
-    counts: dict[Cell, Count] = {}
-    for at in range(0, len(body), ROW.size):
-        zone, priority, busy, waiting = ROW.unpack_from(body, at)
-        counts[Cell(zone, priority)] = Count(busy / BUSY_UNITS, waiting)
+    counts: dict[TrafficClass, Count] = {}
+    for at in range(0, len(body), ROW_FORMAT.size):
+        zone, priority, busy, waiting = ROW_FORMAT.unpack_from(body, at)
+        counts[TrafficClass(zone, priority)] = Count(busy / BUSY_UNITS, waiting)
     return counts
 
 
@@ -169,26 +171,31 @@
     return given
 
 
-def shares(wants_by_cell: Mapping[Cell, float], capacity: float) -> dict[Cell, float]:
+def divide_slots(
+    demand_by_class: Mapping[TrafficClass, float], capacity: float
+) -> dict[TrafficClass, float]:
     """Return the slots of each cell: a floor for each, the rest by priority."""
-    cells = sorted(wants_by_cell)
-    if not cells:
+    classes = sorted(demand_by_class)
+    if not classes:
         return {}
-    ranks = sorted({cell.priority for cell in cells})
-    weights = [WEIGHT_STEP ** ranks.index(cell.priority) for cell in cells]
-    wants = [wants_by_cell[cell] for cell in cells]
-    even = FLOOR * capacity / len(cells)
+    ranks = sorted({traffic_class.priority for traffic_class in classes})
+    weights = [
+        PRIORITY_WEIGHT_RATIO ** ranks.index(traffic_class.priority)
+        for traffic_class in classes
+    ]
+    wants = [demand_by_class[traffic_class] for traffic_class in classes]
+    even = FLOOR_SHARE * capacity / len(classes)
     floors = [min(want, even) for want in wants]
     wanted = [want - floor for want, floor in zip(wants, floors, strict=True)]
     rest = max_min(wanted, weights, capacity - sum(floors))
     return {
-        cell: floor + more
-        for cell, floor, more in zip(cells, floors, rest, strict=True)
+        traffic_class: floor + more
+        for traffic_class, floor, more in zip(classes, floors, rest, strict=True)
     }
 
 
 @dataclass(slots=True)
-class _Sum:
+class _Totals:
     """What the members of a sample tell together."""
 
     busy: float = 0.0
@@ -196,9 +203,9 @@
     slots: float = 0.0
     full_slots: float = 0.0
     answer_time_by_slots: float = 0.0
-    counts_by_cell: dict[Cell, Count] = field(default_factory=dict)
+    counts_by_class: dict[TrafficClass, Count] = field(default_factory=dict)
 
-    def add(self, member: Member, counts: dict[Cell, Count]) -> None:
+    def add(self, member: Member, counts: dict[TrafficClass, Count]) -> None:
         """Add a member."""
         waiting = sum(count.waiting for count in counts.values())
         slots = member.slots / (WARMING_FACTOR if member.warming > 0 else 1.0)
@@ -208,44 +215,46 @@
         self.busy += min(member.busy, member.slots) if not waiting else 0.0
         self.waiting += waiting
         self.answer_time_by_slots += member.answer_time * slots
-        for cell, count in counts.items():
+        for traffic_class, count in counts.items():
             self.busy += count.busy
-            known = self.counts_by_cell.get(cell, Count(0.0, 0))
-            self.counts_by_cell[cell] = Count(
+            known = self.counts_by_class.get(traffic_class, Count(0.0, 0))
+            self.counts_by_class[traffic_class] = Count(
                 known.busy + count.busy, known.waiting + count.waiting
             )
 
 
-def sharing(now: float, members: Iterable[Member]) -> Sharing | None:
+def allocate(now: float, members: Iterable[Member]) -> Allocation | None:
     """Return how members share their slots; None if too little is known.
 
     ``members`` are those that may open flows. All numbers are of those that have
     told lately: parts of the whole that compare as the whole does.
     """
-    total, heard, known = 0, 0, _Sum()
+    total, heard, known = 0, 0, _Totals()
     for member in members:
         if member.state is not State.READY:
             continue
         total += 1
-        if now - member.told_at <= COUNTS_KEPT:
+        if now - member.told_at <= MAX_COUNTS_AGE_SECONDS:
             heard += 1
             known.add(member, decode_counts(member.sections.get(Section.ROOM, b"")))
-    if not heard or heard < SAMPLE_LEAST * total:
+    if not heard or heard < MIN_SAMPLE_SHARE * total:
         return None
-    wants = {c: n.busy + n.waiting for c, n in known.counts_by_cell.items()}
-    by_cell = shares(wants, known.slots)
+    wants = {c: n.busy + n.waiting for c, n in known.counts_by_class.items()}
+    by_class = divide_slots(wants, known.slots)
     mean = known.answer_time_by_slots / known.slots
-    answer_time = max(ANSWER_TIME_LEAST, mean)
+    answer_time = max(MIN_ANSWER_SECONDS, mean)
     waits = {
-        cell: count.waiting * answer_time / by_cell[cell] if by_cell[cell] else 0.0
-        for cell, count in known.counts_by_cell.items()
+        traffic_class: count.waiting * answer_time / by_class[traffic_class]
+        if by_class[traffic_class]
+        else 0.0
+        for traffic_class, count in known.counts_by_class.items()
     }
     demand = known.busy + known.waiting
     full = known.full_slots / known.slots
-    return Sharing(demand, known.slots, full, by_cell, waits)
+    return Allocation(demand, known.slots, full, by_class, waits)
 
 
-class Census:
+class RequestCounter:
     """Counts the requests at one target by data centre and priority.
 
     Parameters
@@ -257,56 +266,59 @@
     def __init__(self, flows: Flows) -> None:
         self._flows = flows
         self._at = float("-inf")
-        self._busy: Counter[Cell] = Counter()
+        self._busy: Counter[TrafficClass] = Counter()
 
     def section(
         self, now: float, routes: Routes, waiting: Mapping[tuple[int, int], int]
     ) -> bytes:
         """Return what the agent tells; ``waiting`` are the openings by cell."""
-        if now - self._at >= REVIEWED_EVERY:
+        if now - self._at >= MIN_REVIEW_INTERVAL_SECONDS:
             self._at = now
             self._count(routes)
-        counts = {cell: Count(float(busy), 0) for cell, busy in self._busy.items()}
+        counts = {
+            traffic_class: Count(float(busy), 0)
+            for traffic_class, busy in self._busy.items()
+        }
         for (zone, priority), number in waiting.items():
             if number:
-                cell = Cell(zone, priority)
-                counts[cell] = Count(float(self._busy[cell]), number)
+                traffic_class = TrafficClass(zone, priority)
+                counts[traffic_class] = Count(float(self._busy[traffic_class]), number)
         return encode_counts(counts)
 
     def _count(self, routes: Routes) -> None:
         self._busy = Counter()
         for flow in self._flows.by_key.values():
-            if flow.asked_at is not None:
+            if flow.requested_at is not None:
                 route = routes.by_address.get(route_key(flow.key))
                 priority = route.urgency.priority if route else 0
-                self._busy[Cell(flow.zone, priority)] += 1
+                self._busy[TrafficClass(flow.zone, priority)] += 1
 
 
-class Room:
+class ServiceLoad:
     """What one home believes of its service's room.
 
     ``since`` is since when the service is overloaded, None if it isn't,
-    ``sharing`` what was worked out last.
+    ``allocation`` what was worked out last.
     """
 
     def __init__(self) -> None:
         self.since: float | None = None
-        self.sharing: Sharing | None = None
+        self.allocation: Allocation | None = None
         self._reviewed_at = float("-inf")
 
     def is_due(self, now: float, members: int) -> bool:
         """Tell whether the members should be looked over again."""
-        pause = max(REVIEWED_EVERY, members / REVIEWED_PER_SECOND)
+        pause = max(MIN_REVIEW_INTERVAL_SECONDS, members / MEMBERS_REVIEWED_PER_SECOND)
         return now - self._reviewed_at >= pause
 
     def clear(self) -> None:
         """Forget everything, as the part is off."""
-        self.since = self.sharing = None
+        self.since = self.allocation = None
 
     def review(self, now: float, members: Iterable[Member]) -> bool:
         """Look over the members; return whether an overload began or ended."""
         self._reviewed_at = now
-        self.sharing = sharing(now, members)
+        self.allocation = allocate(now, members)
         former = self.since is not None
         if not self._is_overloaded(former):
             self.since = None
@@ -315,17 +327,17 @@
         return former != (self.since is not None)
 
     def _is_overloaded(self, former: bool) -> bool:
-        known = self.sharing
+        known = self.allocation
         if known is None:
             return False
         if former:
-            demanded = known.demand >= RELIEVED_DEMAND * known.capacity
-            return demanded and known.full >= RELIEVED_SHARE
-        return known.demand > known.capacity and known.full >= FULL_SHARE
+            demanded = known.demand >= RELIEF_DEMAND * known.capacity
+            return demanded and known.full >= RELIEF_FULL_SHARE
+        return known.demand > known.capacity and known.full >= OVERLOAD_FULL_SHARE
 
     def gauges(self) -> dict[str, float]:
         """Return what a scrape tells, in slots; nothing if nothing is known."""
-        known = self.sharing
+        known = self.allocation
         if known is None:
             return {}
         shares_by_priority = known.shares_by_priority()
@@ -336,9 +348,9 @@
             **{f"room_share_{p}": share for p, share in shares_by_priority.items()},
         }
 
-    def log_fields(self, cell: Cell | None = None) -> dict[str, Any]:
+    def log_fields(self, traffic_class: TrafficClass | None = None) -> dict[str, Any]:
         """Return what a line of the log tells, of one cell or of all."""
-        known = self.sharing
+        known = self.allocation
         if known is None:
             return {}
         fields: dict[str, Any] = {
@@ -346,18 +358,18 @@
             "capacity": round(known.capacity, 1),
             "full": round(known.full, 2),
         }
-        if cell is None:
+        if traffic_class is None:
             fields["shares"] = {
                 priority: round(share, 1)
                 for priority, share in known.shares_by_priority().items()
             }
             return fields
-        fields["zone"], fields["priority"] = cell
-        fields["share"] = round(known.shares_by_cell.get(cell, 0.0), 2)
-        fields["wait"] = round(known.waits_by_cell.get(cell, 0.0), 2)
+        fields["zone"], fields["priority"] = traffic_class
+        fields["share"] = round(known.slots_by_class.get(traffic_class, 0.0), 2)
+        fields["wait"] = round(known.waits_by_class.get(traffic_class, 0.0), 2)
         return fields
 
-    def excess(self, now: float, cell: Cell, goal: float) -> float:
+    def excess(self, now: float, traffic_class: TrafficClass, goal: float) -> float:
         """Return the share of a cell's new openings that can't be served.
 
         Those are the ones that would wait until they are given up. It is 0 until
@@ -365,12 +377,12 @@
         client tries, and it grows from 0: a small error of the counts changes
         little.
         """
-        if self.since is None or self.sharing is None:
+        if self.since is None or self.allocation is None:
             return 0.0
-        if now - self.since <= max(goal, REJECT_AFTER):
+        if now - self.since <= max(goal, REJECT_AFTER_SECONDS):
             return 0.0
-        wait = self.sharing.waits_by_cell.get(cell, 0.0)
-        return 1.0 - PATIENCE / wait if wait > PATIENCE else 0.0
+        wait = self.allocation.waits_by_class.get(traffic_class, 0.0)
+        return 1.0 - MAX_WAIT_SECONDS / wait if wait > MAX_WAIT_SECONDS else 0.0
 
 
 def all_wait(now: float, takers: Iterable[Member]) -> bool:
@@ -379,7 +391,7 @@
     One whose counts are old may have a free slot.
     """
     for member in takers:
-        if now - member.told_at > COUNTS_KEPT or member.has_room:
+        if now - member.told_at > MAX_COUNTS_AGE_SECONDS or member.has_room:
             return False
         counts = decode_counts(member.sections.get(Section.ROOM, b""))
         if not any(count.waiting for count in counts.values()):
--- a/packages/zinniahook-core/src/zinniahook_core/packets/placements.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/attempts.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass, field
 
-__all__ = ["Placement"]
+__all__ = ["Attempts"]
 
 
 @dataclass(slots=True)
-class Placement:
+class Attempts:
     """Where the copies of one opening were sent, or that it was rejected."""
 
     sequence: int
--- a/packages/zinniahook-core/src/zinniahook_core/packets/waiting.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/backlog.py
@@ -19,19 +19,19 @@
 from .models import Packet, Urgency
 from .tunnel import Head
 
-__all__ = ["Opening", "Waiting"]
+__all__ = ["Opening", "Backlog"]
 
-PATIENCE = 1.2
+MAX_WAIT_SECONDS = 1.2
 """Seconds an opening may wait: a client gives up its try after 1.4 s, and the
 answer to the opening needs some of them."""
 
-COPY_AGES = (0.0, 0.2, 0.6)
+COPY_AGES_SECONDS = (0.0, 0.2, 0.6)
 """Seconds since a client began, by the number of the opening's copy."""
 
-LIMIT = 512
+MAX_OPENINGS = 512
 """Openings that wait at most; the oldest makes room."""
 
-QUEUE_EXTRA = 1
+EXTRA_OPENINGS = 1
 """Requests that a target may have in progress above its slots. One keeps its
 slots busy while the next opening takes its two trips to the client; each more
 waits at the target for a quarter of a request's time, in the order of
@@ -51,7 +51,7 @@
     urgency: Urgency
 
 
-class Waiting:
+class Backlog:
     """The waiting openings of one agent, by priority and then by beginning."""
 
     def __init__(self) -> None:
@@ -77,9 +77,9 @@
             if known.packet.sequence == packet.sequence:
                 return
             self._drop(known)
-        age = COPY_AGES[min(packet.acknowledged, len(COPY_AGES) - 1)]
+        age = COPY_AGES_SECONDS[min(packet.acknowledged, len(COPY_AGES_SECONDS) - 1)]
         self.put(Opening(now - age, home, head, packet, urgency))
-        if len(self._by_flow) > LIMIT:
+        if len(self._by_flow) > MAX_OPENINGS:
             self._drop(min(self._oldest(), key=lambda waiting: waiting.begun))
 
     def put(self, opening: Opening) -> None:
@@ -90,10 +90,10 @@
         bisect.insort(flows, (opening.begun, flow))
         self.counts[opening.head.zone, opening.urgency.priority] += 1
 
-    def take(self, now: float, usual: float) -> Opening | None:
+    def take(self, now: float, answer_time: float) -> Opening | None:
         """Return the opening to serve next, None if none waits.
 
-        ``usual`` is how many seconds an answer takes lately.
+        ``answer_time`` is how many seconds an answer takes lately.
         """
         newest = [
             self._by_flow[flows[-1][1]]
@@ -101,7 +101,7 @@
         ]
         if not newest:
             return None
-        in_time = [o for o in newest if now + usual < o.begun + o.urgency.goal]
+        in_time = [o for o in newest if now + answer_time < o.begun + o.urgency.goal]
         opening = (in_time or newest)[0]
         self._drop(opening)
         return opening
@@ -117,7 +117,7 @@
     def expire(self, now: float) -> list[Opening]:
         """Forget those that waited too long, and return them."""
         expired: list[Opening] = []
-        while over := [o for o in self._oldest() if now - o.begun >= PATIENCE]:
+        while over := [o for o in self._oldest() if now - o.begun >= MAX_WAIT_SECONDS]:
             for opening in over:
                 self._drop(opening)
             expired += over
--- a/packages/zinniahook-core/src/zinniahook_core/packets/holding.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/buffers.py
@@ -10,19 +10,19 @@
 
 from .models import Packet
 
-__all__ = ["Holding"]
+__all__ = ["PacketBuffer"]
 
-HELD_FOR = 0.5
+MAX_HELD_SECONDS = 0.5
 """Seconds for which a packet to an agent that was never heard is held: a client
 repeats an opening after 0.2 and 0.6 s itself."""
 
-HELD_LEAST = 0.02
+MIN_HELD_SECONDS = 0.02
 """Seconds that a packet must have been held to be routed again: an agent that
 runs tells of itself sooner. What goes wrong without: an
 agent that has the opening already gets it again, or another one does, and the
 client's flow stands at two targets."""
 
-HELD_LIMIT = 1024
+MAX_HELD_PACKETS = 1024
 """Packets held in all, 1.3 MB."""
 
 
@@ -31,7 +31,7 @@
     packet: Packet
 
 
-class Holding:
+class PacketBuffer:
     """The packets that one entry holds, by agent."""
 
     def __init__(self) -> None:
@@ -48,7 +48,7 @@
 
     def add(self, now: float, address: str, packet: Packet) -> None:
         """Hold a packet until its agent has told of itself."""
-        if self._count < HELD_LIMIT:
+        if self._count < MAX_HELD_PACKETS:
             self._count += 1
             self._held_by_agent.setdefault(address, []).append(_Held(now, packet))
 
@@ -56,12 +56,12 @@
         """Forget what is held for an agent; return what it can't have got."""
         held = self._held_by_agent.pop(address, [])
         self._count -= len(held)
-        return [each.packet for each in held if now - each.at >= HELD_LEAST]
+        return [each.packet for each in held if now - each.at >= MIN_HELD_SECONDS]
 
     def expire(self, now: float) -> None:
         """Forget what was held for too long: its client has sent it again."""
         for address, held in list(self._held_by_agent.items()):
-            kept = [each for each in held if now - each.at <= HELD_FOR]
+            kept = [each for each in held if now - each.at <= MAX_HELD_SECONDS]
             self._count -= len(held) - len(kept)
             if kept:
                 self._held_by_agent[address] = kept
--- a/packages/zinniahook-core/src/zinniahook_core/packets/capacity.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/capacity.py
@@ -16,80 +16,82 @@
 
 __all__ = ["Capacity"]
 
-MEMORY = 400
+MEMORY_ANSWERS = 400
 """Answers that count at each number of requests in progress: their mean is off by
 a fortieth, and a slot more or less changes it by more."""
 
-FADE_TIME = 60.0
+FADE_SECONDS = 60.0
 """Seconds in which an answer's weight falls to a third."""
 
-LEAST = 20.0
+MIN_ANSWERS = 20.0
 """Answers without which a mean says nothing: those of one route differ by half
 of their mean, so that the mean of 20 is off by a tenth."""
 
-CLEARLY = 16.0
+MIN_GAIN = 16.0
 """Gain in the sum of squares, in units of the variance, at which another number
 than the told one is believed: four standard deviations, as it is looked at with
 each answer."""
 
-RANGE = 4
+MAX_RATIO = 4
 """The learned number lies between a quarter of what was told and four times it:
 beyond, it is the counts that are wrong."""
 
-FITTED_EVERY = 1.0
+FIT_INTERVAL_SECONDS = 1.0
 """Seconds between two fits, which cost as much as a hundred packets."""
 
-LEVELS_MOST = 256
-KINDS_LIMIT = 256
+MAX_CONCURRENCY = 256
+MAX_ROUTES = 256
 
-COLD_MOST = 10.0
+MAX_COLD_FACTOR = 10.0
 """Factor above which a target isn't cold but failing."""
 
-SPREAD = 0.5
+MIN_VARIANCE = 0.5
 """Variance of the time of single answers, in squares of their mean, at least."""
 
 
 class Tally:
     """Answers and how long they took, against alone; older ones weigh less."""
 
-    __slots__ = ("at", "count", "seconds", "squares", "usual")
+    __slots__ = ("at", "count", "expected", "seconds", "squares")
 
     def __init__(self) -> None:
         self.at = float("-inf")
         self.count = 0.0
         self.seconds = 0.0
-        self.usual = 0.0
+        self.expected = 0.0
         self.squares = 0.0
 
-    def add(self, now: float, took: float, usual: float) -> None:
-        """Count an answer that takes ``usual`` if the target does nothing else."""
-        kept = (1 - 1 / MEMORY) * math.exp(min(0.0, self.at - now) / FADE_TIME)
+    def add(self, now: float, took: float, expected: float) -> None:
+        """Count an answer that takes ``expected`` if the target does nothing else."""
+        kept = (1 - 1 / MEMORY_ANSWERS) * math.exp(
+            min(0.0, self.at - now) / FADE_SECONDS
+        )
         self.at = now
         self.count = self.count * kept + 1
         self.seconds = self.seconds * kept + took
-        self.usual = self.usual * kept + usual
-        self.squares = self.squares * kept + (took / usual) ** 2
+        self.expected = self.expected * kept + expected
+        self.squares = self.squares * kept + (took / expected) ** 2
 
     @property
     def ratio(self) -> float:
         """How much longer answers take than alone."""
-        return self.seconds / self.usual
+        return self.seconds / self.expected
 
     @property
     def variance(self) -> float:
         """The variance of that ratio for one answer."""
-        return max(SPREAD, self.squares / self.count - self.ratio**2)
+        return max(MIN_VARIANCE, self.squares / self.count - self.ratio**2)
 
     @property
     def is_known(self) -> bool:
         """Whether there were enough."""
-        return self.count >= LEAST
+        return self.count >= MIN_ANSWERS
 
 
-class Level(NamedTuple):
-    """How much longer answers take with ``level`` requests in progress."""
+class Sample(NamedTuple):
+    """How much longer answers take with ``concurrency`` requests in progress."""
 
-    level: int
+    concurrency: int
     ratio: float
     weight: float
 
@@ -101,99 +103,106 @@
     """
 
     def __init__(self) -> None:
-        self._alone_by_kind: dict[int, Tally] = {}
-        self._by_level: dict[int, Tally] = {}
+        self._unloaded_by_tag: dict[int, Tally] = {}
+        self._by_concurrency: dict[int, Tally] = {}
         self._cold = Tally()
-        self._told = 0
+        self._reported = 0
         self._learned = 0
         self._fitted_at = float("-inf")
 
     def renew(self) -> None:
         """Forget the slots of a former target, not how long a request takes alone."""
-        self._by_level.clear()
+        self._by_concurrency.clear()
         self._learned = 0
 
     def answered(
-        self, now: float, kind: int, took: float, level: int, cold: bool
+        self, now: float, tag: int, took: float, concurrency: int, cold: bool
     ) -> None:
-        """Take a good answer, begun with ``level`` requests in progress."""
-        if not 0 < level < LEVELS_MOST or took <= 0:
+        """Take a good answer, begun with ``concurrency`` requests in progress."""
+        if not 0 < concurrency < MAX_CONCURRENCY or took <= 0:
             return
-        alone = self._alone_by_kind.get(kind)
-        if alone is None:
-            if len(self._alone_by_kind) >= KINDS_LIMIT:
+        unloaded = self._unloaded_by_tag.get(tag)
+        if unloaded is None:
+            if len(self._unloaded_by_tag) >= MAX_ROUTES:
                 return
-            alone = self._alone_by_kind[kind] = Tally()
+            unloaded = self._unloaded_by_tag[tag] = Tally()
         if cold:
-            self._add_cold(now, alone, took, level)
+            self._add_cold(now, unloaded, took, concurrency)
             return
-        if level == 1:
-            alone.add(now, took, 1.0)
-        if not alone.is_known:
+        if concurrency == 1:
+            unloaded.add(now, took, 1.0)
+        if not unloaded.is_known:
             return
-        tally = self._by_level.setdefault(level, Tally())
-        tally.add(now, took, alone.ratio)
-        if now - self._fitted_at >= FITTED_EVERY:
+        tally = self._by_concurrency.setdefault(concurrency, Tally())
+        tally.add(now, took, unloaded.ratio)
+        if now - self._fitted_at >= FIT_INTERVAL_SECONDS:
             self._fitted_at = now
             self._learned = 0
 
-    def _add_cold(self, now: float, alone: Tally, took: float, level: int) -> None:
-        if alone.is_known:
-            queued = max(1.0, level / max(1, self._told))
-            self._cold.add(now, took, alone.ratio * queued)
+    def _add_cold(
+        self, now: float, unloaded: Tally, took: float, concurrency: int
+    ) -> None:
+        if unloaded.is_known:
+            queued = max(1.0, concurrency / max(1, self._reported))
+            self._cold.add(now, took, unloaded.ratio * queued)
 
     @property
     def cold(self) -> float | None:
         """How much longer it takes while it is cold, None if not measured."""
         if not self._cold.is_known:
             return None
-        return min(COLD_MOST, max(1.0, self._cold.ratio))
+        return min(MAX_COLD_FACTOR, max(1.0, self._cold.ratio))
 
-    def slots(self, told: int) -> int:
+    def slots(self, reported: int) -> int:
         """Return how many requests it works on at once, told or learned.
 
         The told number holds until enough answers were counted, those to a single
         request in progress among them.
         """
-        if told != self._told:
-            self._told = told
+        if reported != self._reported:
+            self._reported = reported
             self._learned = 0
         if not self._learned:
-            self._learned = self._fitted(told)
+            self._learned = self._fitted(reported)
         return self._learned
 
-    def _fitted(self, told: int) -> int:
-        levels = self._levels()
-        if not levels or not 0 < told < LEVELS_MOST:
-            return told
-        least, most = max(1, told // RANGE), min(LEVELS_MOST, told * RANGE)
-        errors = {c: _error(levels, c) for c in range(least, most + 1)}
+    def _fitted(self, reported: int) -> int:
+        samples = self._samples()
+        if not samples or not 0 < reported < MAX_CONCURRENCY:
+            return reported
+        least, most = (
+            max(1, reported // MAX_RATIO),
+            min(MAX_CONCURRENCY, reported * MAX_RATIO),
+        )
+        errors = {c: _error(samples, c) for c in range(least, most + 1)}
         best = min(errors, key=lambda c: (round(errors[c], 6), c))
-        return best if errors[told] - errors[best] > CLEARLY else told
+        return best if errors[reported] - errors[best] > MIN_GAIN else reported
 
-    def _levels(self) -> list[Level]:
+    def _samples(self) -> list[Sample]:
         """Return the levels that can be compared."""
-        first = self._by_level.get(1)
+        first = self._by_concurrency.get(1)
         if first is None or not first.is_known:
             return []
-        doubt = first.variance / first.count
+        base_variance = first.variance / first.count
         return [
-            _level(level, tally, first.ratio, doubt)
-            for level, tally in self._by_level.items()
-            if level > 1 and tally.is_known
+            _sample(concurrency, tally, first.ratio, base_variance)
+            for concurrency, tally in self._by_concurrency.items()
+            if concurrency > 1 and tally.is_known
         ]
 
 
-def _level(level: int, tally: Tally, alone: float, doubt: float) -> Level:
-    """Compare the times at a level with those alone, ``doubt`` their variance."""
-    ratio = tally.ratio / alone
-    variance = tally.variance / tally.count + doubt * ratio * ratio
-    return Level(level, ratio, 1 / variance)
+def _sample(
+    concurrency: int, tally: Tally, unloaded: float, base_variance: float
+) -> Sample:
+    """Compare the times at one concurrency with the unloaded ones."""
+    ratio = tally.ratio / unloaded
+    variance = tally.variance / tally.count + base_variance * ratio * ratio
+    return Sample(concurrency, ratio, 1 / variance)
 
 
-def _error(levels: list[Level], slots: int) -> float:
+def _error(samples: list[Sample], slots: int) -> float:
     """Return how badly a number of slots explains the times."""
     return sum(
-        weight * (ratio - max(1.0, level / slots)) ** 2
-        for level, ratio, weight in levels
+        weight * (ratio - max(1.0, concurrency / slots)) ** 2
+        for concurrency, ratio, weight in samples
     )
--- a/packages/zinniahook-core/src/zinniahook_core/packets/entry.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/entry.py
@@ -13,15 +13,15 @@
 from typing import Any
 
 from . import tunnel
+from .buffers import PacketBuffer
 from .features import Features
 from .formers import Former
-from .holding import Holding
+from .lookups import KNOWN_REPEAT_SECONDS, REPEAT_SECONDS, PendingLookup, PendingLookups
 from .members import UNANSWERED_AFTER, Roster
 from .models import Codec, Links, Log, Packet, Routes, route_key
 from .node import HOP_LIMIT, Node
 from .questions import Questions
 from .tunnel import Head, Kind, Mark, Reason, Wish, tag, zone_tag
-from .unanswered import REPEAT_AFTER, REPEAT_KNOWN_AFTER, Asked, Unanswered
 
 __all__ = ["Entry"]
 
@@ -74,8 +74,8 @@
         self.hints_by_flow: dict[bytes, str] = {}
         self.questions = Questions()
         self.last_client_at = float("-inf")
-        self._holding = Holding()
-        self._unanswered = Unanswered()
+        self._holding = PacketBuffer()
+        self._unanswered = PendingLookups()
         self._settled: dict[bytes, float] = {}
         self._kept_alive_at = float("-inf")
 
@@ -220,7 +220,7 @@
                 return
             if self._forward_home(now, packet, service, marks, head):
                 known = bool(marks & Mark.KNOWN)
-                after = REPEAT_KNOWN_AFTER if known else REPEAT_AFTER
+                after = KNOWN_REPEAT_SECONDS if known else REPEAT_SECONDS
                 self._unanswered.keep(now, packet, after)
                 return
             self.questions.unowned(now, packet, service, marks | Mark.UNSURE)
@@ -229,7 +229,7 @@
     def _ask_again(self, now: float) -> None:
         for asked in self._unanswered.due(now):
             self._route(now, asked.packet, None)
-            self._unanswered.begun_at(asked)
+            self._unanswered.restore_begun(asked)
 
     def _forget_settled(self, now: float) -> None:
         for flow, at in list(self._settled.items()):
@@ -260,7 +260,7 @@
         elif not sure:
             # A search that was given back goes on only if it is asked again.
             self.questions.forget(packet.flow)
-            self._unanswered.keep(now, packet, REPEAT_AFTER)
+            self._unanswered.keep(now, packet, REPEAT_SECONDS)
 
     def _unrouted(self, packet: Packet) -> None:
         version = self.routes.version
@@ -365,7 +365,7 @@
         while len(self.hints_by_flow) > HINTS_LIMIT:
             del self.hints_by_flow[next(iter(self.hints_by_flow))]
 
-    def _forget_questions(self, flow: bytes) -> Asked | None:
+    def _forget_questions(self, flow: bytes) -> PendingLookup | None:
         self.questions.forget(flow)
         return self._unanswered.take(flow)
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/flows.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/flows.py
@@ -7,41 +7,41 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-__all__ = ["Flow", "Flows", "Standing"]
+__all__ = ["Flow", "Flows", "FlowState"]
 
 SEQUENCE_SPAN = 1 << 32
-WINDOW = 1 << 24
+ACKNOWLEDGED_WINDOW_BYTES = 1 << 24
 """Bytes that a target may have sent in a flow: what a client acknowledges lies
 that close after the target's first number. Another target's random number
 passes by chance once in 256 times."""
 
-OPENING_WINDOW = 1 << 10
+OPENING_WINDOW_BYTES = 1 << 10
 """The same until the client has chosen: a target sends nothing before, so the
 client acknowledges its first number alone. Another target's number passes once
 in four million times."""
 
-IDLE_SLACK = 5.0
-CLOSED_KEPT = 3.0
+IDLE_SLACK_SECONDS = 5.0
+CLOSED_FLOW_SECONDS = 3.0
 """Seconds that a flow which both ends have closed stays known, for repeated last
 packets: a client repeats one after at most 1.6 s."""
 
-MEAN_TIME = 0.4
+MEAN_FADE_SECONDS = 0.4
 """Seconds over which the mean number of requests in progress fades: two
 statuses."""
 
-ABANDONED_AFTER = 3.0
+ABANDONED_SECONDS = 3.0
 """Seconds after which a request without an answer no longer counts as work in
 progress: its client has given up, or its answer got lost."""
 
-UNUSED_AFTER = 0.3
+UNUSED_OPENING_SECONDS = 0.3
 """The same for an opening that its client didn't use: another target was
 faster. Two trips to the client take 16 ms at most."""
 
-HALF_OPEN_KEPT = 3.0
+HALF_OPEN_SECONDS = 3.0
 """Seconds for an opening: a client gives up after 1.4 s."""
 
 
-class Standing(enum.Enum):
+class FlowState(enum.Enum):
     """How sure an agent is that its target holds a flow."""
 
     OFFERED = "offered"
@@ -60,42 +60,65 @@
 class Flow:
     """One flow.
 
-    ``first`` is the target's first number, None if it wasn't seen, and
-    ``client_first`` the client's. ``zone`` is the tag of the client's data
-    centre, ``asker`` who sent the flow here, ``homes`` who was told of it,
-    ``sent`` how many bytes the target sent in it, ``since`` when the target
-    took it, ``client_closed`` whether the client has closed it or was reset,
-    ``asks`` how many requests were seen in it, ``level`` how many were in progress
-    as the last one began, ``begun_at`` when its first data came, ``watched`` whether
-    that data still has no answer. ``working`` tells whether the target has got a
-    request that it hasn't answered, ``asked_to`` up to which number it has got data
-    and ``answered_to`` up to which it has sent some; all three only where requests
-    wait for slots.
+    Attributes
+    ----------
+    last_seen : float
+        When its last packet passed.
+    asker : str
+        The daemon that sent the flow here.
+    client_isn, target_isn : int or None
+        Initial sequence numbers of the client and of the target, None if not seen.
+    requested_at : float or None
+        When the request in progress began, None if none is.
+    homes : tuple of str
+        The agents that keep a pointer to this flow's owner.
+    zone : int
+        Tag of the client's data centre.
+    bytes_sent : int
+        Bytes that the target has sent.
+    accepted_at : float
+        When the target accepted it.
+    client_closed : bool
+        Whether the client has closed it or was reset.
+    request_count : int
+        Requests seen so far.
+    concurrency : int
+        Requests in progress at the target when the last one began.
+    request_begun_at : float
+        When the first data of the last request came.
+    awaits_answer : bool
+        Whether that data is still unanswered.
+    working : bool
+        Whether the target has received a request that it hasn't answered.
+    received_until, sent_until : int or None
+        Sequence numbers up to which the target has received and sent data.
+
+    The last three are kept only where requests wait for slots.
     """
 
     key: bytes
-    standing: Standing
-    seen: float
+    state: FlowState
+    last_seen: float
     entry: str
     asker: str = ""
-    client_first: int | None = None
-    first: int | None = None
+    client_isn: int | None = None
+    target_isn: int | None = None
     opening: bytes = b""
     acknowledged: int = 0
-    asked_at: float | None = None
+    requested_at: float | None = None
     homes: tuple[str, ...] = ()
     request: str = ""
     zone: int = 0
-    sent: int = 0
-    since: float = float("inf")
+    bytes_sent: int = 0
+    accepted_at: float = float("inf")
     client_closed: bool = False
-    asks: int = 0
-    level: int = 0
-    begun_at: float = 0.0
-    watched: bool = False
+    request_count: int = 0
+    concurrency: int = 0
+    request_begun_at: float = 0.0
+    awaits_answer: bool = False
     working: bool = False
-    asked_to: int | None = None
-    answered_to: int | None = None
+    received_until: int | None = None
+    sent_until: int | None = None
 
     @property
     def is_awaited(self) -> bool:
@@ -105,15 +128,15 @@
         closes it seconds later, nobody knows the flow any more, and the service
         is searched for each copy of the closing.
         """
-        if self.standing is Standing.CLOSED:
+        if self.state is FlowState.CLOSED:
             return not self.client_closed
-        return self.standing is Standing.OPEN
+        return self.state is FlowState.OPEN
 
     @property
     def is_proven(self) -> bool:
         """Whether this process has seen the target open it and the client choose."""
-        settled = self.standing in (Standing.OPEN, Standing.CLOSED)
-        return settled and self.first is not None
+        settled = self.state in (FlowState.OPEN, FlowState.CLOSED)
+        return settled and self.target_isn is not None
 
     def matches(self, acknowledged: int) -> bool:
         """Tell whether a client's packet can belong to this target's flow.
@@ -122,10 +145,14 @@
         the client chose the other one, and this one swallows its packets, or
         returns them and passes for one that has lost the flow: a reset ends it.
         """
-        if self.first is None:
-            return self.standing is not Standing.OFFERED
-        window = OPENING_WINDOW if self.standing is Standing.OFFERED else WINDOW
-        return (acknowledged - self.first) % SEQUENCE_SPAN <= window
+        if self.target_isn is None:
+            return self.state is not FlowState.OFFERED
+        window = (
+            OPENING_WINDOW_BYTES
+            if self.state is FlowState.OFFERED
+            else ACKNOWLEDGED_WINDOW_BYTES
+        )
+        return (acknowledged - self.target_isn) % SEQUENCE_SPAN <= window
 
 
 class Gauge:
@@ -141,7 +168,7 @@
     def mean(self, now: float) -> float:
         """Return the mean, in which older values fade."""
         if now > self._at:
-            kept = math.exp((self._at - now) / MEAN_TIME)
+            kept = math.exp((self._at - now) / MEAN_FADE_SECONDS)
             self._mean = self.value + (self._mean - self.value) * kept
             self._at = now
         return self._mean
@@ -196,8 +223,8 @@
     def drop(self, key: bytes) -> Flow | None:
         """Forget a flow."""
         flow = self.by_key.pop(key, None)
-        if flow is not None and flow.asked_at is not None:
-            self._busy.add(flow.seen, -1)
+        if flow is not None and flow.requested_at is not None:
+            self._busy.add(flow.last_seen, -1)
         if flow is not None:
             self._done(flow)
         return flow
@@ -208,11 +235,11 @@
         An opening counts already: its request follows in a few milliseconds,
         and the target would look idle until then.
         """
-        if flow.asked_at is None:
+        if flow.requested_at is None:
             self._busy.add(now, 1)
-            flow.asks += 1
-        if flow.asked_at is None or flow.standing is Standing.OFFERED:
-            flow.asked_at = now
+            flow.request_count += 1
+        if flow.requested_at is None or flow.state is FlowState.OFFERED:
+            flow.requested_at = now
 
     def began(self, flow: Flow) -> None:
         """Note that the target has got a request, and not just an opening."""
@@ -236,7 +263,7 @@
         waits for a client that has nothing to repeat.
         """
         for flow in self.by_key.values():
-            flow.asked_to = flow.answered_to = None
+            flow.received_until = flow.sent_until = None
 
     def _done(self, flow: Flow) -> None:
         if flow.working:
@@ -245,11 +272,11 @@
 
     def answered(self, now: float, flow: Flow) -> float | None:
         """Note that the target answers; return the time since the request."""
-        if flow.asked_at is None:
+        if flow.requested_at is None:
             return None
-        took = now - flow.asked_at
-        flow.asked_at = None
-        flow.watched = False
+        took = now - flow.requested_at
+        flow.requested_at = None
+        flow.awaits_answer = False
         self._busy.add(now, -1)
         self._done(flow)
         return took
@@ -265,23 +292,25 @@
             flow = self.by_key.get(key)
             if flow is None:
                 continue
-            if flow.asked_at is not None and now - flow.asked_at > _stale(flow):
+            if flow.requested_at is not None and now - flow.requested_at > _stale(flow):
                 self.answered(now, flow)
                 # If its client goes on with it, it is work again.
-                flow.asked_to = None
-            if now - flow.seen > _kept(flow, idle):
+                flow.received_until = None
+            if now - flow.last_seen > _kept(flow, idle):
                 self.drop(key)
                 expired += 1
         return expired
 
 
 def _stale(flow: Flow) -> float:
-    return UNUSED_AFTER if flow.standing is Standing.OFFERED else ABANDONED_AFTER
+    return (
+        UNUSED_OPENING_SECONDS if flow.state is FlowState.OFFERED else ABANDONED_SECONDS
+    )
 
 
 def _kept(flow: Flow, idle: float) -> float:
-    if flow.standing is Standing.CLOSED and flow.client_closed:
-        return CLOSED_KEPT
-    if flow.standing is Standing.OFFERED:
-        return HALF_OPEN_KEPT
-    return idle + IDLE_SLACK
+    if flow.state is FlowState.CLOSED and flow.client_closed:
+        return CLOSED_FLOW_SECONDS
+    if flow.state is FlowState.OFFERED:
+        return HALF_OPEN_SECONDS
+    return idle + IDLE_SLACK_SECONDS
--- a/packages/zinniahook-core/src/zinniahook_core/packets/work.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/forecasts.py
@@ -13,71 +13,76 @@
 import struct
 from collections.abc import Iterable, Iterator
 
-from .flows import Flow, Flows, Standing
+from .flows import Flow, Flows, FlowState
 from .models import route_key
 from .outcomes import route_tag
 
-__all__ = ["USUAL_SHARE", "Work", "decode_promise", "encode_promise"]
-
-PROMISE = struct.Struct("!H")
-SHARE = struct.Struct("!HH")
-SHARE_UNITS = 10_000
-ROUTES_TOLD = 8
+__all__ = [
+    "DEFAULT_BUSY_SHARE",
+    "Forecast",
+    "decode_expected_busy",
+    "encode_expected_busy",
+]
+
+EXPECTED_FORMAT = struct.Struct("!H")
+SHARE_FORMAT = struct.Struct("!HH")
+SHARE_SCALE = 10_000
+MAX_REPORTED_ROUTES = 8
 """Routes whose shares an agent tells, those with most flows: 4 bytes each."""
 
-POOLED_EVERY = 1.0
+POOL_INTERVAL_SECONDS = 1.0
 """Seconds between two looks at what the others have learned."""
 
-PROMISE_UNITS = 100
-SHORT = 0xFFFF
+EXPECTED_SCALE = 100
+MAX_UINT16 = 0xFFFF
 
-USUAL_SHARE = 0.01
+DEFAULT_BUSY_SHARE = 0.01
 """Requests in progress that an open flow counts as until its route is known: a
 client that pauses for a hundred times as long as its requests take."""
 
-USUAL_LATER = 1.0
-LATER_MOST = 8.0
+DEFAULT_LATER_REQUESTS = 1.0
+MAX_LATER_REQUESTS = 8.0
 """Requests to come of a flow whose route isn't known yet, and at most: what comes
 later is seen by other choices too, and a slot that is free now isn't left free
 for it."""
 
-LEARNED_FROM = 50
+MIN_SAMPLES = 50
 """Sights of open flows from which a route counts as known: a share of a tenth is
 then known to half of itself."""
 
-SWEEP_KEPT = 0.98
+SWEEP_DECAY = 0.98
 """What a sweep over the flows leaves of earlier ones. The last fifty count: ten
 seconds with few flows, minutes with thousands."""
 
-LOOKED_EVERY = 0.2
-LOOKED_AT_ONCE = 200
+SAMPLE_INTERVAL_SECONDS = 0.2
+FLOWS_PER_SAMPLE = 200
 """Flows looked at each time, 1,000 a second: a sweep over many flows takes longer,
 and its numbers are older, but no tick does."""
 
-ROUTES_LIMIT = 1024
+MAX_ROUTES = 1024
 
 
-class _Seen:
+class _RouteSample:
     """Sights of one route's open flows: all, busy ones, and requests so far.
 
     ``open`` counts those of the present sweep.
     """
 
-    __slots__ = ("asks", "busy", "flows", "open")
+    __slots__ = ("busy", "flows", "open", "request_count")
 
     def __init__(self) -> None:
         self.flows = 0.0
         self.busy = 0.0
-        self.asks = 0.0
+        self.request_count = 0.0
         self.open = 0
 
     @property
     def is_known(self) -> bool:
         """Whether there were enough of them to learn from."""
-        return self.flows >= LEARNED_FROM
+        return self.flows >= MIN_SAMPLES
 
 
-class Work:
+class Forecast:
     """What one agent learns of its flows.
 
     Parameters
@@ -87,28 +92,28 @@
     """
 
     def __init__(self, flows: Flows) -> None:
-        self.promise = 0.0
+        self.expected_busy = 0.0
         self._flows = flows
-        self._by_route: dict[bytes, _Seen] = {}
+        self._by_route: dict[bytes, _RouteSample] = {}
         self._sweep: Iterator[bytes] = iter(())
-        self._looked_at = float("-inf")
+        self._sampled_at = float("-inf")
         self._pooled_at = float("-inf")
         self._shares_by_tag: dict[int, float] = {}
-        self._told = encode_promise(0.0)
+        self._section = encode_expected_busy(0.0)
 
     def tick(self, now: float) -> None:
         """Look at some flows, if it is time."""
-        if now - self._looked_at < LOOKED_EVERY:
+        if now - self._sampled_at < SAMPLE_INTERVAL_SECONDS:
             return
-        self._looked_at = now
-        for _ in range(LOOKED_AT_ONCE):
+        self._sampled_at = now
+        for _ in range(FLOWS_PER_SAMPLE):
             key = next(self._sweep, None)
             if key is None:
-                self._turn()
+                self._end_sweep()
                 return
             flow = self._flows.get(key)
-            if flow is not None and flow.standing is Standing.OPEN:
-                self._look(flow)
+            if flow is not None and flow.state is FlowState.OPEN:
+                self._sample(flow)
 
     def share(self, route: bytes) -> float:
         """Return how much of its life a flow of a route has a request in progress."""
@@ -116,7 +121,7 @@
         if pooled is not None:
             return pooled
         seen = self._by_route.get(route)
-        return seen.busy / seen.flows if seen and seen.is_known else USUAL_SHARE
+        return seen.busy / seen.flows if seen and seen.is_known else DEFAULT_BUSY_SHARE
 
     def later(self, route: bytes) -> float:
         """Return how many requests follow the first one of a flow.
@@ -126,12 +131,12 @@
         """
         seen = self._by_route.get(route)
         if seen is None or not seen.is_known:
-            return USUAL_LATER
-        return min(LATER_MOST, max(0.0, seen.asks / seen.flows - 1.0))
+            return DEFAULT_LATER_REQUESTS
+        return min(MAX_LATER_REQUESTS, max(0.0, seen.request_count / seen.flows - 1.0))
 
     def is_due(self, now: float) -> bool:
         """Tell whether it is time to look at what the others have learned."""
-        return now - self._pooled_at >= POOLED_EVERY
+        return now - self._pooled_at >= POOL_INTERVAL_SECONDS
 
     def pool(self, now: float, told: Iterable[bytes]) -> None:
         """Take the mean of what agents, this one among them, have told.
@@ -151,9 +156,9 @@
 
     def section(self) -> bytes:
         """Return what the agent tells of its open flows, as the last sweep saw it."""
-        return self._told
+        return self._section
 
-    def _tell(self) -> bytes:
+    def _encode_section(self) -> bytes:
         known = [
             (seen.flows, route, seen)
             for route, seen in self._by_route.items()
@@ -161,34 +166,36 @@
         ]
         known.sort(key=lambda one: (-one[0], one[1]))
         rows = [
-            SHARE.pack(route_tag(route), round(SHARE_UNITS * seen.busy / seen.flows))
-            for _, route, seen in known[:ROUTES_TOLD]
+            SHARE_FORMAT.pack(
+                route_tag(route), round(SHARE_SCALE * seen.busy / seen.flows)
+            )
+            for _, route, seen in known[:MAX_REPORTED_ROUTES]
         ]
-        return encode_promise(self.promise) + b"".join(rows)
+        return encode_expected_busy(self.expected_busy) + b"".join(rows)
 
-    def _look(self, flow: Flow) -> None:
+    def _sample(self, flow: Flow) -> None:
         route = route_key(flow.key)
         seen = self._by_route.get(route)
         if seen is None:
-            if len(self._by_route) >= ROUTES_LIMIT:
+            if len(self._by_route) >= MAX_ROUTES:
                 return
-            seen = self._by_route[route] = _Seen()
+            seen = self._by_route[route] = _RouteSample()
         seen.flows += 1
-        seen.asks += max(1, flow.asks)
+        seen.request_count += max(1, flow.request_count)
         seen.open += 1
-        if flow.asked_at is not None:
+        if flow.requested_at is not None:
             seen.busy += 1
 
-    def _turn(self) -> None:
+    def _end_sweep(self) -> None:
         """End a sweep over all flows, and begin the next one."""
-        self.promise = sum(
+        self.expected_busy = sum(
             seen.open * self.share(route) for route, seen in self._by_route.items()
         )
-        self._told = self._tell()
+        self._section = self._encode_section()
         for route, seen in list(self._by_route.items()):
-            seen.flows *= SWEEP_KEPT
-            seen.busy *= SWEEP_KEPT
-            seen.asks *= SWEEP_KEPT
+            seen.flows *= SWEEP_DECAY
+            seen.busy *= SWEEP_DECAY
+            seen.request_count *= SWEEP_DECAY
             seen.open = 0
             if seen.flows < 1:
                 del self._by_route[route]
@@ -197,21 +204,21 @@
 
 def _shares(body: bytes) -> Iterator[tuple[int, float]]:
     """Read the shares that an agent told; none if they are malformed."""
-    rows = body[PROMISE.size :]
-    if len(rows) % SHARE.size:
+    rows = body[EXPECTED_FORMAT.size :]
+    if len(rows) % SHARE_FORMAT.size:
         return
-    for tag, units in SHARE.iter_unpack(rows):
-        yield tag, units / SHARE_UNITS
+    for tag, units in SHARE_FORMAT.iter_unpack(rows):
+        yield tag, units / SHARE_SCALE
 
 
-def encode_promise(promise: float) -> bytes:
+def encode_expected_busy(expected_busy: float) -> bytes:
     """Return the promise of an agent's open flows."""
-    return PROMISE.pack(min(SHORT, round(promise * PROMISE_UNITS)))
+    return EXPECTED_FORMAT.pack(min(MAX_UINT16, round(expected_busy * EXPECTED_SCALE)))
 
 
-def decode_promise(body: bytes) -> float | None:
+def decode_expected_busy(body: bytes) -> float | None:
     """Read what an agent told; None if it is malformed."""
-    if len(body) < PROMISE.size:
+    if len(body) < EXPECTED_FORMAT.size:
         return None
-    promise: int = PROMISE.unpack_from(body)[0]
-    return promise / PROMISE_UNITS
+    expected_busy: int = EXPECTED_FORMAT.unpack_from(body)[0]
+    return expected_busy / EXPECTED_SCALE
--- a/packages/zinniahook-core/src/zinniahook_core/packets/health.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/health.py
@@ -17,36 +17,36 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from .flows import Flows, Standing
+from .flows import Flows, FlowState
 from .members import Roster
 from .models import Answer, Log
-from .outcomes import Counts, Peers, compared, lower_bound
-from .reports import HealthReport, KindRow
+from .outcomes import Counts, Peers, lower_bound, summarize_peers
+from .reports import HealthReport, RouteRow
 
-__all__ = ["PEERS_ASKED", "Evidence", "Health", "Phase"]
+__all__ = ["CONSULTED_PEERS", "Evidence", "Health", "Phase"]
 
-MARGIN = 0.05
+MIN_EXCESS_SHARE = 0.05
 """Share of failures above that of the peers that is worth acting on: below,
 callers lose less than by the lost capacity."""
 
-RATIO = 1.5
+MIN_EXCESS_RATIO = 1.5
 """The same where peers fail often as well."""
 
-FAILURES_LEAST = 4.0
+MIN_FAILURES = 4.0
 """Failures without which nothing is decided: a client that breaks off, or a
 lost packet, makes one or two."""
 
-LATELY = 0.15
+RECENT_WEIGHT = 0.15
 """Weight of a new answer in the share of bad ones lately: what a target that is
 suspected does now, of which it may have done nothing a second ago."""
 
-CHANCE_LEAST = 1e-8
+MIN_RUN_PROBABILITY = 1e-8
 """Probability of the bad answers in a row, at the peers' share, below which they
 aren't taken for chance. What goes wrong with the bound alone: a target that has
 begun to hang gets few requests, and the good ones of before count for half a
 minute."""
 
-PEERS_LEAST = 10.0
+MIN_PEER_ANSWERS = 10.0
 """Answers of peers without which there is nothing to compare with."""
 
 SLOW_FACTOR = 4.0
@@ -61,57 +61,57 @@
 HUNG_FACTOR = 16.0
 """Usual times after which it does where the route tells no goal."""
 
-HUNG_LEAST = 0.5
+MIN_HUNG_SECONDS = 0.5
 """Seconds that it takes at least: a repeated packet comes after 0.2 and 0.6 s."""
 
-HUNG_MOST = 3.0
-"""Seconds after which it does if nothing is known; see `flows.ABANDONED_AFTER`."""
+MAX_HUNG_SECONDS = 3.0
+"""Seconds after which it does if nothing is known; see `flows.ABANDONED_SECONDS`."""
 
-STALLED_AFTER = 0.5
+STALL_SECONDS = 0.5
 """Seconds between two ticks after which this process itself stood still."""
 
-CONFIRMED_AFTER = 0.2
+CONFIRMATION_SECONDS = 0.2
 """Seconds that a suspicion must last: a peer that is asked answers in less."""
 
-PEERS_ASKED = 8
+CONSULTED_PEERS = 8
 """Peers that are asked for their word on a suspicion. In a large service it comes
 unasked after seconds, and the target goes on failing until then."""
 
-PEERS_EVERY = 1.0
+COMPARISON_INTERVAL_SECONDS = 1.0
 """Seconds between two looks at what peers tell."""
 
-MISTAKEN_RETURN = 0.02
+FALSE_RECOVERY_PROBABILITY = 0.02
 """Chance that a target which still fails as it did shows as many good answers in
 a row as are asked for."""
 
-PROBES_LEAST = 4
-PROBES_MOST = 40
+MIN_PROBES = 4
+MAX_PROBES = 40
 """Good answers in a row that are asked for, at least and at most."""
 
-RELAPSE_WITHIN = 60.0
+RELAPSE_SECONDS = 60.0
 """Seconds after a return in which a new suspicion doubles what is asked for. What
 goes wrong without: a target that fails by turns comes back at each turn."""
 
-ASIDE_LONGEST = 30.0
+MAX_EJECTION_SECONDS = 30.0
 """Seconds after which it returns in any case, slowly: where few requests come,
 good answers take too long."""
 
-RETURN_TIME = 3.0
+RAMP_SECONDS = 3.0
 """Seconds in which a target's share of openings grows from nothing to all."""
 
-FIRST_SHARE = 0.2
+RAMP_START_SHARE = 0.2
 """Share that it begins with: above any trickle, see `member.ASIDE_BELOW`."""
 
-TRICKLE = 0.08
-TRICKLE_LEAST = 0.01
+PROBE_SHARE = 0.08
+MIN_PROBE_SHARE = 0.01
 """Share of the usual openings that a target gets while it is set aside, halved with
 each bad answer in a row, down to the second. Below `member.ASIDE_BELOW`, by which
 others see that it is set aside. One that fails half still answers some; one that
 hangs loses each request that it gets."""
 
-KINDS_LIMIT = 256
-BAD_FLOWS_LIMIT = 1024
-KINDS_TOLD = 6
+MAX_ROUTES = 256
+MAX_FAILING_FLOWS = 1024
+MAX_REPORTED_ROUTES = 6
 """Routes that a status tells of, those with most answers: 34 bytes in all."""
 
 
@@ -148,7 +148,7 @@
     """A request without an answer so far; ``load`` is requests for each slot."""
 
     at: float
-    kind: int
+    tag: int
     goal: float
     load: float
     key: bytes = b""
@@ -174,11 +174,11 @@
         self.failing = 0.0
         self._log = log
         self._flows = flows
-        self._by_kind: dict[int, Counts] = {}
+        self._counts_by_tag: dict[int, Counts] = {}
         self._pending: dict[bytes, Pending] = {}
         self._peers: dict[int, Peers] = {}
-        self._peers_at = float("-inf")
-        self._since = float("-inf")
+        self._compared_at = float("-inf")
+        self._phase_since = float("-inf")
         self._returned_at = float("-inf")
         self._ticked_at = float("-inf")
         self._good_in_row = 0
@@ -186,31 +186,29 @@
         self._bad_in_row: dict[int, int] = {}
         self._bad_flows: dict[bytes, None] = {}
         self.suspect_since: float | None = None
-        self._bad_lately = 0.0
-        self._failed_lately = 0.0
-        self._good_needed = PROBES_LEAST
+        self._recent_bad_share = 0.0
+        self._recent_failed_share = 0.0
+        self._good_needed = MIN_PROBES
         self._relapses = 0
 
     def renew(self) -> None:
         """Forget what a former target did."""
         self.phase = Phase.FULL
         self.failing = 0.0
-        self._by_kind.clear()
+        self._counts_by_tag.clear()
         self._pending.clear()
         self._returned_at = float("-inf")
         self._bad_in_row.clear()
         self._bad_flows.clear()
         self.suspect_since = None
-        self._bad_lately = self._failed_lately = 0.0
+        self._recent_bad_share = self._recent_failed_share = 0.0
         self._relapses = 0
 
     # What passes
 
-    def begun(
-        self, now: float, key: bytes, kind: int, goal: float, load: float
-    ) -> None:
+    def begun(self, now: float, key: bytes, tag: int, goal: float, load: float) -> None:
         """Note that a request was given to the target."""
-        self._pending[key] = Pending(now, kind, goal, load, key)
+        self._pending[key] = Pending(now, tag, goal, load, key)
 
     def answered(self, now: float, key: bytes, answer: int) -> bool:
         """Take how an answer begins; return whether it was due, and served."""
@@ -231,15 +229,15 @@
             return True
         return False
 
-    def broken_off(self, now: float, key: bytes) -> None:
+    def aborted(self, now: float, key: bytes) -> None:
         """Note that the target reset a request in progress."""
         pending = self._pending.pop(key, None)
         if pending is not None:
             self._failed(now, pending, "reset")
 
-    def refused(self, now: float, kind: int, load: float) -> None:
+    def refused(self, now: float, tag: int, load: float) -> None:
         """Note that the target returned an opening, or didn't answer it."""
-        self._rejected(now, Pending(now, kind, float("inf"), load))
+        self._rejected(now, Pending(now, tag, float("inf"), load))
 
     def _rejected(self, now: float, pending: Pending) -> None:
         """Count what has not run, if the target had a free slot for it.
@@ -259,20 +257,22 @@
     ) -> None:
         if self._is_known_bad(pending.key, bad):
             return
-        counts = self._by_kind.get(pending.kind)
+        counts = self._counts_by_tag.get(pending.tag)
         if counts is None:
-            if len(self._by_kind) >= KINDS_LIMIT:
-                self._by_kind.pop(next(iter(self._by_kind)))
-            counts = self._by_kind[pending.kind] = Counts(now)
+            if len(self._counts_by_tag) >= MAX_ROUTES:
+                self._counts_by_tag.pop(next(iter(self._counts_by_tag)))
+            counts = self._counts_by_tag[pending.tag] = Counts(now)
         counts.add(now, took, bad, failed)
         if bad:
             row = self._bad_in_row
-            row[pending.kind] = row.get(pending.kind, 0) + 1
+            row[pending.tag] = row.get(pending.tag, 0) + 1
         else:
             self._bad_in_row.clear()
-        self._bad_lately += LATELY * (bad - self._bad_lately)
-        self._failed_lately += LATELY * (failed - self._failed_lately)
-        if self.phase is Phase.ASIDE and pending.at >= self._since:
+        self._recent_bad_share += RECENT_WEIGHT * (bad - self._recent_bad_share)
+        self._recent_failed_share += RECENT_WEIGHT * (
+            failed - self._recent_failed_share
+        )
+        if self.phase is Phase.ASIDE and pending.at >= self._phase_since:
             self._good_in_row = 0 if bad else self._good_in_row + 1
             self._bad_probes_in_row = self._bad_probes_in_row + 1 if bad else 0
 
@@ -288,16 +288,16 @@
         if key in self._bad_flows:
             return True
         self._bad_flows[key] = None
-        while len(self._bad_flows) > BAD_FLOWS_LIMIT:
+        while len(self._bad_flows) > MAX_FAILING_FLOWS:
             del self._bad_flows[next(iter(self._bad_flows))]
         return False
 
-    def _chance(self) -> float:
+    def _run_probability(self) -> float:
         """Return the chance of the bad answers in a row at the peers' shares."""
         chance = 1.0
-        for kind, count in self._bad_in_row.items():
-            peers = self._peers.get(kind)
-            if peers is not None and peers.total >= PEERS_LEAST:
+        for tag, count in self._bad_in_row.items():
+            peers = self._peers.get(tag)
+            if peers is not None and peers.total >= MIN_PEER_ANSWERS:
                 chance *= peers.share**count
         return chance
 
@@ -307,12 +307,12 @@
         Not if it came within half of its route's goal. With n requests for each
         slot an answer may take n times as long.
         """
-        peers = self._peers.get(pending.kind)
-        if peers is None or not peers.usual:
+        peers = self._peers.get(pending.tag)
+        if peers is None or not peers.answer_time:
             return False
         if pending.goal < float("inf") and took < pending.goal / 2:
             return False
-        return took > SLOW_FACTOR * peers.usual * max(1.0, pending.load)
+        return took > SLOW_FACTOR * peers.answer_time * max(1.0, pending.load)
 
     # What follows
 
@@ -322,7 +322,7 @@
         ``roster`` holds the agents of the service, ``own`` is the address of this
         one.
         """
-        stalled = now - self._ticked_at > STALLED_AFTER
+        stalled = now - self._ticked_at > STALL_SECONDS
         self._ticked_at = now
         if stalled:
             # Answers that came meanwhile haven't been read. What goes wrong if
@@ -330,14 +330,14 @@
             # target a suspect.
             self._pending.clear()
         self._find_hung(now)
-        if now - self._peers_at >= PEERS_EVERY:
+        if now - self._compared_at >= COMPARISON_INTERVAL_SECONDS:
             self._compare(now, roster, own)
         if self.phase is Phase.ASIDE:
-            return self._may_return(now)
+            return self._try_return(now)
         if self._is_confirmed(now, roster, own):
-            self._set_aside(now, self.evidence(now))
+            self._eject(now, self.evidence(now))
             return True
-        if self.phase is Phase.RETURNING and now - self._since >= RETURN_TIME:
+        if self.phase is Phase.RETURNING and now - self._phase_since >= RAMP_SECONDS:
             self.phase = Phase.FULL
             self.failing = 0.0
         return False
@@ -351,8 +351,8 @@
             for member in roster.by_address.values()
             if member.address != own and member.told_at >= since
         ]
-        self._peers_at = now
-        self._peers = compared(now, others)
+        self._compared_at = now
+        self._peers = summarize_peers(now, others)
         return len(others)
 
     def _is_confirmed(self, now: float, roster: Roster, own: str) -> bool:
@@ -367,43 +367,46 @@
                 self.suspect_since = now
             return False
         passed = now - since
-        if passed < CONFIRMED_AFTER:
+        if passed < CONFIRMATION_SECONDS:
             return False
-        told = self._compare(now, roster, own, since)
-        if told < PEERS_ASKED / 2 and passed < roster.status_interval + CONFIRMED_AFTER:
+        reported = self._compare(now, roster, own, since)
+        if (
+            reported < CONSULTED_PEERS / 2
+            and passed < roster.status_interval + CONFIRMATION_SECONDS
+        ):
             return False
         self.suspect_since = None
         return self._is_suspect(now)
 
     def _find_hung(self, now: float) -> None:
         for key, pending in list(self._pending.items()):
-            if now - pending.at < self._patience(pending):
+            if now - pending.at < self._hang_timeout(pending):
                 continue
             del self._pending[key]
             flow = self._flows.get(key)
-            if flow is None or flow.standing is Standing.CLOSED:
+            if flow is None or flow.state is FlowState.CLOSED:
                 continue
-            if flow.asked_at is not None:
+            if flow.requested_at is not None:
                 self._failed(now, pending, "hung")
 
-    def _patience(self, pending: Pending) -> float:
-        peers = self._peers.get(pending.kind)
+    def _hang_timeout(self, pending: Pending) -> float:
+        peers = self._peers.get(pending.tag)
         if pending.goal < float("inf"):
             seconds = HUNG_GOALS * pending.goal
-        elif peers is not None and peers.usual:
-            seconds = HUNG_FACTOR * peers.usual
+        elif peers is not None and peers.answer_time:
+            seconds = HUNG_FACTOR * peers.answer_time
         else:
-            return HUNG_MOST
+            return MAX_HUNG_SECONDS
         # With n requests for each slot an answer takes n times as long.
         seconds *= max(1.0, pending.load)
-        return min(HUNG_MOST, max(HUNG_LEAST, seconds))
+        return min(MAX_HUNG_SECONDS, max(MIN_HUNG_SECONDS, seconds))
 
     def evidence(self, now: float) -> Evidence:
         """Return what the answers of routes say that can be compared."""
         bad = total = expected = 0.0
-        for kind, counts in self._by_kind.items():
-            peers = self._peers.get(kind)
-            if peers is None or peers.total < PEERS_LEAST:
+        for tag, counts in self._counts_by_tag.items():
+            peers = self._peers.get(tag)
+            if peers is None or peers.total < MIN_PEER_ANSWERS:
                 continue
             counts.fade(now)
             bad += counts.bad
@@ -413,26 +416,28 @@
         return Evidence(bad, total, lower_bound(bad, total), peers_share)
 
     def _is_suspect(self, now: float) -> bool:
-        if sum(counts.bad for counts in self._by_kind.values()) < FAILURES_LEAST:
+        if sum(counts.bad for counts in self._counts_by_tag.values()) < MIN_FAILURES:
             return False
         evidence = self.evidence(now)
-        if evidence.bad < FAILURES_LEAST:
+        if evidence.bad < MIN_FAILURES:
             return False
-        usual = max(RATIO * evidence.peers, evidence.peers + MARGIN)
-        return evidence.bound > usual or self._chance() < CHANCE_LEAST
+        usual = max(
+            MIN_EXCESS_RATIO * evidence.peers, evidence.peers + MIN_EXCESS_SHARE
+        )
+        return evidence.bound > usual or self._run_probability() < MIN_RUN_PROBABILITY
 
-    def _set_aside(self, now: float, evidence: Evidence) -> None:
-        relapsed = now - self._returned_at < RELAPSE_WITHIN
+    def _eject(self, now: float, evidence: Evidence) -> None:
+        relapsed = now - self._returned_at < RELAPSE_SECONDS
         self._relapses = self._relapses + 1 if relapsed else 0
-        share = max(evidence.share, self._bad_lately)
-        self._good_needed = min(PROBES_MOST, _probes(share) << self._relapses)
-        self.failing = self._failed_lately
+        share = max(evidence.share, self._recent_bad_share)
+        self._good_needed = min(MAX_PROBES, _probes(share) << self._relapses)
+        self.failing = self._recent_failed_share
         self.phase = Phase.ASIDE
-        self._since = now
+        self._phase_since = now
         self._good_in_row = self._bad_probes_in_row = 0
-        chance = self._chance()
+        chance = self._run_probability()
         self._bad_in_row.clear()
-        self._by_kind.clear()
+        self._counts_by_tag.clear()
         self._log.event(
             "target.suspected",
             bad=round(evidence.bad, 1),
@@ -443,9 +448,9 @@
             good_asked=self._good_needed,
         )
 
-    def _may_return(self, now: float) -> bool:
-        aside = now - self._since
-        if self._good_in_row < self._good_needed and aside < ASIDE_LONGEST:
+    def _try_return(self, now: float) -> bool:
+        aside = now - self._phase_since
+        if self._good_in_row < self._good_needed and aside < MAX_EJECTION_SECONDS:
             return False
         self._log.event(
             "target.trusted",
@@ -454,9 +459,9 @@
             aside=round(aside, 2),
         )
         self.phase = Phase.RETURNING
-        self._since = self._returned_at = now
-        self._bad_lately = self._failed_lately = 0.0
-        self._by_kind.clear()
+        self._phase_since = self._returned_at = now
+        self._recent_bad_share = self._recent_failed_share = 0.0
+        self._counts_by_tag.clear()
         return True
 
     def trust(self, now: float) -> float:
@@ -464,30 +469,30 @@
         if self.phase is Phase.FULL:
             return 1.0
         if self.phase is Phase.ASIDE:
-            return max(TRICKLE_LEAST, TRICKLE * 0.5**self._bad_probes_in_row)
-        return min(1.0, FIRST_SHARE + (now - self._since) / RETURN_TIME)
+            return max(MIN_PROBE_SHARE, PROBE_SHARE * 0.5**self._bad_probes_in_row)
+        return min(1.0, RAMP_START_SHARE + (now - self._phase_since) / RAMP_SECONDS)
 
     def failed_share(self) -> float:
         """Return the share of requests failed lately."""
-        total = sum(counts.total for counts in self._by_kind.values())
-        failed = sum(counts.failed for counts in self._by_kind.values())
+        total = sum(counts.total for counts in self._counts_by_tag.values())
+        failed = sum(counts.failed for counts in self._counts_by_tag.values())
         return failed / total if total else 0.0
 
     def report(self, now: float) -> HealthReport:
         """Return what a status tells."""
-        kinds = list(self._by_kind.items())
-        if len(kinds) > KINDS_TOLD:
-            kinds.sort(key=lambda item: -item[1].total)
+        tags = list(self._counts_by_tag.items())
+        if len(tags) > MAX_REPORTED_ROUTES:
+            tags.sort(key=lambda item: -item[1].total)
         rows = []
-        for kind, counts in kinds[:KINDS_TOLD]:
+        for tag, counts in tags[:MAX_REPORTED_ROUTES]:
             counts.fade(now)
-            rows.append(KindRow(kind, counts.total, counts.bad, counts.usual))
+            rows.append(RouteRow(tag, counts.total, counts.bad, counts.answer_time))
         return HealthReport(self.trust(now), self.failing, tuple(rows))
 
 
 def _probes(share: float) -> int:
     """Return how many good answers in a row a failing target hardly shows."""
     if share >= 1:
-        return PROBES_LEAST
-    needed = math.ceil(math.log(MISTAKEN_RETURN) / math.log(1 - share))
-    return min(PROBES_MOST, max(PROBES_LEAST, needed))
+        return MIN_PROBES
+    needed = math.ceil(math.log(FALSE_RECOVERY_PROBABILITY) / math.log(1 - share))
+    return min(MAX_PROBES, max(MIN_PROBES, needed))
--- a/packages/zinniahook-core/src/zinniahook_core/packets/homes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/homes.py
@@ -11,18 +11,18 @@
 from collections.abc import Callable, Sequence
 
 from . import placement, tunnel
+from .attempts import Attempts
 from .features import Switch
+from .forecasts import Forecast
 from .inquiries import Inquiries, Inquiry, freshest
 from .member import Member
 from .members import Roster
 from .models import Packet, State, Urgency, route_key
 from .node import HOP_LIMIT, Node
 from .overload import Overload
-from .placements import Placement
 from .rejections import Rejections
 from .searches import ASKED, Searches, Taken
 from .tunnel import Head, Kind, Mark, Reason
-from .work import Work
 
 __all__ = ["Home"]
 
@@ -71,7 +71,7 @@
         Tries a packet at this agent's own target, if it might own the flow.
     ask : callable
         Asks a peer for its status.
-    work : Work
+    work : Forecast
         What this agent has learned of flows, by route.
     """
 
@@ -82,7 +82,7 @@
         open_here: Callable[[float, str, Head, Packet], Reason],
         search_here: Callable[[float, Head, Packet], Taken],
         ask: Callable[[float, str], None],
-        work: Work,
+        work: Forecast,
     ) -> None:
         self.node = node
         self.roster = roster
@@ -92,14 +92,14 @@
         self._inquiries = Inquiries(node.address, node.rng, ask, self._loads_told)
         self.volumes = placement.Volumes()
         self._overload = Overload(node, roster)
-        self.room = self._overload.room
+        self.room = self._overload.load
         self._work = work
         self._rejections = Rejections(self.room, node.rng, self._first_takers)
         features = node.features
         self._expects_work = Switch(features, features.expected_work)
         self._pointers: dict[bytes, str] = {}
         self._to_hand_on: list[bytes] = []
-        self._placements: dict[bytes, Placement] = {}
+        self._placements: dict[bytes, Attempts] = {}
 
     @property
     def pointers(self) -> int:
@@ -123,7 +123,7 @@
         self._searches.opened(packet.flow)
         made = self._placements.get(packet.flow)
         if made is None or made.sequence != packet.sequence:
-            made = Placement(packet.sequence, now)
+            made = Attempts(packet.sequence, now)
             self._placements[packet.flow] = made
             self._inquiries.forget(packet.flow)
             self._rejections.forget(packet.flow)
@@ -140,7 +140,7 @@
             return
         self._place_elsewhere(now, head, packet, made)
 
-    def _still_good(self, now: float, made: Placement) -> bool:
+    def _still_good(self, now: float, made: Attempts) -> bool:
         """Tell whether a copy goes to the agent that has the opening already.
 
         One that has been heard since is alive and may let it wait; a second
@@ -167,7 +167,7 @@
         chosen = self._choose(free, head, packet)
         if chosen is None:
             return False
-        made = Placement(packet.sequence, now, [chosen.address])
+        made = Attempts(packet.sequence, now, [chosen.address])
         self._placements[packet.flow] = made
         self._tell(packet, made, chosen, free)
         self._offer(now, head, packet, made, chosen.address)
@@ -177,7 +177,7 @@
         """Place an opening again that an agent gave back."""
         made = self._placements.get(packet.flow)
         if made is None or made.sequence != packet.sequence:
-            made = Placement(packet.sequence, now, [sender])
+            made = Attempts(packet.sequence, now, [sender])
             self._placements[packet.flow] = made
         made.refused[sender] = head.reason
         if head.hops >= HOP_LIMIT:
@@ -186,14 +186,14 @@
         self._place_elsewhere(now, head, packet, made)
 
     def _place_elsewhere(
-        self, now: float, head: Head, packet: Packet, made: Placement
+        self, now: float, head: Head, packet: Packet, made: Attempts
     ) -> None:
         takers = self._takers(now, head, packet, made)
         if not self._inquiries.begin(now, head, packet, takers):
             self._place_among(now, head, packet, made, takers)
 
     def _takers(
-        self, now: float, head: Head, packet: Packet, made: Placement
+        self, now: float, head: Head, packet: Packet, made: Attempts
     ) -> list[Member]:
         flow, zone, tried = packet.flow, head.zone, {*made.tried, *made.refused}
         takers = self.roster.takers(now, flow, zone, tried)
@@ -214,7 +214,7 @@
         now: float,
         head: Head,
         packet: Packet,
-        made: Placement,
+        made: Attempts,
         takers: list[Member],
     ) -> None:
         if self._hold(now, head, packet, made):
@@ -226,7 +226,7 @@
         now: float,
         head: Head,
         packet: Packet,
-        made: Placement,
+        made: Attempts,
         takers: list[Member],
     ) -> None:
         takers = freshest(now, self.node.address, takers)
@@ -252,7 +252,7 @@
 
     # Room of the service
 
-    def _hold(self, now: float, head: Head, packet: Packet, made: Placement) -> bool:
+    def _hold(self, now: float, head: Head, packet: Packet, made: Attempts) -> bool:
         """Hold an opening that the service has no room for; return whether it did.
 
         Only one that was certainly placed nowhere: a copy may follow one that
@@ -284,7 +284,7 @@
                 self._place_at_one(now, held.head, held.packet, made, takers)
 
     def _tell(
-        self, packet: Packet, made: Placement, chosen: Member, takers: list[Member]
+        self, packet: Packet, made: Attempts, chosen: Member, takers: list[Member]
     ) -> None:
         self.node.log.event(
             "flow.placed",
@@ -299,7 +299,7 @@
         )
 
     def _offer(
-        self, now: float, head: Head, packet: Packet, made: Placement, address: str
+        self, now: float, head: Head, packet: Packet, made: Attempts, address: str
     ) -> None:
         if address != self.node.address:
             self.node.send(
@@ -318,7 +318,7 @@
             made.refused[address] = reason
             self._place_elsewhere(now, head, packet, made)
 
-    def _give_up(self, now: float, packet: Packet, made: Placement) -> None:
+    def _give_up(self, now: float, packet: Packet, made: Attempts) -> None:
         """End an opening that certainly can't be served, at once.
 
         Only if every agent tried was full, or all are evacuated: one that is
@@ -336,7 +336,7 @@
             reset = self.node.codec.reset(packet.flow, packet.acknowledged)
             self.node.links.to_client(packet.flow, reset)
 
-    def _outcome(self, now: float, packet: Packet, made: Placement) -> str:
+    def _outcome(self, now: float, packet: Packet, made: Attempts) -> str:
         """Return how an opening that nobody takes ends."""
         reasons = set(made.refused.values())
         if Reason.FULL in reasons and reasons <= BUSY:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/unanswered.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/lookups.py
@@ -6,25 +6,25 @@
 
 from .models import Packet
 
-__all__ = ["REPEAT_AFTER", "REPEAT_KNOWN_AFTER", "Asked", "Unanswered"]
+__all__ = ["KNOWN_REPEAT_SECONDS", "REPEAT_SECONDS", "PendingLookup", "PendingLookups"]
 
-REPEAT_AFTER = 0.3
+REPEAT_SECONDS = 0.3
 """Seconds without a certain answer after which an entry asks again for a flow's
 owner: above the time after which a search gives packets back. What goes wrong
 without: the question to the service that owns the flow gets lost, its client repeats
 the packet after 1.6 s only, and until then other targets alone have seen it."""
 
-REPEAT_KNOWN_AFTER = 0.1
+KNOWN_REPEAT_SECONDS = 0.1
 """The same for a home that only tells what it knows: it answers at once."""
 
-REPEATED_FOR = 1.6
+MAX_REPEAT_SECONDS = 1.6
 """Seconds for which an entry asks with one packet: its client repeats it then."""
 
-PER_TICK = 256
-LIMIT = 4096
+MAX_REPEATS_PER_TICK = 256
+MAX_LOOKUPS = 4096
 
 
-class Asked(NamedTuple):
+class PendingLookup(NamedTuple):
     """A packet with which a service was asked for its flow's owner."""
 
     begun: float
@@ -32,11 +32,11 @@
     packet: Packet
 
 
-class Unanswered:
+class PendingLookups:
     """The packets of one entry whose owners aren't known yet, one a flow."""
 
     def __init__(self) -> None:
-        self._by_flow: dict[bytes, Asked] = {}
+        self._by_flow: dict[bytes, PendingLookup] = {}
 
     def keep(self, now: float, packet: Packet, after: float) -> None:
         """Keep a packet, to ask with it again after a while.
@@ -48,21 +48,25 @@
             return
         former = self.take(packet.flow)
         begun = former.begun if former else now
-        if len(self._by_flow) < LIMIT:
-            self._by_flow[packet.flow] = Asked(begun, now + after, packet)
+        if len(self._by_flow) < MAX_LOOKUPS:
+            self._by_flow[packet.flow] = PendingLookup(begun, now + after, packet)
 
-    def take(self, flow: bytes) -> Asked | None:
+    def take(self, flow: bytes) -> PendingLookup | None:
         """Return what is kept of a flow, and keep it no longer."""
         return self._by_flow.pop(flow, None)
 
-    def due(self, now: float) -> list[Asked]:
+    def due(self, now: float) -> list[PendingLookup]:
         """Return what to ask with again, and keep it no longer."""
         due = [asked for asked in self._by_flow.values() if now >= asked.due]
-        for asked in due[:PER_TICK]:
+        for asked in due[:MAX_REPEATS_PER_TICK]:
             del self._by_flow[asked.packet.flow]
-        return [asked for asked in due[:PER_TICK] if now - asked.begun < REPEATED_FOR]
+        return [
+            asked
+            for asked in due[:MAX_REPEATS_PER_TICK]
+            if now - asked.begun < MAX_REPEAT_SECONDS
+        ]
 
-    def begun_at(self, asked: Asked) -> None:
+    def restore_begun(self, asked: PendingLookup) -> None:
         """Count the time of a packet from when it was first asked with."""
         again = self._by_flow.get(asked.packet.flow)
         if again is not None:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/member.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/member.py
@@ -24,7 +24,7 @@
 
 ASIDE_BELOW = 0.1
 """Share of the usual openings below which a target counts as set aside: between
-`health.TRICKLE` and `health.FIRST_SHARE`."""
+`health.PROBE_SHARE` and `health.RAMP_START_SHARE`."""
 
 FAILING_MOST = 0.5
 """Share of failures up to which a target that was set aside is still used while no
--- a/packages/zinniahook-core/src/zinniahook_core/packets/membership.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/membership.py
@@ -3,20 +3,20 @@
 from __future__ import annotations
 
 from . import tunnel
+from .allocation import RequestCounter
+from .backlog import Backlog
 from .features import Switch
 from .flows import Flows
-from .health import PEERS_ASKED
+from .forecasts import Forecast
+from .health import CONSULTED_PEERS
 from .member import Row
 from .members import ASKED_AGAIN_AFTER, Roster
 from .models import State
 from .node import Node
 from .reports import encode_cold, encode_health
-from .room import Census
 from .sections import Section
 from .target import Target
 from .tunnel import Kind, Status, Wish, tag
-from .waiting import Waiting
-from .work import Work
 
 __all__ = ["Membership"]
 
@@ -93,9 +93,9 @@
         features = node.features
         self.shares_room = Switch(features, bool(features.shared_room))
         self.expects_work = Switch(features, features.expected_work)
-        self.work = Work(flows)
-        self.openings_waiting = Waiting()
-        self._census = Census(flows)
+        self.work = Forecast(flows)
+        self.openings_waiting = Backlog()
+        self._census = RequestCounter(flows)
 
     @property
     def entries(self) -> list[str]:
@@ -181,7 +181,7 @@
     def _ask_some(self, now: float) -> None:
         """Ask a few peers for their word on a suspicion."""
         peers = [a for a in self.roster.present(now) if a != self._node.address]
-        count = min(PEERS_ASKED, len(peers))
+        count = min(CONSULTED_PEERS, len(peers))
         for address in self._node.rng.sample(peers, count):
             self.ask(now, address)
 
@@ -354,7 +354,7 @@
         narrow link hears each agent that it sends to more than twice a second.
         """
         busy = self._flows.load(now) + self.waiting
-        if self._target.refuses(now) or self.held_back:
+        if self._target.refused_recently(now) or self.held_back:
             busy += self.slots
         status = Status(
             self._incarnation,
--- a/packages/zinniahook-core/src/zinniahook_core/packets/openings.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/openings.py
@@ -4,28 +4,28 @@
 
 from typing import Protocol
 
-from .flows import Flow, Flows, Standing
+from .backlog import EXTRA_OPENINGS, Backlog, Opening
+from .flows import Flow, Flows, FlowState
 from .membership import Membership
 from .models import Flag, Packet, State, Urgency, route_key
 from .node import Node
-from .outcomes import kind_of
-from .pace import Pace
-from .queueing import Queue
-from .target import ANSWER_TIMEOUT, Target
+from .outcomes import route_tag_of
+from .pacing import Pacer
+from .queueing import RequestQueue
+from .target import ANSWER_TIMEOUT_SECONDS, Target
 from .tunnel import Head, Kind, Reason, tag
-from .waiting import QUEUE_EXTRA, Opening, Waiting
 
-__all__ = ["Openings", "Placer", "standing"]
+__all__ = ["Openings", "Placer", "initial_state"]
 
-CHECKED_PER_TICK = 256
-MOVED_HOPS = 2
+MAX_CHECKS_PER_TICK = 256
+MAX_MOVE_HOPS = 2
 """Daemons that an opening may have passed to be moved: its entry and its home."""
 
-STAYING_LOOKED_AT = 8
+MAX_UNMOVED_PER_TICK = 8
 """Waiting openings without a free peer that are looked at in a tick."""
 
 
-STAYS = frozenset((Reason.LEAVING, Reason.EVACUATED))
+RETAINING_REASONS = frozenset((Reason.LEAVING, Reason.EVACUATED))
 """Reasons for which an agent takes nothing new, but keeps what it has."""
 
 
@@ -52,7 +52,7 @@
         Offered flows stand there too.
     membership : Membership
         Tells whether this agent takes openings.
-    pace : Pace
+    pacer : Pacer
         Limits what a cold target gets.
     queue : Queue
         Requests of open flows that wait for the same slots.
@@ -66,15 +66,15 @@
         target: Target,
         flows: Flows,
         membership: Membership,
-        pace: Pace,
-        queue: Queue,
+        pacer: Pacer,
+        queue: RequestQueue,
     ) -> None:
-        self.waiting = Waiting()
+        self.waiting = Backlog()
         self._node = node
         self._target = target
         self._flows = flows
         self._membership = membership
-        self._pace = pace
+        self._pacer = pacer
         self._queue = queue
         self._offered_at: dict[bytes, float] = {}
 
@@ -86,11 +86,11 @@
         """
         flow = self._flows.get(packet.flow)
         known = flow is not None and _is_copy(flow, packet)
-        reason = self._refusal(now)
+        reason = self._refusal_reason(now)
         # A copy of an opening that the target has answered is no new work. What
         # goes wrong if it goes elsewhere: the flow stands at two targets.
-        answered = known and flow is not None and flow.first is not None
-        if reason is not Reason.NONE and not (reason in STAYS and answered):
+        answered = known and flow is not None and flow.target_isn is not None
+        if reason is not Reason.NONE and not (reason in RETAINING_REASONS and answered):
             return reason
         if flow is None or not known:
             if not self._may_offer(now):
@@ -98,13 +98,13 @@
                 self.waiting.add(now, home, head, packet, urgency)
                 return Reason.NONE
             flow = self._add(now, head, packet)
-        flow.client_first = packet.sequence
+        flow.client_isn = packet.sequence
         flow.asker = home
         flow.entry = head.entry
         flow.opening = packet.raw
-        if flow.first is None:
+        if flow.target_isn is None:
             self._offered_at[packet.flow] = now
-        self._target.given(now)
+        self._target.note_given(now)
         self._node.links.to_target(packet.raw)
         return Reason.NONE
 
@@ -115,12 +115,12 @@
     def returned(self, now: float, packet: Packet) -> None:
         """Handle an opening that the target returned."""
         flow = self._flows.get(packet.flow)
-        if flow is None or flow.standing is not Standing.OFFERED:
+        if flow is None or flow.state is not FlowState.OFFERED:
             return
         self._flows.drop(flow.key)
         self._offered_at.pop(flow.key, None)
         self._target.refused(now)
-        self._judge(now, flow)
+        self._record_refusal(now, flow)
         if flow.asker:
             self._refuse_flow(now, flow, packet, Reason.FULL)
 
@@ -144,7 +144,7 @@
             )
         if not len(self.waiting):
             return
-        reason = self._refusal(now)
+        reason = self._refusal_reason(now)
         if reason is not Reason.NONE:
             for opening in self.waiting.clear():
                 self._refuse_waiting(now, opening, reason)
@@ -152,7 +152,7 @@
         self.admit(now)
         self._move(now)
 
-    def _refusal(self, now: float) -> Reason:
+    def _refusal_reason(self, now: float) -> Reason:
         """Return why no opening is taken, if so."""
         if self._membership.is_evacuated:
             return Reason.EVACUATED
@@ -163,34 +163,34 @@
             return Reason.SILENT
         return Reason.NONE
 
-    def is_held_back(self, now: float) -> bool:
+    def is_throttled(self, now: float) -> bool:
         """Tell whether a cold target must get nothing for now."""
         if not self._target.may_be_cold(now):
             return False
         rate = self._node.routes.cold_rates.get(self._target.service, 0.0)
-        return not self._pace.allows(now, rate)
+        return not self._pacer.allows(now, rate)
 
     def _may_offer(self, now: float) -> bool:
         """Tell whether the target may get an opening now."""
         certain = self._node.evacuations.is_certain(now)
-        return self._has_room and certain and not self.is_held_back(now)
+        return self._has_capacity and certain and not self.is_throttled(now)
 
     @property
-    def _has_room(self) -> bool:
-        return self._flows.busy < self._membership.slots + QUEUE_EXTRA
+    def _has_capacity(self) -> bool:
+        return self._flows.busy < self._membership.slots + EXTRA_OPENINGS
 
     def _add(self, now: float, head: Head, packet: Packet) -> Flow:
         flow = Flow(
             packet.flow,
-            Standing.OFFERED,
+            FlowState.OFFERED,
             now,
             head.entry,
-            client_first=packet.sequence,
+            client_isn=packet.sequence,
             zone=head.zone,
         )
         self._flows.add(flow)
         self._flows.asked(now, flow)
-        self._pace.offered(now)
+        self._pacer.offered(now)
         return flow
 
     def _move(self, now: float) -> None:
@@ -201,12 +201,12 @@
         lost a client's try is lost.
         """
         stay: list[Opening] = []
-        while len(stay) < STAYING_LOOKED_AT:
+        while len(stay) < MAX_UNMOVED_PER_TICK:
             opening = self._next(now)
             if opening is None:
                 break
             head, packet = opening.head, opening.packet
-            if head.hops >= MOVED_HOPS or not self.home.move(now, head, packet):
+            if head.hops >= MAX_MOVE_HOPS or not self.home.move(now, head, packet):
                 stay.append(opening)
         for opening in stay:
             self.waiting.put(opening)
@@ -216,25 +216,25 @@
 
     def _check_offered(self, now: float) -> None:
         """Hand openings on that the target leaves without an answer."""
-        for key, offered_at in list(self._offered_at.items())[:CHECKED_PER_TICK]:
-            if now - offered_at < ANSWER_TIMEOUT:
+        for key, offered_at in list(self._offered_at.items())[:MAX_CHECKS_PER_TICK]:
+            if now - offered_at < ANSWER_TIMEOUT_SECONDS:
                 break
             del self._offered_at[key]
             flow = self._flows.get(key)
-            if flow is None or flow.first is not None:
+            if flow is None or flow.target_isn is not None:
                 continue
             self._flows.drop(key)
             self._target.unanswered(now, offered_at)
-            self._judge(now, flow)
+            self._record_refusal(now, flow)
             packet = self._node.codec.from_client(flow.opening)
             if packet is not None:
                 self._refuse_flow(now, flow, packet, Reason.SILENT)
 
-    def _judge(self, now: float, flow: Flow) -> None:
+    def _record_refusal(self, now: float, flow: Flow) -> None:
         """Hold an opening that the target didn't take against it, if it has room."""
         if self._target.health is not None:
             load = (self._flows.busy + 1) / self._membership.slots
-            self._target.health.refused(now, kind_of(flow.key), load)
+            self._target.health.refused(now, route_tag_of(flow.key), load)
 
     def _refuse_flow(
         self, now: float, flow: Flow, packet: Packet, reason: Reason
@@ -261,9 +261,9 @@
         if home == self._node.address:
             self.home.refused(now, home, head._replace(reason=reason), packet)
         else:
-            self.give_back(now, home, head, packet, reason)
+            self.send_back(now, home, head, packet, reason)
 
-    def give_back(
+    def send_back(
         self, now: float, address: str, head: Head, packet: Packet, reason: Reason
     ) -> None:
         """Send a packet back to who sent it here."""
@@ -290,16 +290,16 @@
     for another opening, the target's number is forgotten, and the client's first
     data finds no owner.
     """
-    if flow.client_first is None:
-        return flow.standing is Standing.OFFERED
-    return flow.client_first == packet.sequence
+    if flow.client_isn is None:
+        return flow.state is FlowState.OFFERED
+    return flow.client_isn == packet.sequence
 
 
-def standing(packet: Packet) -> Standing:
+def initial_state(packet: Packet) -> FlowState:
     """Return how sure it is that a target holds a flow of which it sends a packet.
 
     What goes wrong if the answer to an opening counts as an open flow: its client
     may have chosen another target, and this one swallows its packets.
     """
     opens = packet.flags & Flag.OPENING
-    return Standing.OFFERED if opens else Standing.OPEN
+    return FlowState.OFFERED if opens else FlowState.OPEN
--- a/packages/zinniahook-core/src/zinniahook_core/packets/outcomes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/outcomes.py
@@ -9,15 +9,22 @@
 
 from .member import Member
 from .models import route_key
-from .reports import KindRow
-
-__all__ = ["Counts", "Peers", "compared", "kind_of", "lower_bound", "route_tag"]
-
-MEMORY = 40
+from .reports import RouteRow
+
+__all__ = [
+    "Counts",
+    "Peers",
+    "summarize_peers",
+    "route_tag_of",
+    "lower_bound",
+    "route_tag",
+]
+
+MEMORY_ANSWERS = 40
 """Answers that count: fewer can't tell a fifth of failures from chance, and with
 more it takes as many failures again to find the one that begins to fail."""
 
-FADE_TIME = 20.0
+FADE_SECONDS = 20.0
 """Seconds in which an answer's weight falls to a third, where few come. What a peer
 told is used as long."""
 
@@ -44,7 +51,7 @@
     return zlib.crc32(route) & TAG_MASK
 
 
-def kind_of(flow: bytes) -> int:
+def route_tag_of(flow: bytes) -> int:
     """Return the tag of the route that a flow came by."""
     return route_tag(route_key(flow))
 
@@ -63,7 +70,7 @@
 
     def fade(self, now: float, kept: float = 1.0) -> None:
         """Lower the weight of what was counted."""
-        kept *= math.exp(min(0.0, self.at - now) / FADE_TIME)
+        kept *= math.exp(min(0.0, self.at - now) / FADE_SECONDS)
         self.at = now
         self.total *= kept
         self.bad *= kept
@@ -72,7 +79,7 @@
 
     def add(self, now: float, took: float, bad: bool, failed: bool) -> None:
         """Count one answer; one may be bad without being a failure: slow."""
-        self.fade(now, 1 - 1 / MEMORY)
+        self.fade(now, 1 - 1 / MEMORY_ANSWERS)
         self.total += 1
         self.bad += bad
         self.failed += failed
@@ -80,7 +87,7 @@
             self.seconds += took
 
     @property
-    def usual(self) -> float:
+    def answer_time(self) -> float:
         """The mean time of good answers, 0 if there were none."""
         good = self.total - self.bad
         return self.seconds / good if good > 0.5 else 0.0
@@ -91,7 +98,7 @@
 
     total: float
     bad: float
-    usual: float
+    answer_time: float
 
     @property
     def share(self) -> float:
@@ -99,19 +106,19 @@
         return (self.bad + 0.5) / (self.total + 1)
 
 
-def compared(now: float, members: Iterable[Member]) -> dict[int, Peers]:
+def summarize_peers(now: float, members: Iterable[Member]) -> dict[int, Peers]:
     """Add up what peers told lately, by kind of route."""
-    rows_by_kind: dict[int, list[KindRow]] = {}
+    rows_by_tag: dict[int, list[RouteRow]] = {}
     for member in members:
-        if member.health is None or now - member.told_at > FADE_TIME:
+        if member.health is None or now - member.told_at > FADE_SECONDS:
             continue
         for row in member.health.rows:
-            rows_by_kind.setdefault(row.kind, []).append(row)
-    return {kind: _summed(rows) for kind, rows in rows_by_kind.items()}
+            rows_by_tag.setdefault(row.tag, []).append(row)
+    return {tag: _sum_rows(rows) for tag, rows in rows_by_tag.items()}
 
 
-def _summed(rows: list[KindRow]) -> Peers:
+def _sum_rows(rows: list[RouteRow]) -> Peers:
     """Add up one kind; the median of times, as some peers may be slow too."""
-    times = sorted(row.usual for row in rows if row.usual)
-    usual = times[len(times) // 2] if times else 0.0
-    return Peers(sum(r.total for r in rows), sum(r.bad for r in rows), usual)
+    times = sorted(row.answer_time for row in rows if row.answer_time)
+    answer_time = times[len(times) // 2] if times else 0.0
+    return Peers(sum(r.total for r in rows), sum(r.bad for r in rows), answer_time)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/overload.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/overload.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
+from .allocation import ServiceLoad
 from .features import Switch
 from .members import Roster
 from .node import Node
 from .rejections import HeldOpening
-from .room import Room
 
 __all__ = ["Overload"]
 
@@ -23,7 +23,7 @@
     """
 
     def __init__(self, node: Node, roster: Roster) -> None:
-        self.room = Room()
+        self.load = ServiceLoad()
         self._node = node
         self._roster = roster
         self._switch = Switch(node.features, bool(node.features.shared_room))
@@ -32,14 +32,14 @@
         """Look over the room of the service, if it is time."""
         service = self._roster.service
         if not self._switch.is_on(self._node.routes, service):
-            self.room.clear()
+            self.load.clear()
             return
-        if not self.room.is_due(now, len(self._roster.by_address)):
+        if not self.load.is_due(now, len(self._roster.by_address)):
             return
-        if self.room.review(now, self._roster.openers(now)):
-            begun = self.room.since is not None
+        if self.load.review(now, self._roster.openers(now)):
+            begun = self.load.since is not None
             event = "room.overloaded" if begun else "room.relieved"
-            self._node.log.event(event, service=service, **self.room.log_fields())
+            self._node.log.event(event, service=service, **self.load.log_fields())
 
     def reject(self, held: HeldOpening) -> None:
         """Tell the client of an opening that nobody has it."""
@@ -49,7 +49,7 @@
             "opening.rejected",
             flow=packet.flow,
             opening=packet.sequence,
-            **self.room.log_fields(held.cell),
+            **self.load.log_fields(held.traffic_class),
         )
         reset = self._node.codec.reset(packet.flow, packet.acknowledged)
         self._node.links.to_client(packet.flow, reset)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/pace.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/pacing.py
@@ -11,9 +11,9 @@
 from collections import deque
 from typing import NamedTuple
 
-__all__ = ["ColdLimit", "Pace"]
+__all__ = ["ColdLimit", "Pacer"]
 
-WINDOW = 1.1
+WINDOW_SECONDS = 1.1
 """Seconds in which openings are counted: the second that is promised, and a
 tenth for openings that the network brings closer together."""
 
@@ -33,7 +33,7 @@
         return int(rate * self.excess + self.burst)
 
 
-class Pace:
+class Pacer:
     """Counts the openings that one target gets.
 
     Parameters
@@ -53,7 +53,7 @@
         What goes wrong without: the process before it has just let pass what a
         cold target bears in a second, and this one lets pass as much again.
         """
-        self._closed_until = now + WINDOW
+        self._closed_until = now + WINDOW_SECONDS
 
     def offered(self, now: float) -> None:
         """Note an opening that the target got."""
@@ -75,5 +75,5 @@
         return len(self._offered) < self._limit.openings(rate)
 
     def _forget(self, now: float) -> None:
-        while self._offered and now - self._offered[0] > WINDOW:
+        while self._offered and now - self._offered[0] > WINDOW_SECONDS:
             self._offered.popleft()
--- a/packages/zinniahook-core/src/zinniahook_core/packets/placement.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/placement.py
@@ -14,31 +14,31 @@
 from typing import NamedTuple
 
 from .flows import Flow
+from .forecasts import DEFAULT_BUSY_SHARE, decode_expected_busy
 from .member import Member
 from .models import route_key
 from .sections import Section
-from .work import USUAL_SHARE, decode_promise
 
 __all__ = ["Volumes", "choose", "cost", "usable"]
 
 REMOTE_COST = 0.5
-"""What another data centre costs for a flow of `USUAL_VOLUME`, in the unit of
+"""What another data centre costs for a flow of `TYPICAL_VOLUME_BYTES`, in the unit of
 `cost`: half of the slots busy. Up to there a request waits for nobody."""
 
-USUAL_VOLUME = 40_000.0
+TYPICAL_VOLUME_BYTES = 40_000.0
 """Bytes of an export, and of a stream in 20 answers of 2,000."""
 
-REMOTE_LEAST = 0.1
-REMOTE_MOST = 1.0
+MIN_REMOTE_COST = 0.1
+MAX_REMOTE_COST = 1.0
 VOLUME_WEIGHT = 0.02
 """Weight of a packet in the mean volume of a route's flows."""
 
-VOLUMES_LIMIT = 8192
+MAX_ROUTES = 8192
 
 WARMING_FACTOR = 1.6
 """How much longer a target works while it warms up."""
 
-ADVANTAGE = 0.25
+MAX_ADVANTAGE = 0.25
 """Requests a slot by which a target that was promised less work than the others
 is preferred at most. What goes wrong without: targets are replaced one after the
 other, and the flows of each come back as a wave that goes to the newest alone."""
@@ -46,7 +46,7 @@
 JITTER = 0.1
 """Spreads homes that see the same loads; below the cost of one slot of four."""
 
-EXPECTED_JITTER = 0.02
+FORECAST_JITTER = 0.02
 """The same among promises, which change slowly: a tenth would hide who was
 promised a fifth more than the others."""
 
@@ -54,11 +54,11 @@
 """How much longer than usual the answers of a slow target take; loads of
 different clients alone differ by less than two."""
 
-HANDED_SHARE = 1.0
+PLACED_WEIGHT = 1.0
 """Requests in progress that a placed opening counts as, until the next
 status."""
 
-ASIDE_SHARE_MOST = 0.5
+MAX_EJECTED_SHARE = 0.5
 """Share of the targets for a flow that may be set aside. If more fail, it is no
 longer one of them that is bad, and the rest couldn't bear it."""
 
@@ -75,27 +75,27 @@
 
     def add(self, flow: Flow, length: int) -> None:
         """Count a packet of a flow."""
-        flow.sent += length
+        flow.bytes_sent += length
         route = route_key(flow.key)
         mean = self._means.get(route)
         if mean is None:
-            if len(self._means) < VOLUMES_LIMIT:
-                self._means[route] = float(flow.sent)
+            if len(self._means) < MAX_ROUTES:
+                self._means[route] = float(flow.bytes_sent)
             return
-        self._means[route] = mean + VOLUME_WEIGHT * (flow.sent - mean)
+        self._means[route] = mean + VOLUME_WEIGHT * (flow.bytes_sent - mean)
 
     def remote_cost(self, key: bytes) -> float:
         """Return what another data centre costs for a new flow."""
-        mean = self._means.get(route_key(key), USUAL_VOLUME)
-        share = mean / USUAL_VOLUME * REMOTE_COST
-        return min(REMOTE_MOST, max(REMOTE_LEAST, share))
+        mean = self._means.get(route_key(key), TYPICAL_VOLUME_BYTES)
+        share = mean / TYPICAL_VOLUME_BYTES * REMOTE_COST
+        return min(MAX_REMOTE_COST, max(MIN_REMOTE_COST, share))
 
 
-class Expected(NamedTuple):
+class ExpectedLoad(NamedTuple):
     """The work to come: requests after the first, and what a member is promised."""
 
     later: float
-    promise: float
+    expected_busy: float
 
     def mean(self, busy: float, slots: int) -> float:
         """Return the load that the requests of a flow meet on average.
@@ -107,30 +107,30 @@
         that a flow lasts.
         """
         ahead = max(0.0, busy + 1 - slots)
-        return (busy + self.later * (self.promise + ahead)) / (1 + self.later)
+        return (busy + self.later * (self.expected_busy + ahead)) / (1 + self.later)
 
 
-def promise(member: Member) -> float:
+def expected_busy(member: Member) -> float:
     """Return the requests in progress that a member's open flows are to bring."""
-    told = decode_promise(member.sections.get(Section.WORK, b""))
-    return member.flows * USUAL_SHARE if told is None else told
+    told = decode_expected_busy(member.sections.get(Section.WORK, b""))
+    return member.flows * DEFAULT_BUSY_SHARE if told is None else told
 
 
-def promises(members: Sequence[Member], later: float) -> dict[str, Expected]:
+def expected_loads(members: Sequence[Member], later: float) -> dict[str, ExpectedLoad]:
     """Return what members are promised, for a flow that ``later`` requests follow.
 
-    One that was promised less than the others counts as promised `ADVANTAGE` less
+    One that was promised less than the others counts as promised `MAX_ADVANTAGE` less
     at most, and as the others while it is cold.
     """
-    found = [promise(member) for member in members]
+    found = [expected_busy(member) for member in members]
     slots = sum(member.slots for member in members)
     usual = sum(found) / max(1, slots)
     least = [
-        usual * m.slots if m.warming > 0 else (usual - ADVANTAGE) * m.slots
+        usual * m.slots if m.warming > 0 else (usual - MAX_ADVANTAGE) * m.slots
         for m in members
     ]
     return {
-        member.address: Expected(later, max(one, low))
+        member.address: ExpectedLoad(later, max(one, low))
         for member, one, low in zip(members, found, least, strict=True)
     }
 
@@ -140,7 +140,7 @@
     zone: int,
     usual: float,
     remote: float,
-    expected: Expected | None = None,
+    expected: ExpectedLoad | None = None,
 ) -> float:
     """Return how unfavourable a member is for an opening.
 
@@ -148,9 +148,9 @@
     usual time until an answer begins, ``remote`` what another zone costs,
     ``expected`` the work to come, None if nothing tells.
     """
-    busy = member.busy + member.placed * HANDED_SHARE
+    busy = member.busy + member.placed * PLACED_WEIGHT
     if expected is None:
-        busy += member.flows * USUAL_SHARE
+        busy += member.flows * DEFAULT_BUSY_SHARE
     else:
         busy = expected.mean(busy, member.slots)
     load = busy / max(1, member.slots)
@@ -178,9 +178,9 @@
         return None
     times = sorted(member.answer_time for member in members)
     usual = times[(len(times) - 1) // 2]
-    expected = promises(members, later) if later is not None else {}
+    expected = expected_loads(members, later) if later is not None else {}
     # If no request follows the first, promises count for nothing: see `mean`.
-    jitter = EXPECTED_JITTER if later else JITTER
+    jitter = FORECAST_JITTER if later else JITTER
     chosen = min(
         members,
         key=lambda member: (
@@ -202,11 +202,11 @@
     if all(member.trust >= 1 for member in members):
         return members
     aside = [member for member in members if member.is_aside]
-    tried = _tried(aside, len(members), rng)
+    tried = _draw_probed(aside, len(members), rng)
     if tried is not None:
         return [tried]
     aside.sort(key=lambda member: member.health.failing if member.health else 0.0)
-    too_many = max(0, len(aside) - int(ASIDE_SHARE_MOST * len(members)))
+    too_many = max(0, len(aside) - int(MAX_EJECTED_SHARE * len(members)))
     others = [member for member in members if not member.is_aside]
     used = [m for m in others if m.trust >= 1 or rng.random() < m.trust]
     used += aside[:too_many]
@@ -217,7 +217,7 @@
     return [*used, *returning, *spare] or members
 
 
-def _tried(aside: list[Member], size: int, rng: random.Random) -> Member | None:
+def _draw_probed(aside: list[Member], size: int, rng: random.Random) -> Member | None:
     """Draw whether an opening goes to a target that was set aside, and to which.
 
     One that works on something is left alone until that is done: it may hang.
--- a/packages/zinniahook-core/src/zinniahook_core/packets/questions.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/questions.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from .flows import SEQUENCE_SPAN, WINDOW
+from .flows import ACKNOWLEDGED_WINDOW_BYTES, SEQUENCE_SPAN
 from .models import Packet
 from .tunnel import Mark
 
@@ -154,4 +154,4 @@
 def _same(asked: _Asked, packet: Packet) -> bool:
     """Tell whether a packet is of the same flow, not of a later one of its port."""
     ahead = (packet.acknowledged - asked.acknowledged) % SEQUENCE_SPAN
-    return min(ahead, SEQUENCE_SPAN - ahead) <= WINDOW
+    return min(ahead, SEQUENCE_SPAN - ahead) <= ACKNOWLEDGED_WINDOW_BYTES
--- a/packages/zinniahook-core/src/zinniahook_core/packets/queueing.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/queueing.py
@@ -12,41 +12,41 @@
 
 from dataclasses import dataclass, field
 
-from .flows import SEQUENCE_SPAN, Flow, Flows, Standing
+from .backlog import EXTRA_OPENINGS, MAX_WAIT_SECONDS
+from .flows import SEQUENCE_SPAN, Flow, Flows, FlowState
 from .membership import Membership
 from .models import Flag, Packet, Routes, State, Urgency, route_key
 from .node import Node
 from .requests import Requests
+from .scheduling import Scheduler, rank
 from .target import Target
-from .turns import Turns, rank
-from .waiting import PATIENCE, QUEUE_EXTRA
 
-__all__ = ["HeldRequest", "Queue"]
+__all__ = ["HeldRequest", "RequestQueue"]
 
-HOLD_LONGEST = PATIENCE
+MAX_HOLD_SECONDS = MAX_WAIT_SECONDS
 """Seconds that a request waits at most, as openings do: less than a target goes on
 repeating what a packet that waits acknowledges, and than a client waits."""
 
-HOLD_GOALS = 3.0
+MAX_HOLD_GOALS = 3.0
 """Times its route's goal that a request waits at most: callers that want their
 answers soon give up soon."""
 
-REQUESTS_EXTRA = QUEUE_EXTRA + 1
+EXTRA_REQUESTS = EXTRA_OPENINGS + 1
 """Requests that a target may have above its slots before others wait here: one
 more than for openings. An opening can go to another target, a request of an open
 flow to this one alone, and each opening brings further requests."""
 
-HELD_MOST = 64
+MAX_HELD_REQUESTS = 64
 """Requests that wait at most; the oldest is let through then."""
 
-PACKETS_MOST = 16
+MAX_HELD_PACKETS = 16
 """Packets of one request that wait: as many as an end may have in flight."""
 
-IDLE_SHARE = 0.5
+MAX_IDLE_SHARE = 0.5
 """Share of the idle timeout after which a flow's request doesn't wait. What goes
 wrong without: the target closes the flow as idle while its request waits here."""
 
-HALF_SPAN = SEQUENCE_SPAN // 2
+HALF_SEQUENCE_SPAN = SEQUENCE_SPAN // 2
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
     @property
     def until(self) -> float:
         """When it is let through, whether a slot is free or not."""
-        return self.begun + min(HOLD_GOALS * self.urgency.goal, HOLD_LONGEST)
+        return self.begun + min(MAX_HOLD_GOALS * self.urgency.goal, MAX_HOLD_SECONDS)
 
     @property
     def is_whole(self) -> bool:
@@ -70,19 +70,21 @@
         What goes wrong without: a slot is kept for a request that the target
         can't begin, until its client has repeated what got lost.
         """
-        return self.flow.asked_to is None or self.flow.asked_to in self.packets
+        return (
+            self.flow.received_until is None or self.flow.received_until in self.packets
+        )
 
     def in_order(self) -> list[Packet]:
         """Return its packets in the order of their numbers, also past the wrap."""
-        middle = self.flow.asked_to
+        middle = self.flow.received_until
         if middle is None:
             middle = next(iter(self.packets))
-        start = middle - HALF_SPAN
+        start = middle - HALF_SEQUENCE_SPAN
         numbers = sorted(self.packets, key=lambda n: (n - start) % SEQUENCE_SPAN)
         return [self.packets[number] for number in numbers]
 
 
-class Queue:
+class RequestQueue:
     """The requests of open flows that wait at one agent.
 
     Parameters
@@ -113,10 +115,10 @@
         self._membership = membership
         self._requests = requests
         self._by_flow: dict[bytes, HeldRequest] = {}
-        self._turns = Turns()
-        self._on = False
-        self._on_for: Routes | None = None
-        self._on_service = ""
+        self._turns = Scheduler()
+        self._is_enabled = False
+        self._enabled_for: Routes | None = None
+        self._enabled_service = ""
 
     def __len__(self) -> int:
         return len(self._by_flow)
@@ -134,14 +136,14 @@
         that were noted before it was last off are forgotten then.
         """
         node, service = self._node, self._target.service
-        if node.routes is not self._on_for or service != self._on_service:
-            self._on_for, self._on_service = node.routes, service
+        if node.routes is not self._enabled_for or service != self._enabled_service:
+            self._enabled_for, self._enabled_service = node.routes, service
             wanted = node.features.request_order
-            was_on = self._on
-            self._on = node.features.is_on(wanted, node.routes, service)
-            if self._on and not was_on:
+            was_on = self._is_enabled
+            self._is_enabled = node.features.is_on(wanted, node.routes, service)
+            if self._is_enabled and not was_on:
                 self._flows.forget_numbers()
-        return self._on
+        return self._is_enabled
 
     # Packets of clients
 
@@ -155,10 +157,10 @@
             self._hold(now, flow, packet)
         elif self._is_repeated(flow, packet):
             # No new work: the target only acknowledges it once more.
-            self._target.given(now)
+            self._target.note_given(now)
             self._node.links.to_target(packet.raw)
         else:
-            self._give(now, flow, packet)
+            self._forward(now, flow, packet)
 
     def _must_wait(self, now: float, flow: Flow, packet: Packet) -> bool:
         """Tell whether a packet begins a request that the target can't work on.
@@ -168,20 +170,26 @@
         """
         if not packet.length or packet.flags & (Flag.RESET | Flag.CLOSING):
             return False
-        if flow.standing is not Standing.OPEN or flow.asked_at is not None:
+        if flow.state is not FlowState.OPEN or flow.requested_at is not None:
             return False
-        if self._is_repeated(flow, packet) or self.has_room or not self._may_hold(now):
+        if (
+            self._is_repeated(flow, packet)
+            or self.has_capacity
+            or not self._may_hold(now)
+        ):
             return False
         idle = self._node.routes.idle_timeout
-        return now - flow.seen < min(IDLE_SHARE * idle, idle - HOLD_LONGEST)
+        return now - flow.last_seen < min(
+            MAX_IDLE_SHARE * idle, idle - MAX_HOLD_SECONDS
+        )
 
     @property
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether the target may get another request.
 
         Openings that were offered don't count: they use no slot yet.
         """
-        return self._flows.working < self._target.usable_slots + REQUESTS_EXTRA
+        return self._flows.working < self._target.usable_slots + EXTRA_REQUESTS
 
     def _may_hold(self, now: float) -> bool:
         """Tell whether the target is known to work and stays.
@@ -195,9 +203,13 @@
 
     def _is_repeated(self, flow: Flow, packet: Packet) -> bool:
         """Tell whether the target has got all data of a packet, and answered it."""
-        if flow.asked_at is not None or flow.asked_to is None or not packet.length:
+        if (
+            flow.requested_at is not None
+            or flow.received_until is None
+            or not packet.length
+        ):
             return False
-        return not _is_after(packet.sequence + packet.length, flow.asked_to)
+        return not _is_after(packet.sequence + packet.length, flow.received_until)
 
     def _hold(self, now: float, flow: Flow, packet: Packet) -> None:
         route = self._node.routes.by_address.get(route_key(flow.key))
@@ -211,7 +223,7 @@
             working=self._flows.working,
             held=len(self._by_flow),
         )
-        if len(self._by_flow) > HELD_MOST:
+        if len(self._by_flow) > MAX_HELD_REQUESTS:
             self._let_through(now, next(iter(self._by_flow.values())), "many")
 
     def _joins(self, now: float, held: HeldRequest, flow: Flow, packet: Packet) -> bool:
@@ -237,22 +249,22 @@
             # The later copy tells more of what its client has got.
             self._node.log.count("packets.repeated_while_held")
         held.packets[packet.sequence] = packet
-        if len(held.packets) >= PACKETS_MOST:
+        if len(held.packets) >= MAX_HELD_PACKETS:
             self._let_through(now, held, "many")
-        elif held.is_whole and self.has_room:
+        elif held.is_whole and self.has_capacity:
             self._release(now, held)
         return True
 
-    def _give(
+    def _forward(
         self, now: float, flow: Flow, packet: Packet, waited: float = 0.0
     ) -> None:
         if packet.length:
             self._requests.begun(now, flow, packet, waited)
-            if self._on:
+            if self._is_enabled:
                 self._flows.began(flow)
                 end = (packet.sequence + packet.length) % SEQUENCE_SPAN
-                if flow.asked_to is None or _is_after(end, flow.asked_to):
-                    flow.asked_to = end
+                if flow.received_until is None or _is_after(end, flow.received_until):
+                    flow.received_until = end
         self._node.links.to_target(packet.raw)
 
     # Packets of the target
@@ -267,9 +279,9 @@
         if not self.is_on or not packet.length:
             return False
         end = (packet.sequence + packet.length) % SEQUENCE_SPAN
-        if flow.answered_to is not None and not _is_after(end, flow.answered_to):
+        if flow.sent_until is not None and not _is_after(end, flow.sent_until):
             return True
-        flow.answered_to = end
+        flow.sent_until = end
         return False
 
     def acknowledged(self, flow: Flow, packet: Packet) -> None:
@@ -281,8 +293,10 @@
         """
         if not packet.length or not packet.flags & Flag.ACKNOWLEDGES:
             return
-        if flow.asked_to is None or _is_after(packet.acknowledged, flow.asked_to):
-            flow.asked_to = packet.acknowledged
+        if flow.received_until is None or _is_after(
+            packet.acknowledged, flow.received_until
+        ):
+            flow.received_until = packet.acknowledged
         held = self._by_flow.get(flow.key)
         if held is None:
             return
@@ -300,10 +314,10 @@
 
     def admit(self, now: float) -> None:
         """Give requests that wait to the target while it has room."""
-        while self._by_flow and self.has_room:
-            usual = self._target.answer_time
+        while self._by_flow and self.has_capacity:
+            answer_time = self._target.answer_time
             held_by_rank = {
-                rank(now, usual, held.begun, held.urgency): held
+                rank(now, answer_time, held.begun, held.urgency): held
                 for held in self._by_flow.values()
                 if held.is_whole
             }
@@ -324,7 +338,7 @@
         name = route.name if route else "none"
         self._node.log.observe("held_seconds", waited, route=name)
         for packet in held.in_order():
-            self._give(now, held.flow, packet, waited)
+            self._forward(now, held.flow, packet, waited)
 
     def tick(self, now: float) -> None:
         """Let through what has waited long enough, or waits in vain."""
@@ -351,4 +365,4 @@
 
 
 def _is_after(number: int, other: int) -> bool:
-    return 0 < (number - other) % SEQUENCE_SPAN < HALF_SPAN
+    return 0 < (number - other) % SEQUENCE_SPAN < HALF_SEQUENCE_SPAN
--- a/packages/zinniahook-core/src/zinniahook_core/packets/registry.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/registry.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from . import tunnel
-from .flows import Flow, Flows, Standing
+from .flows import Flow, Flows, FlowState
 from .homes import Home
 from .membership import Membership
 from .node import Node
@@ -109,7 +109,7 @@
         """
         ended_by_home: dict[str, list[Ended]] = {}
         for flow in flows:
-            if flow.first is None or flow.standing is Standing.OFFERED:
+            if flow.target_isn is None or flow.state is FlowState.OFFERED:
                 continue
             ended = Ended(flow.key, flow.acknowledged)
             for home in dict.fromkeys((*flow.homes, self._node.address)):
--- a/packages/zinniahook-core/src/zinniahook_core/packets/rejections.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/rejections.py
@@ -14,23 +14,23 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from .allocation import MAX_PRIORITY, ServiceLoad, TrafficClass, all_wait
 from .member import Member
 from .models import Packet, Urgency
-from .room import PRIORITY_MOST, Cell, Room, all_wait
 from .tunnel import Head
 
 __all__ = ["HeldOpening", "Rejections"]
 
-HOLD_LONGEST = 0.1
+MAX_HOLD_SECONDS = 0.1
 """Seconds that an opening is held at most. With the wait for loads, a tick and
 the ways it is decided before 0.2 s, when the client sends a copy: whoever gets
 that one can't know any more that the opening was placed nowhere."""
 
-LATE_LONGEST = 0.05
+MAX_LATENESS_SECONDS = 0.05
 """Seconds after its time, a tick, for which a held opening may still be rejected.
 What goes wrong without: the process stood still, and a copy was placed elsewhere."""
 
-LIMIT = 1024
+MAX_HELD_OPENINGS = 1024
 """Openings held at most; further ones are placed at once."""
 
 
@@ -45,7 +45,7 @@
     until: float
     draw: float
     goal: float
-    cell: Cell
+    traffic_class: TrafficClass
     head: Head
     packet: Packet
 
@@ -55,7 +55,7 @@
 
     Parameters
     ----------
-    room : Room
+    load : ServiceLoad
         What is believed of the service's room.
     rng : random.Random
         Source of chance.
@@ -65,11 +65,11 @@
 
     def __init__(
         self,
-        room: Room,
+        load: ServiceLoad,
         rng: random.Random,
         takers: Callable[[float, Head, Packet], list[Member]],
     ) -> None:
-        self._room = room
+        self._load = load
         self._rng = rng
         self._takers = takers
         self._by_flow: dict[bytes, HeldOpening] = {}
@@ -82,12 +82,12 @@
 
     def hold(self, now: float, head: Head, packet: Packet, urgency: Urgency) -> bool:
         """Hold an opening that can't be served, if so; return whether it did."""
-        if self._room.since is None or len(self._by_flow) >= LIMIT:
+        if self._load.since is None or len(self._by_flow) >= MAX_HELD_OPENINGS:
             return False
-        cell = Cell(head.zone, min(PRIORITY_MOST, urgency.priority))
+        traffic_class = TrafficClass(head.zone, min(MAX_PRIORITY, urgency.priority))
         draw = self._rng.random()
-        until = now + HOLD_LONGEST * self._rng.random()
-        held = HeldOpening(until, draw, urgency.goal, cell, head, packet)
+        until = now + MAX_HOLD_SECONDS * self._rng.random()
+        held = HeldOpening(until, draw, urgency.goal, traffic_class, head, packet)
         if not self._is_excess(now, held):
             return False
         self._by_flow[packet.flow] = held
@@ -103,12 +103,15 @@
         for held in due:
             del self._by_flow[held.packet.flow]
         return [
-            (held, now - held.until <= LATE_LONGEST and self._is_excess(now, held))
+            (
+                held,
+                now - held.until <= MAX_LATENESS_SECONDS and self._is_excess(now, held),
+            )
             for held in due
         ]
 
     def _is_excess(self, now: float, held: HeldOpening) -> bool:
-        if held.draw >= self._room.excess(now, held.cell, held.goal):
+        if held.draw >= self._load.excess(now, held.traffic_class, held.goal):
             return False
         takers = self._takers(now, held.head, held.packet)
         return bool(takers) and all_wait(now, takers)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/reports.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/reports.py
@@ -8,7 +8,7 @@
 
 __all__ = [
     "HealthReport",
-    "KindRow",
+    "RouteRow",
     "decode_cold",
     "decode_health",
     "encode_cold",
@@ -17,26 +17,26 @@
 
 HEAD = struct.Struct("!BB")
 ROW = struct.Struct("!HBBB")
-BYTE = 255
-COUNT_UNITS = 6
-TIME_LEAST = 0.0001
-TIME_UNITS = 16
+MAX_BYTE = 255
+COUNT_SCALE = 6
+MIN_TIME_SECONDS = 0.0001
+TIME_STEPS_PER_DOUBLING = 16
 """Steps of a told time for each doubling."""
 
-COLD_UNITS = 25
+COLD_SCALE = 25
 
 
-class KindRow(NamedTuple):
+class RouteRow(NamedTuple):
     """The answers of one kind of route at one target.
 
-    ``kind`` is the tag of the route's address, ``usual`` the mean of the times of
+    ``tag`` is the tag of the route's address, ``answer_time`` the mean of the times of
     good answers, 0 if there were none.
     """
 
-    kind: int
+    tag: int
     total: float
     bad: float
-    usual: float
+    answer_time: float
 
 
 class HealthReport(NamedTuple):
@@ -49,18 +49,18 @@
 
     trust: float
     failing: float
-    rows: tuple[KindRow, ...] = ()
+    rows: tuple[RouteRow, ...] = ()
 
 
 def encode_health(report: HealthReport) -> bytes:
     """Return a report as a section: 2 bytes, and 5 for each kind of route."""
-    trust, failing = (round(min(1.0, s) * BYTE) for s in report[:2])
+    trust, failing = (round(min(1.0, s) * MAX_BYTE) for s in report[:2])
     return HEAD.pack(trust, failing) + b"".join(
         ROW.pack(
-            row.kind,
-            min(BYTE, round(row.total * COUNT_UNITS)),
-            min(BYTE, round(row.bad * COUNT_UNITS)),
-            _packed_time(row.usual),
+            row.tag,
+            min(MAX_BYTE, round(row.total * COUNT_SCALE)),
+            min(MAX_BYTE, round(row.bad * COUNT_SCALE)),
+            _packed_time(row.answer_time),
         )
         for row in report.rows
     )
@@ -72,28 +72,35 @@
         return None
     trust, failing = HEAD.unpack_from(body)
     rows = tuple(
-        KindRow(kind, total / COUNT_UNITS, bad / COUNT_UNITS, _time(packed))
-        for kind, total, bad, packed in ROW.iter_unpack(body[HEAD.size :])
+        RouteRow(tag, total / COUNT_SCALE, bad / COUNT_SCALE, _time(packed))
+        for tag, total, bad, packed in ROW.iter_unpack(body[HEAD.size :])
     )
-    return HealthReport(trust / BYTE, failing / BYTE, rows)
+    return HealthReport(trust / MAX_BYTE, failing / MAX_BYTE, rows)
 
 
 def encode_cold(factor: float) -> bytes:
     """Return how much longer a target takes while it is cold: 1 byte."""
-    return bytes((min(BYTE, round(factor * COLD_UNITS)),))
+    return bytes((min(MAX_BYTE, round(factor * COLD_SCALE)),))
 
 
 def decode_cold(body: bytes) -> float | None:
     """Read how much longer it takes; None if it is malformed."""
-    return body[0] / COLD_UNITS if len(body) == 1 and body[0] else None
+    return body[0] / COLD_SCALE if len(body) == 1 and body[0] else None
 
 
 def _packed_time(seconds: float) -> int:
     if seconds <= 0:
         return 0
-    steps = round(TIME_UNITS * math.log2(max(seconds, TIME_LEAST) / TIME_LEAST))
-    return int(min(BYTE, 1 + steps))
+    steps = round(
+        TIME_STEPS_PER_DOUBLING
+        * math.log2(max(seconds, MIN_TIME_SECONDS) / MIN_TIME_SECONDS)
+    )
+    return int(min(MAX_BYTE, 1 + steps))
 
 
 def _time(packed: int) -> float:
-    return float(TIME_LEAST * 2.0 ** ((packed - 1) / TIME_UNITS)) if packed else 0.0
+    return (
+        float(MIN_TIME_SECONDS * 2.0 ** ((packed - 1) / TIME_STEPS_PER_DOUBLING))
+        if packed
+        else 0.0
+    )
--- a/packages/zinniahook-core/src/zinniahook_core/packets/requests.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/requests.py
@@ -5,7 +5,7 @@
 from .flows import Flow, Flows
 from .models import Packet, Urgency, route_key
 from .node import Node
-from .outcomes import kind_of
+from .outcomes import route_tag_of
 from .target import Target
 
 __all__ = ["Requests"]
@@ -36,10 +36,10 @@
 
         ``waited`` is for how many seconds it waited here for a slot.
         """
-        self._target.given(now)
+        self._target.note_given(now)
         self._flows.asked(now, flow)
-        if not flow.watched:
-            self._watch(now, flow)
+        if not flow.awaits_answer:
+            self._measure(now, flow)
         request = self._node.codec.request(packet.raw)
         if request and request != flow.request:
             flow.request = request
@@ -48,27 +48,27 @@
                 "request.begun",
                 request=request,
                 flow=flow.key,
-                opening=flow.client_first,
+                opening=flow.client_isn,
                 busy=self._flows.busy,
                 version=self._node.routes.version,
                 **more,
             )
 
-    def _watch(self, now: float, flow: Flow) -> None:
+    def _measure(self, now: float, flow: Flow) -> None:
         """Note what a request that begins meets at the target.
 
         It begins with its first data: an acknowledgement alone has opened the
         flow before, and the work was counted with the opening.
         """
-        flow.watched = True
-        flow.level = max(1, self._flows.busy)
-        flow.begun_at = now
+        flow.awaits_answer = True
+        flow.concurrency = max(1, self._flows.busy)
+        flow.request_begun_at = now
         if self._target.health is not None:
             route = self._node.routes.by_address.get(route_key(flow.key))
             goal = route.urgency.goal if route else Urgency().goal
-            load = flow.level / max(1, self._target.usable_slots)
-            kind = kind_of(flow.key)
-            self._target.health.begun(now, flow.key, kind, goal, load)
+            load = flow.concurrency / max(1, self._target.usable_slots)
+            tag = route_tag_of(flow.key)
+            self._target.health.begun(now, flow.key, tag, goal, load)
 
     def answered(self, now: float, flow: Flow, packet: Packet) -> bool:
         """Note that the target has begun its answer; return if one was due.
@@ -78,7 +78,7 @@
         """
         took = self._flows.answered(now, flow)
         if self._target.health is not None:
-            self._judge(now, flow, packet)
+            self._record_outcome(now, flow, packet)
         elif took is not None:
             self._served(now, flow, took)
         if took is None:
@@ -86,10 +86,10 @@
         route = self._node.routes.by_address.get(route_key(flow.key))
         name = route.name if route else "none"
         self._node.log.observe("answer_seconds", took, route=name)
-        self._tell("request.answered", flow, took)
+        self._log_end("request.answered", flow, took)
         return True
 
-    def _judge(self, now: float, flow: Flow, packet: Packet) -> None:
+    def _record_outcome(self, now: float, flow: Flow, packet: Packet) -> None:
         """Take how an answer begins, which may come after its end.
 
         What goes wrong if the end alone counts as an answer: a target sends a
@@ -101,17 +101,17 @@
             return
         answer = self._node.codec.answer(packet.raw)
         if health.answered(now, flow.key, answer):
-            self._served(now, flow, now - flow.begun_at)
+            self._served(now, flow, now - flow.request_begun_at)
 
     def _served(self, now: float, flow: Flow, took: float) -> None:
         """Learn from a request that the target has done."""
         self._target.answered(took)
         if self._target.capacity is not None:
-            kind, cold = kind_of(flow.key), self._target.may_be_cold(now)
-            seconds = now - flow.begun_at
-            self._target.capacity.answered(now, kind, seconds, flow.level, cold)
+            tag, cold = route_tag_of(flow.key), self._target.may_be_cold(now)
+            seconds = now - flow.request_begun_at
+            self._target.capacity.answered(now, tag, seconds, flow.concurrency, cold)
 
-    def broken_off(self, now: float, flow: Flow) -> bool:
+    def aborted(self, now: float, flow: Flow) -> bool:
         """Note that the target broke a request off; return if one was in progress.
 
         What goes wrong if it counts as an answer: a target that has crashed
@@ -122,11 +122,11 @@
         if took is None:
             return False
         if self._target.health is not None:
-            self._target.health.broken_off(now, flow.key)
-        self._tell("request.reset", flow, took)
+            self._target.health.aborted(now, flow.key)
+        self._log_end("request.reset", flow, took)
         return True
 
-    def _tell(self, event: str, flow: Flow, took: float) -> None:
+    def _log_end(self, event: str, flow: Flow, took: float) -> None:
         self._node.log.event(
             event,
             request=flow.request,
--- a/packages/zinniahook-core/src/zinniahook_core/packets/endings.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/resets.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
-from .flows import Flow, Flows, Standing
+from .flows import Flow, Flows, FlowState
 from .models import Packet
 from .node import Node
 from .target import Target
 
-__all__ = ["Endings"]
+__all__ = ["Resets"]
 
-ENDING = frozenset((Standing.OPEN, Standing.CLOSED))
+ENDING_STATES = frozenset((FlowState.OPEN, FlowState.CLOSED))
 """Flows that end together with their target; a client that has closed its own
 hears nothing."""
 
 
-class Endings:
+class Resets:
     """The resets of one agent.
 
     Parameters
@@ -42,9 +42,9 @@
         ended = [
             flow
             for flow in self._flows.by_key.values()
-            if flow.standing in ENDING and flow.since <= until
+            if flow.state in ENDING_STATES and flow.accepted_at <= until
         ]
-        opened = [flow for flow in ended if flow.standing is Standing.OPEN]
+        opened = [flow for flow in ended if flow.state is FlowState.OPEN]
         for flow in ended:
             self._flows.drop(flow.key)
         if opened:
@@ -65,7 +65,7 @@
         instead of waiting until its time is over. Of one that the target had
         closed it may have had everything.
         """
-        if flow.standing is Standing.CLOSED and not packet.is_resettable:
+        if flow.state is FlowState.CLOSED and not packet.is_resettable:
             return
         self._node.log.event(
             "reset.lost_by_target",
--- a/packages/zinniahook-core/src/zinniahook_core/packets/turns.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/scheduling.py
@@ -4,8 +4,8 @@
 priority. Those go first that can still be answered within their route's goal: by
 the route's priority, and of equal ones whose time is over first. What can't be in
 time any more takes the slots that nobody else wants. A kind that others go before
-gets one slot in `TURN` while it can be in time, so that a flood of urgent requests
-leaves the rest a share.
+gets one slot in `GUARANTEED_SLOT_INTERVAL` while it can be in time, so that a
+flood of urgent requests leaves the rest a share.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 from .models import Urgency
 
-__all__ = ["Rank", "Turns", "rank"]
+__all__ = ["Rank", "Scheduler", "rank"]
 
-TURN = 4
+GUARANTEED_SLOT_INTERVAL = 4
 """Slots of which a kind that waits gets one at least; the more urgent kinds keep
 the others."""
 
@@ -31,16 +31,16 @@
     begun: float
 
 
-def rank(now: float, usual: float, begun: float, urgency: Urgency) -> Rank:
+def rank(now: float, answer_time: float, begun: float, urgency: Urgency) -> Rank:
     """Return the rank of what began at a time.
 
-    ``usual`` is how many seconds an answer takes lately.
+    ``answer_time`` is how many seconds an answer takes lately.
     """
     deadline = begun + urgency.goal
-    return Rank(now + usual >= deadline, urgency.priority, deadline, begun)
+    return Rank(now + answer_time >= deadline, urgency.priority, deadline, begun)
 
 
-class Turns:
+class Scheduler:
     """Counts how often each kind was passed over in favour of more urgent ones."""
 
     def __init__(self) -> None:
@@ -53,7 +53,11 @@
             return None
         passed = self._passed_by_priority
         in_time = [each for each in waiting if not each.is_late]
-        due = [r for r in in_time if passed.get(r.priority, 0) >= TURN - 1]
+        due = [
+            r
+            for r in in_time
+            if passed.get(r.priority, 0) >= GUARANTEED_SLOT_INTERVAL - 1
+        ]
         chosen = (due or waiting)[0]
         passed.pop(chosen.priority, None)
         for priority in {r.priority for r in in_time if r.priority > chosen.priority}:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/target.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/target.py
@@ -11,30 +11,30 @@
 
 __all__ = ["Target"]
 
-ANSWER_TIMEOUT = 0.1
+ANSWER_TIMEOUT_SECONDS = 0.1
 """Seconds for the answer to an opening. It comes from the same machine in
 about 0.3 ms; a client repeats the opening after 0.2 s."""
 
-UNANSWERED_PACKETS = 4
-DEAD_AFTER = 0.6
+MIN_UNANSWERED_PACKETS = 4
+DEAD_SECONDS = 0.6
 """Packets in a row, and seconds since the first of them, without any answer
 after which the target is dead. One packet in a hundred may get lost, and a
 client sends again after 0.2 s: a live target misses four once in 10^8."""
 
-BEATS_MISSED = 3.0
+MISSED_HEARTBEATS = 3.0
 """Heartbeats that may be missing before the target counts as down."""
 
-BEAT_DELAY = 1.0
+HEARTBEAT_DELAY_SECONDS = 1.0
 """Seconds that a heartbeat may be under way; its sender gives up then."""
 
-REFUSED_FOR = 0.3
+REFUSAL_SECONDS = 0.3
 """Seconds for which a target that returned an opening counts as busier than it
 looks. One that has crashed returns all of them and works on nothing."""
 
-FIRST_NUMBER = 1
+FIRST_HEARTBEAT_NUMBER = 1
 """Number of a target's first heartbeat."""
 
-FIRST_BEAT_WITHIN = 1.5
+FIRST_HEARTBEAT_INTERVALS = 1.5
 """Intervals within which a target that has started sends its first heartbeat."""
 
 ANSWER_WEIGHT = 0.1
@@ -67,21 +67,21 @@
         self.health: Health | None = None
         self.capacity: Capacity | None = None
         self._refused_at = float("-inf")
-        self._beat_interval = beat_interval
+        self._heartbeat_interval = beat_interval
         self._incarnations = Incarnations(beat_interval)
         self._known_since = float("-inf")
         self._seen_from_start = False
         self._since = float("-inf")
-        self._answers = False
+        self._has_answered = False
         self._warm_at = 0.0
         self._doubted_at = float("-inf")
-        self._beat_at = float("-inf")
+        self._heartbeat_at = float("-inf")
         self._heard_at = float("-inf")
         self._silent_since: float | None = None
-        self._given = 0
-        self._given_since = 0.0
+        self._unanswered_count = 0
+        self._unanswered_since = 0.0
 
-    def watch(self, features: Features, log: Log, flows: Flows) -> None:
+    def enable_measurement(self, features: Features, log: Log, flows: Flows) -> None:
         """Judge and measure it by its answers, where that is switched on."""
         if features.target_health:
             self.health = Health(log, flows)
@@ -91,9 +91,9 @@
     def start(self, now: float) -> None:
         """Note when the agent began to look at the target."""
         self._since = now
-        self.doubt(now)
+        self.suspect_cold(now)
 
-    def beat(self, now: float, beat: Beat) -> bool:
+    def heartbeat(self, now: float, beat: Beat) -> bool:
         """Take a heartbeat; return whether a new target has started.
 
         A late one of an earlier target, or one that was overtaken, changes
@@ -112,7 +112,7 @@
         self.gone = False
         self._is_absent = False
         self._warm_at = now + beat.warming
-        self._beat_at = now
+        self._heartbeat_at = now
         self.heard(now)
         return replaced
 
@@ -124,9 +124,11 @@
         earlier target comes first, the next one seems to be of a new target, and
         the agent denies the flows that it holds.
         """
-        seen_running = self._beat_at - self._known_since > BEAT_DELAY / 2
+        seen_running = (
+            self._heartbeat_at - self._known_since > HEARTBEAT_DELAY_SECONDS / 2
+        )
         if self.name:
-            self.former_until = self._beat_at - BEAT_DELAY
+            self.former_until = self._heartbeat_at - HEARTBEAT_DELAY_SECONDS
             self._forget_answers()
         if (self.name and seen_running) or (
             not self.name and self._is_first(now, beat)
@@ -154,8 +156,10 @@
         first heartbeat, its agent restarts, hears number 1, and denies the
         flows that it didn't see.
         """
-        long_enough = now - self._since > FIRST_BEAT_WITHIN * self._beat_interval
-        return beat.number <= FIRST_NUMBER and long_enough
+        long_enough = (
+            now - self._since > FIRST_HEARTBEAT_INTERVALS * self._heartbeat_interval
+        )
+        return beat.number <= FIRST_HEARTBEAT_NUMBER and long_enough
 
     @property
     def may_be_older(self) -> bool:
@@ -166,7 +170,7 @@
         """
         return not self._seen_from_start
 
-    def left(self, target: str, born: int | None = None) -> None:
+    def note_ended(self, target: str, born: int | None = None) -> None:
         """Note that the target has said that it ends; an earlier one may not."""
         if self._incarnations.is_former(target, born):
             return
@@ -177,16 +181,16 @@
     @property
     def is_known(self) -> bool:
         """Whether the target has told of itself, or sent anything."""
-        return bool(self.name) or self._answers
+        return bool(self.name) or self._has_answered
 
-    def absent(self) -> None:
+    def note_absent(self) -> None:
         """Note that no process runs where the target should."""
         if not self.is_known:
             self.leaving = True
             self.gone = True
             self._is_absent = True
 
-    def appeared(self) -> None:
+    def note_appeared(self) -> None:
         """Note that a process runs where none did; it hasn't told of itself yet."""
         if self._is_absent:
             self.leaving = False
@@ -197,12 +201,12 @@
         """Note a sign of life."""
         self._heard_at = now
         self._silent_since = None
-        self._given = 0
+        self._unanswered_count = 0
 
-    def spoke(self, now: float) -> None:
+    def note_working(self, now: float) -> None:
         """Note an answer to an opening, or data: only a target that works sends it."""
-        self._answers = True
-        self.appeared()
+        self._has_answered = True
+        self.note_appeared()
         self.heard(now)
 
     def heard_since(self, moment: float) -> bool:
@@ -212,23 +216,23 @@
     def refused(self, now: float) -> None:
         """Note that the target returned an opening; it may have just started."""
         self._refused_at = now
-        self.doubt(now)
+        self.suspect_cold(now)
 
-    def refuses(self, now: float) -> bool:
+    def refused_recently(self, now: float) -> bool:
         """Tell whether the target returned an opening lately.
 
         One that has done nothing else yet may be no target at all, and goes on
         refusing until a heartbeat tells otherwise.
         """
-        if not self.name and not self._answers:
+        if not self.name and not self._has_answered:
             return self._refused_at > float("-inf")
-        return now - self._refused_at < REFUSED_FOR
+        return now - self._refused_at < REFUSAL_SECONDS
 
-    def given(self, now: float) -> None:
+    def note_given(self, now: float) -> None:
         """Note that the target got a packet that it must answer."""
-        if not self._given:
-            self._given_since = now
-        self._given += 1
+        if not self._unanswered_count:
+            self._unanswered_since = now
+        self._unanswered_count += 1
 
     def is_dead(self, now: float) -> bool:
         """Tell whether the target certainly doesn't run.
@@ -237,14 +241,14 @@
         about a millisecond, however busy it is. What goes wrong without: the
         clients of its flows wait until their time is over.
         """
-        silent = self._given >= UNANSWERED_PACKETS
-        return silent and now - self._given_since >= DEAD_AFTER
+        silent = self._unanswered_count >= MIN_UNANSWERED_PACKETS
+        return silent and now - self._unanswered_since >= DEAD_SECONDS
 
     def unanswered(self, now: float, since: float) -> None:
         """Note that an opening given to the target at ``since`` has no answer."""
         if self._heard_at < since and self._silent_since is None:
             self._silent_since = now
-            self.doubt(now)
+            self.suspect_cold(now)
 
     def answered(self, seconds: float) -> None:
         """Take the time that a request took until its answer began."""
@@ -256,7 +260,7 @@
         """Return the seconds for which the target stays slow."""
         return max(0.0, self._warm_at - now)
 
-    def doubt(self, now: float) -> None:
+    def suspect_cold(self, now: float) -> None:
         """Note that the target may have become cold without telling yet."""
         self._doubted_at = now
 
@@ -266,7 +270,7 @@
         What goes wrong with its word alone: it has just started, or its data
         centre is taken back, and until its next heartbeat it passes for warm.
         """
-        return self._beat_at <= self._doubted_at or self.warming(now) > 0
+        return self._heartbeat_at <= self._doubted_at or self.warming(now) > 0
 
     def state(self, now: float) -> State:
         """Return what others should think of the target."""
@@ -275,7 +279,7 @@
         if self._silent_since is not None or self.is_dead(now):
             return State.DOWN
         if not self.name:
-            return State.ANSWERING if self._answers else State.STARTING
-        if now - self._heard_at > BEATS_MISSED * self._beat_interval:
+            return State.ANSWERING if self._has_answered else State.STARTING
+        if now - self._heard_at > MISSED_HEARTBEATS * self._heartbeat_interval:
             return State.DOWN
         return State.READY
--- a/packages/zinniahook-core/src/zinniahook_core/packets/trials.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/trials.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from .flows import Flow, Flows, Standing
+from .flows import Flow, Flows, FlowState
 from .models import Links, Packet
 from .searches import Taken
 from .target import Target
@@ -18,27 +18,27 @@
 
 __all__ = ["Trials"]
 
-TRIAL_TIME = 0.05
+TRIAL_SECONDS = 0.05
 """Seconds in which a target returns a packet that isn't its own; it takes
 under 1 ms. If the target has sent anything since, the flow counts as owned."""
 
-TRIAL_LONGEST = 1.5
+MAX_TRIAL_SECONDS = 1.5
 """Seconds after which a trial ends without a verdict: longer than a heartbeat,
 which a target that lives sends even if nobody asks it."""
 
-REPEATED_WITHIN = 0.4
+MAX_REPEAT_SECONDS = 0.4
 """Seconds after which a target doesn't get a packet again: its client has repeated it
 meanwhile, or has its answer, and the target may be another one that has just started.
 Who still searches asks again."""
 
-DENIAL_KEPT = 4.0
+DENIAL_SECONDS = 4.0
 """Seconds for which a returned flow isn't tried again: twice the time after
 which a flow counts as broken if only other targets get its packets."""
 
-DENIALS_LIMIT = 16384
-CHECKED_PER_TICK = 256
+MAX_DENIALS = 16384
+MAX_CHECKS_PER_TICK = 256
 
-LONGEST_FLOW = 60.0
+MAX_FLOW_SECONDS = 60.0
 """Seconds after which no flow can be older than this process."""
 
 
@@ -49,7 +49,7 @@
     given_at: float
     raw: bytes
     repeated: bool = False
-    told: bool = False
+    asker_notified: bool = False
 
 
 class Trials:
@@ -100,12 +100,12 @@
         key = packet.flow
         known = self._flows.get(key)
         if known is not None:
-            return Taken.OPEN if known.standing is Standing.TRIED else Taken.NO
+            return Taken.OPEN if known.state is FlowState.TRIED else Taken.NO
         if not self._may_hold_unknown(now):
             return Taken.NO
         if now < self._denied_until.get(key, 0.0):
             return Taken.NO
-        flow = Flow(key, Standing.TRIED, now, head.entry, asker)
+        flow = Flow(key, FlowState.TRIED, now, head.entry, asker)
         flow.acknowledged = packet.acknowledged
         self._flows.add(flow)
         self._by_flow[key] = _Trial(now, now, packet.raw)
@@ -121,14 +121,14 @@
         """
         self._by_flow.pop(key, None)
         denied = self._denied_until
-        denied[key] = now + DENIAL_KEPT
-        while len(denied) > DENIALS_LIMIT:
+        denied[key] = now + DENIAL_SECONDS
+        while len(denied) > MAX_DENIALS:
             del denied[next(iter(denied))]
 
     def succeeded(self, now: float, flow: Flow) -> None:
         """Note that the target holds a flow."""
-        flow.standing = Standing.OPEN
-        flow.since = now
+        flow.state = FlowState.OPEN
+        flow.accepted_at = now
         self._by_flow.pop(flow.key, None)
         self._found(now, flow)
 
@@ -138,37 +138,37 @@
         What goes wrong if silence alone counts: the target is dead, its agent
         claims every flow it is asked for, and resets flows of others later.
         """
-        some = list(self._by_flow.items())[:CHECKED_PER_TICK]
-        self._tell_askers(now, some)
-        for key, trial in some:
-            if now - trial.given_at < TRIAL_TIME:
+        trials = list(self._by_flow.items())[:MAX_CHECKS_PER_TICK]
+        self._notify_askers(now, trials)
+        for key, trial in trials:
+            if now - trial.given_at < TRIAL_SECONDS:
                 continue
             flow = self._flows.get(key)
-            if flow is None or flow.standing is not Standing.TRIED:
+            if flow is None or flow.state is not FlowState.TRIED:
                 del self._by_flow[key]
             elif (
                 self._target.heard_since(trial.given_at)
-                and now - trial.given_at <= REPEATED_WITHIN
+                and now - trial.given_at <= MAX_REPEAT_SECONDS
             ):
-                self._judge(now, flow, trial)
-            elif now - trial.begun > TRIAL_LONGEST or self._target.heard_since(
+                self._decide(now, flow, trial)
+            elif now - trial.begun > MAX_TRIAL_SECONDS or self._target.heard_since(
                 trial.given_at
             ):
                 del self._by_flow[key]
                 self._flows.drop(key)
 
-    def _tell_askers(self, now: float, some: list[tuple[bytes, _Trial]]) -> None:
+    def _notify_askers(self, now: float, trials: list[tuple[bytes, _Trial]]) -> None:
         """Show who searches that this agent runs and has yet to answer."""
         askers: dict[str, None] = {}
-        for key, trial in some:
+        for key, trial in trials:
             flow = self._flows.get(key)
-            if not trial.told and flow is not None and flow.asker:
-                self._by_flow[key] = trial._replace(told=True)
+            if not trial.asker_notified and flow is not None and flow.asker:
+                self._by_flow[key] = trial._replace(asker_notified=True)
                 askers[flow.asker] = None
         for asker in askers:
             self._pending(now, asker)
 
-    def _judge(self, now: float, flow: Flow, trial: _Trial) -> None:
+    def _decide(self, now: float, flow: Flow, trial: _Trial) -> None:
         """Claim a flow whose packet a living target has kept twice.
 
         What goes wrong with once: the target was dead as it got the packet,
@@ -178,10 +178,12 @@
         if trial.repeated:
             self.succeeded(now, flow)
             return
-        self._by_flow[flow.key] = trial._replace(given_at=now, repeated=True, told=True)
+        self._by_flow[flow.key] = trial._replace(
+            given_at=now, repeated=True, asker_notified=True
+        )
         self._links.to_target(trial.raw)
 
     def _may_hold_unknown(self, now: float) -> bool:
-        if self._started is None or now - self._started > LONGEST_FLOW:
+        if self._started is None or now - self._started > MAX_FLOW_SECONDS:
             return False
         return self._target.may_be_older
--- a/packages/zinniahook-core/tests/health_fakes.py
+++ b/packages/zinniahook-core/tests/health_fakes.py
@@ -10,7 +10,7 @@
 import random
 
 from zinniahook_core.packets import Answer, State, placement
-from zinniahook_core.packets.flows import Flow, Flows, Standing
+from zinniahook_core.packets.flows import Flow, Flows, FlowState
 from zinniahook_core.packets.health import Health, Phase
 from zinniahook_core.packets.member import Member
 from zinniahook_core.packets.members import Roster
@@ -156,7 +156,7 @@
     def _ask(self, target, kind):
         self.asked += 1
         number = next(self._numbers)
-        flow = Flow(number.to_bytes(12, "big"), Standing.OPEN, self.now, "")
+        flow = Flow(number.to_bytes(12, "big"), FlowState.OPEN, self.now, "")
         target.flows.add(flow)
         target.flows.asked(self.now, flow)
         load = target.flows.busy / target.slots
@@ -177,7 +177,7 @@
             served = fate in ("", "slow")
             judged = "shares" in self.ways
             if fate == "reset":
-                health.broken_off(self.now, flow.key)
+                health.aborted(self.now, flow.key)
             elif fate in ("errors", "shed"):
                 kind_of = Answer.FAILED if fate == "errors" else Answer.REJECTED
                 health.answered(self.now, flow.key, kind_of)
--- a/packages/zinniahook-core/tests/test_packet_capacity.py
+++ b/packages/zinniahook-core/tests/test_packet_capacity.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from zinniahook_core.packets.capacity import LEAST, Capacity
+from zinniahook_core.packets.capacity import MIN_ANSWERS, Capacity
 from zinniahook_core.packets.member import Member
 from zinniahook_core.packets.placement import WARMING_FACTOR, cost
 
@@ -84,7 +84,7 @@
 
     def test_few_counts_change_nothing(self):
         queue = Queue(1, 1)
-        queue.play(LEAST * WORK / 2, 4)
+        queue.play(MIN_ANSWERS * WORK / 2, 4)
         assert queue.capacity.slots(4) == 4
 
     def test_one_that_is_never_alone_is_believed(self):
--- a/packages/zinniahook-core/tests/test_packet_health.py
+++ b/packages/zinniahook-core/tests/test_packet_health.py
@@ -9,14 +9,14 @@
 import pytest
 from health_fakes import GOAL, Lines, Service
 from zinniahook_core.packets import Answer, placement
-from zinniahook_core.packets.flows import Flow, Flows, Standing
-from zinniahook_core.packets.health import ASIDE_LONGEST, Health, Phase
+from zinniahook_core.packets.flows import Flow, Flows, FlowState
+from zinniahook_core.packets.health import MAX_EJECTION_SECONDS, Health, Phase
 from zinniahook_core.packets.member import Member
 from zinniahook_core.packets.members import Roster
 from zinniahook_core.packets.outcomes import lower_bound
 from zinniahook_core.packets.reports import (
     HealthReport,
-    KindRow,
+    RouteRow,
     decode_health,
     encode_health,
 )
@@ -66,7 +66,9 @@
             assert service.time_until(target, Phase.ASIDE, 6) < 6
             assert service.aside() == [target]
             target.share = 0.0
-            assert service.time_until(target, Phase.FULL, 60) < ASIDE_LONGEST + 10
+            assert (
+                service.time_until(target, Phase.FULL, 60) < MAX_EJECTION_SECONDS + 10
+            )
 
     @pytest.mark.parametrize("fault", ["hang", "mute"])
     def test_one_that_answers_nothing_costs_no_more_than_before(self, fault):
@@ -182,7 +184,7 @@
         health = Health(Lines(), flows)
         health.tick(0.0, Roster("floor"), "own")
         for number in range(10):
-            flow = Flow(number.to_bytes(12, "big"), Standing.OPEN, 0.0, "")
+            flow = Flow(number.to_bytes(12, "big"), FlowState.OPEN, 0.0, "")
             flows.asked(0.0, flows.add(flow))
             health.begun(0.0, flow.key, 1, GOAL, 1.0)
         health.tick(2.0, Roster("floor"), "own")
@@ -270,15 +272,15 @@
 
 class TestReports:
     def test_survive_the_wire(self):
-        rows = (KindRow(7, 40.0, 3.5, 0.05), KindRow(65535, 1.0, 0.0, 0.0))
+        rows = (RouteRow(7, 40.0, 3.5, 0.05), RouteRow(65535, 1.0, 0.0, 0.0))
         read = decode_health(encode_health(HealthReport(0.08, 0.45, rows)))
         assert read.trust == pytest.approx(0.08, abs=0.002)
         assert read.failing == pytest.approx(0.45, abs=0.002)
         for told, row in zip(read.rows, rows, strict=True):
-            assert told.kind == row.kind
+            assert told.tag == row.tag
             assert told.total == pytest.approx(row.total, abs=0.1)
             assert told.bad == pytest.approx(row.bad, abs=0.1)
-            assert told.usual == pytest.approx(row.usual, rel=0.03)
+            assert told.answer_time == pytest.approx(row.answer_time, rel=0.03)
 
     @pytest.mark.parametrize("body", [b"", b"x", b"abc", bytes(13)])
     def test_that_are_torn_are_passed_over(self, body):
@@ -305,13 +307,13 @@
             health.begun(float(number), b"bad", 1, 1.0, 0.5)
             health.answered(number + 0.1, b"bad", Answer.FAILED)
         assert health.failed_share() <= 1.0
-        assert sum(counts.bad for counts in health._by_kind.values()) <= 1.0
+        assert sum(counts.bad for counts in health._counts_by_tag.values()) <= 1.0
 
     def test_it_counts_again_once_it_was_served(self):
         health = Health(Lines(), Flows())
         for answer in (Answer.FAILED, Answer.FAILED, Answer.DONE, Answer.FAILED):
             health.begun(0.0, b"flow", 1, 1.0, 0.5)
             health.answered(0.0, b"flow", answer)
-        counted = sum(counts.bad for counts in health._by_kind.values())
+        counted = sum(counts.bad for counts in health._counts_by_tag.values())
         # Older answers weigh a little less.
         assert 1.5 < counted <= 2.0
--- a/packages/zinniahook-core/tests/test_packet_long_flows.py
+++ b/packages/zinniahook-core/tests/test_packet_long_flows.py
@@ -13,13 +13,13 @@
 
 import pytest
 from zinniahook_core.packets import State
-from zinniahook_core.packets.flows import Flow, Flows, Standing
+from zinniahook_core.packets.flows import Flow, Flows, FlowState
+from zinniahook_core.packets.forecasts import Forecast
 from zinniahook_core.packets.inquiries import CHOICES
 from zinniahook_core.packets.member import Member
 from zinniahook_core.packets.placement import choose
 from zinniahook_core.packets.sections import Section
 from zinniahook_core.packets.tunnel import Status
-from zinniahook_core.packets.work import Work
 
 TARGETS, SLOTS, HOMES = 10, 3, 4
 WORK, COLD_WORK, COLD = 0.1, 0.16, 2.0
@@ -36,7 +36,7 @@
         self.address = f"10.0.0.{number}"
         self.free_at = [now] * SLOTS
         self.flows = Flows()
-        self.work = Work(self.flows)
+        self.work = Forecast(self.flows)
         self.warm_at = now + COLD
 
     def serve(self, now):
@@ -55,7 +55,7 @@
         self.rng = random.Random(seed)
         self.ids = itertools.count(1)
         self.events = []
-        self.standing = {}
+        self.state = {}
         self.waits = []
         self.targets = [Target(number, -COLD) for number in range(TARGETS)]
         self.homes = [
@@ -116,12 +116,12 @@
         chosen = choose(members, 1, 0.1, self.rng, later)
         target = next(t for t in living if t.address == chosen.address)
         key = next(self.ids).to_bytes(6, "big") + route
-        flow = target.flows.add(Flow(key, Standing.OPEN, self.now, ""))
-        self.standing[key] = target
+        flow = target.flows.add(Flow(key, FlowState.OPEN, self.now, ""))
+        self.state[key] = target
         self.ask(flow, target)
 
     def ask(self, flow, target):
-        if self.standing.get(flow.key) is not target:
+        if self.state.get(flow.key) is not target:
             return
         target.flows.asked(self.now, flow)
         done = target.serve(self.now)
@@ -129,7 +129,7 @@
         self.at(done - self.now, self.answered, flow, target)
 
     def answered(self, flow, target):
-        if self.standing.get(flow.key) is not target:
+        if self.state.get(flow.key) is not target:
             return
         target.flows.answered(self.now, flow)
         route = flow.key[6:]
@@ -137,7 +137,7 @@
         rest = self.rng.expovariate(1 / pause)
         if self.rng.random() < 1 / asks:
             target.flows.drop(flow.key)
-            del self.standing[flow.key]
+            del self.state[flow.key]
             self.at(rest, self.open, route)
         else:
             self.at(rest, self.ask, flow, target)
@@ -145,9 +145,9 @@
     def lose(self, number):
         """End a target; its users come back within a tenth of a second."""
         target, self.targets[number] = self.targets[number], None
-        for key, owner in list(self.standing.items()):
+        for key, owner in list(self.state.items()):
             if owner is target:
-                del self.standing[key]
+                del self.state[key]
                 self.at(0.1 * self.rng.random(), self.open, key[6:])
 
     def start(self, number):
@@ -160,7 +160,7 @@
     def imbalance(self):
         """Return busiest/mean of the work that is to come."""
         loads = dict.fromkeys((t.address for t in self.targets), 0.0)
-        for key, target in self.standing.items():
+        for key, target in self.state.items():
             loads[target.address] += WORK / (PAUSES[key[6:]][0] + WORK)
         return max(loads.values()) / statistics.fmean(loads.values())
 
--- a/packages/zinniahook-core/tests/test_packet_pace.py
+++ b/packages/zinniahook-core/tests/test_packet_pace.py
@@ -2,7 +2,7 @@
 
 import random
 
-from zinniahook_core.packets.pace import WINDOW, ColdLimit, Pace
+from zinniahook_core.packets.pacing import WINDOW_SECONDS, ColdLimit, Pacer
 
 LIMIT = ColdLimit(1.5, 5)
 RATE = 4.0
@@ -15,23 +15,23 @@
 
 class TestPace:
     def test_any_second_holds_what_is_allowed(self):
-        rng, pace, offered, now = random.Random(3), Pace(LIMIT), [], 0.0
+        rng, pace, offered, now = random.Random(3), Pacer(LIMIT), [], 0.0
         for _ in range(3000):
             now += rng.expovariate(60.0)
             if pace.allows(now, RATE):
                 pace.offered(now)
                 offered.append(now)
         assert most_in_a_second(offered) == MOST
-        assert len(offered) > 0.8 * MOST * now / WINDOW
+        assert len(offered) > 0.8 * MOST * now / WINDOW_SECONDS
 
     def test_a_service_that_tells_no_rate_has_no_limit(self):
-        pace = Pace(LIMIT)
+        pace = Pacer(LIMIT)
         for number in range(100):
             pace.offered(number / 1000)
         assert pace.allows(0.2, 0.0)
 
     def test_operators_that_tell_no_limit_have_none(self):
-        pace = Pace()
+        pace = Pacer()
         for number in range(100):
             pace.offered(number / 1000)
         assert pace.allows(0.2, RATE)
@@ -42,7 +42,7 @@
         Sequence: its agent lets pass what a second holds, is killed and starts
         again. Cause: the new process counts from nothing.
         """
-        pace = Pace(LIMIT)
+        pace = Pacer(LIMIT)
         pace.start(10.0)
-        assert not pace.allows(10.0 + WINDOW / 2, RATE)
-        assert pace.allows(10.0 + WINDOW, RATE)
+        assert not pace.allows(10.0 + WINDOW_SECONDS / 2, RATE)
+        assert pace.allows(10.0 + WINDOW_SECONDS, RATE)
--- a/packages/zinniahook-core/tests/test_packet_room.py
+++ b/packages/zinniahook-core/tests/test_packet_room.py
@@ -5,27 +5,27 @@
 
 import pytest
 from zinniahook_core.packets import Flag, Packet, State, Urgency
-from zinniahook_core.packets.member import Member
-from zinniahook_core.packets.rejections import HOLD_LONGEST, Rejections
-from zinniahook_core.packets.room import (
-    COUNTS_KEPT,
-    REJECT_AFTER,
-    ROWS_MOST,
-    Cell,
+from zinniahook_core.packets.allocation import (
+    MAX_COUNTS_AGE_SECONDS,
+    MAX_ROWS,
+    REJECT_AFTER_SECONDS,
     Count,
-    Room,
+    ServiceLoad,
+    TrafficClass,
     all_wait,
+    allocate,
     decode_counts,
+    divide_slots,
     encode_counts,
     max_min,
-    shares,
-    sharing,
 )
+from zinniahook_core.packets.member import Member
+from zinniahook_core.packets.rejections import MAX_HOLD_SECONDS, Rejections
 from zinniahook_core.packets.sections import SECTION_LONGEST, Section
 from zinniahook_core.packets.tunnel import Head, Kind
 
-FEED, EDIT = Cell(1, 2), Cell(1, 1)
-FAR_FEED = Cell(2, 2)
+FEED, EDIT = TrafficClass(1, 2), TrafficClass(1, 1)
+FAR_FEED = TrafficClass(2, 2)
 SLOTS = 2
 
 
@@ -46,12 +46,12 @@
 
 def overloaded(at=0.0, members=8):
     """Return a room that has been overloaded for long enough, and its members."""
-    room = Room()
+    room = ServiceLoad()
     found = [crowded(number, at) for number in range(members)]
     assert room.review(at, found)
     for one in found:
-        one.told_at = at + REJECT_AFTER
-    assert not room.review(at + REJECT_AFTER, found)
+        one.told_at = at + REJECT_AFTER_SECONDS
+    assert not room.review(at + REJECT_AFTER_SECONDS, found)
     return room, found
 
 
@@ -73,16 +73,16 @@
         assert all(rates[i] >= max(rates) - 1e-9 for i in short)
 
     def test_a_small_want_is_met_in_full(self):
-        given = shares({EDIT: 3.0, FEED: 90.0, FAR_FEED: 4.0}, 20.0)
+        given = divide_slots({EDIT: 3.0, FEED: 90.0, FAR_FEED: 4.0}, 20.0)
         assert given == {EDIT: 3.0, FEED: 13.0, FAR_FEED: 4.0}
 
     def test_the_least_urgent_one_has_a_floor(self):
-        given = shares({EDIT: 500.0, FEED: 500.0}, 20.0)
+        given = divide_slots({EDIT: 500.0, FEED: 500.0}, 20.0)
         assert given[FEED] >= 20.0 / 4
         assert given[EDIT] > given[FEED]
 
     def test_none(self):
-        assert shares({}, 10.0) == {}
+        assert divide_slots({}, 10.0) == {}
 
 
 class TestCounts:
@@ -93,12 +93,12 @@
         assert decode_counts(encode_counts(counts)) == counts
 
     def test_the_largest_ones_are_told(self):
-        counts = {Cell(zone, 1): Count(0.0, zone) for zone in range(300)}
+        counts = {TrafficClass(zone, 1): Count(0.0, zone) for zone in range(300)}
         body = encode_counts(counts)
         assert len(body) <= SECTION_LONGEST
         told = decode_counts(body)
-        assert len(told) == ROWS_MOST
-        assert Cell(299, 1) in told
+        assert len(told) == MAX_ROWS
+        assert TrafficClass(299, 1) in told
 
     def test_torn_ones_tell_nothing(self):
         body = encode_counts({FEED: Count(1.0, 1)})
@@ -110,26 +110,26 @@
 
     def test_daemons_that_see_the_same_come_to_the_same(self):
         members = [crowded(number) for number in range(6)]
-        other = sharing(0.0, reversed(members))
-        assert sharing(0.0, members) == other
+        other = allocate(0.0, reversed(members))
+        assert allocate(0.0, members) == other
 
     def test_a_part_of_the_members_compares_as_the_whole(self):
         members = [crowded(number) for number in range(6)]
-        whole, part = sharing(0.0, members), sharing(0.0, members[:3])
-        assert part.waits_by_cell == pytest.approx(whole.waits_by_cell)
+        whole, part = allocate(0.0, members), allocate(0.0, members[:3])
+        assert part.waits_by_class == pytest.approx(whole.waits_by_class)
         assert part.demand / part.capacity == whole.demand / whole.capacity
 
     def test_counts_two_seconds_old_hold_and_older_ones_do_not(self):
         members = [crowded(number) for number in range(6)]
-        assert sharing(COUNTS_KEPT, members) is not None
-        assert sharing(COUNTS_KEPT + 0.1, members) is None
+        assert allocate(MAX_COUNTS_AGE_SECONDS, members) is not None
+        assert allocate(MAX_COUNTS_AGE_SECONDS + 0.1, members) is None
 
 
 class TestOverload:
     """When a service counts as overloaded."""
 
     def test_not_while_a_tenth_of_the_slots_may_be_free(self):
-        room = Room()
+        room = ServiceLoad()
         members = [crowded(number) for number in range(8)]
         assert not room.review(0.0, [*members, member(8), member(9)])
         assert room.since is None
@@ -141,7 +141,7 @@
         Sequence: openings wait at nearly every agent, each status tells of
         another one whose queue has just become empty. Cause: one bound for both.
         """
-        room = Room()
+        room = ServiceLoad()
         rng = random.Random(3)
         changes = 0
         for step in range(100):
@@ -162,19 +162,19 @@
         """
         heard = [crowded(number, told_at=10.0) for number in range(2)]
         unheard = [member(number, told_at=0.0) for number in range(2, 12)]
-        room = Room()
+        room = ServiceLoad()
         assert not room.review(10.0, [*heard, *unheard])
 
     def test_counts_that_grow_old_end_it(self):
         room, members = overloaded()
-        assert room.review(REJECT_AFTER + COUNTS_KEPT + 0.1, members)
+        assert room.review(REJECT_AFTER_SECONDS + MAX_COUNTS_AGE_SECONDS + 0.1, members)
         assert room.since is None
 
     def test_after_a_restart_it_begins_anew(self):
         _, members = overloaded()
-        room = Room()
-        room.review(REJECT_AFTER, members)
-        assert room.excess(REJECT_AFTER + 0.1, FEED, 0.4) == 0.0
+        room = ServiceLoad()
+        room.review(REJECT_AFTER_SECONDS, members)
+        assert room.excess(REJECT_AFTER_SECONDS + 0.1, FEED, 0.4) == 0.0
 
 
 class TestExcess:
@@ -182,23 +182,23 @@
 
     def test_only_of_the_kind_that_waits_too_long(self):
         room, _ = overloaded()
-        now = REJECT_AFTER + 0.1
+        now = REJECT_AFTER_SECONDS + 0.1
         assert room.excess(now, FEED, 0.4) > 0.3
         assert room.excess(now, EDIT, 0.4) == 0.0
         assert room.excess(now, FAR_FEED, 0.4) == 0.0
 
     def test_not_before_the_goal_and_a_silent_clients_tries_are_over(self):
         room, _ = overloaded()
-        assert room.excess(REJECT_AFTER - 0.1, FEED, 0.4) == 0.0
-        assert room.excess(REJECT_AFTER + 0.1, FEED, 10.0) == 0.0
+        assert room.excess(REJECT_AFTER_SECONDS - 0.1, FEED, 0.4) == 0.0
+        assert room.excess(REJECT_AFTER_SECONDS + 0.1, FEED, 10.0) == 0.0
 
     def test_it_grows_from_nothing(self):
         found = []
         for waiting in range(1, 80):
-            room = Room()
+            room = ServiceLoad()
             members = [crowded(number, waiting=waiting) for number in range(8)]
             room.review(0.0, members)
-            found.append(room.excess(REJECT_AFTER + 0.1, FEED, 0.4))
+            found.append(room.excess(REJECT_AFTER_SECONDS + 0.1, FEED, 0.4))
         steps = [late - early for early, late in itertools.pairwise(found)]
         assert found[0] == 0.0
         assert found[-1] > 0.5
@@ -213,12 +213,14 @@
         head = Head(Kind.FORWARD, zone=FEED.zone)
         for number in range(count):
             packet = Packet(bytes([number]) * 12, Flag.OPENING, 1, 0, 0, b"")
-            found.hold(REJECT_AFTER + 0.1, head, packet, Urgency(FEED.priority, 0.4))
+            found.hold(
+                REJECT_AFTER_SECONDS + 0.1, head, packet, Urgency(FEED.priority, 0.4)
+            )
         return found
 
     def test_as_many_are_held_as_there_is_excess(self):
         room, members = overloaded()
-        excess = room.excess(REJECT_AFTER + 0.1, FEED, 0.4)
+        excess = room.excess(REJECT_AFTER_SECONDS + 0.1, FEED, 0.4)
         share = len(self.held(room, members)) / 200
         assert share == pytest.approx(excess, abs=0.15)
 
@@ -226,9 +228,9 @@
         room, members = overloaded()
         held = self.held(room, members)
         count = len(held)
-        first = held.due(REJECT_AFTER + 0.1 + HOLD_LONGEST / 2)
+        first = held.due(REJECT_AFTER_SECONDS + 0.1 + MAX_HOLD_SECONDS / 2)
         assert count / 4 < len(first) < 3 * count / 4
-        rest = held.due(REJECT_AFTER + 0.1 + HOLD_LONGEST)
+        rest = held.due(REJECT_AFTER_SECONDS + 0.1 + MAX_HOLD_SECONDS)
         assert len(first) + len(rest) == count
         assert all(is_excess for _, is_excess in first + rest)
 
@@ -239,7 +241,7 @@
         that the flow belongs to is idle. Cause: judged by the whole alone.
         """
         room, members = overloaded()
-        free = member(9, told_at=REJECT_AFTER)
+        free = member(9, told_at=REJECT_AFTER_SECONDS)
         assert len(self.held(room, [*members[:7], free])) == 0
 
     def test_a_slot_that_becomes_free_meanwhile_takes_it(self):
@@ -247,28 +249,32 @@
         takers = members[:8]
         held = self.held(room, takers)
         assert len(held)
-        takers[0] = member(9, told_at=REJECT_AFTER)
-        ended = held.due(REJECT_AFTER + 0.1 + HOLD_LONGEST)
+        takers[0] = member(9, told_at=REJECT_AFTER_SECONDS)
+        ended = held.due(REJECT_AFTER_SECONDS + 0.1 + MAX_HOLD_SECONDS)
         assert ended
         assert not any(is_excess for _, is_excess in ended)
 
     def test_an_agent_whose_counts_are_old_may_have_room(self):
         members = [crowded(number) for number in range(8)]
-        assert all_wait(COUNTS_KEPT, members)
-        assert not all_wait(COUNTS_KEPT + 0.1, members)
+        assert all_wait(MAX_COUNTS_AGE_SECONDS, members)
+        assert not all_wait(MAX_COUNTS_AGE_SECONDS + 0.1, members)
 
 
 class TestOddPriorities:
     @pytest.mark.parametrize("priority", [-1, 255, 300])
     def test_counts_are_told(self, priority):
         """A configuration with one ended every agent that had to tell of it."""
-        told = encode_counts({Cell(1, priority): Count(1.0, 2)})
-        assert list(decode_counts(told)) == [Cell(1, max(0, min(255, priority)))]
+        told = encode_counts({TrafficClass(1, priority): Count(1.0, 2)})
+        assert list(decode_counts(told)) == [
+            TrafficClass(1, max(0, min(255, priority)))
+        ]
 
     def test_many_of_them_share(self):
         """Weights that differ by more than a number holds divided by nothing."""
         rng = random.Random(1)
         for _ in range(200):
-            wants = {Cell(1, n): rng.choice((0.0, 1e-6, 5.0)) for n in range(80)}
-            given = shares(wants, 10.0)
+            wants = {
+                TrafficClass(1, n): rng.choice((0.0, 1e-6, 5.0)) for n in range(80)
+            }
+            given = divide_slots(wants, 10.0)
             assert sum(given.values()) <= 10.0 + 1e-6
