--- a/packages/zinniahook-core/tests/test_packet_work.py
+++ b/packages/zinniahook-core/tests/test_packet_work.py
@@ -4,19 +4,24 @@
 
 import pytest
 from zinniahook_core.packets import State
-from zinniahook_core.packets.flows import Flow, Flows, Standing
+from zinniahook_core.packets.flows import Flow, Flows, FlowState
+from zinniahook_core.packets.forecasts import (
+    DEFAULT_BUSY_SHARE,
+    DEFAULT_LATER_REQUESTS,
+    MAX_LATER_REQUESTS,
+    SAMPLE_INTERVAL_SECONDS,
+    Forecast,
+    decode_expected_busy,
+    encode_expected_busy,
+)
 from zinniahook_core.packets.member import Member
-from zinniahook_core.packets.placement import ADVANTAGE, choose, promise, promises
-from zinniahook_core.packets.sections import Section
-from zinniahook_core.packets.work import (
-    LATER_MOST,
-    LOOKED_EVERY,
-    USUAL_LATER,
-    USUAL_SHARE,
-    Work,
-    decode_promise,
-    encode_promise,
+from zinniahook_core.packets.placement import (
+    MAX_ADVANTAGE,
+    choose,
+    expected_busy,
+    expected_loads,
 )
+from zinniahook_core.packets.sections import Section
 
 ZONE = 1
 ROUTE = b"routed"
@@ -34,7 +39,7 @@
     found = Member(f"10.0.0.{number}", ZONE, state=State.READY, slots=SLOTS)
     found.busy, found.warming, found.flows = busy, warming, flows
     if promised is not None:
-        found.sections = {Section.WORK: encode_promise(promised)}
+        found.sections = {Section.WORK: encode_expected_busy(promised)}
     return found
 
 
@@ -45,36 +50,38 @@
 class TestLearning:
     """Shares of life and later requests, as an agent sees its flows."""
 
-    def played(self, busy, asks, count=20):
+    def played(self, busy, request_count, count=20):
         """Return what is learned of flows of which each is busy in turn."""
         flows = Flows()
         for number in range(count):
-            flow = Flow(key(number), Standing.OPEN, STARTED, "", asks=asks)
+            flow = Flow(
+                key(number), FlowState.OPEN, STARTED, "", request_count=request_count
+            )
             flows.add(flow)
-        work = Work(flows)
+        work = Forecast(flows)
         for sweep in range(SWEEPS):
             for number, flow in enumerate(flows.by_key.values()):
                 is_busy = (number + sweep) % count < busy * count
-                flow.asked_at = STARTED if is_busy else None
-            work.tick(STARTED + sweep * LOOKED_EVERY)
+                flow.requested_at = STARTED if is_busy else None
+            work.tick(STARTED + sweep * SAMPLE_INTERVAL_SECONDS)
         return work
 
     def test_share_and_promise(self):
-        work = self.played(busy=0.25, asks=3)
+        work = self.played(busy=0.25, request_count=3)
         assert work.share(ROUTE) == pytest.approx(0.25, abs=0.03)
-        assert work.promise == pytest.approx(20 * 0.25, abs=0.6)
+        assert work.expected_busy == pytest.approx(20 * 0.25, abs=0.6)
 
     def test_requests_to_come(self):
-        assert self.played(0.25, asks=3).later(ROUTE) == pytest.approx(2.0)
-        assert self.played(0.25, asks=50).later(ROUTE) == LATER_MOST
+        assert self.played(0.25, request_count=3).later(ROUTE) == pytest.approx(2.0)
+        assert self.played(0.25, request_count=50).later(ROUTE) == MAX_LATER_REQUESTS
 
     def test_a_flow_for_each_request_brings_no_more(self):
-        assert self.played(1.0, asks=1).later(ROUTE) == 0.0
+        assert self.played(1.0, request_count=1).later(ROUTE) == 0.0
 
     def test_unknown_routes_count_as_usual(self):
-        work = Work(Flows())
-        assert work.share(ROUTE) == USUAL_SHARE
-        assert work.later(ROUTE) == USUAL_LATER
+        work = Forecast(Flows())
+        assert work.share(ROUTE) == DEFAULT_BUSY_SHARE
+        assert work.later(ROUTE) == DEFAULT_LATER_REQUESTS
 
     def test_flows_that_ended_promise_nothing(self):
         """Symptom: a target that lost its flows gets no new ones.
@@ -82,33 +89,33 @@
         Sequence: all its flows close, they stay known for seconds. Cause: closed
         flows counted as open ones.
         """
-        work = self.played(busy=0.25, asks=3)
+        work = self.played(busy=0.25, request_count=3)
         for flow in work._flows.by_key.values():
-            flow.standing = Standing.CLOSED
+            flow.state = FlowState.CLOSED
         work.tick(STARTED + 100.0)
         work.tick(STARTED + 101.0)
-        assert work.promise == 0.0
+        assert work.expected_busy == 0.0
 
     def test_requests_of_a_flow_are_counted_once(self):
         flows = Flows()
-        flow = flows.add(Flow(key(1), Standing.OPEN, STARTED, ""))
+        flow = flows.add(Flow(key(1), FlowState.OPEN, STARTED, ""))
         flows.asked(STARTED, flow)
         flows.asked(STARTED, flow)
         flows.answered(STARTED + 1, flow)
         flows.asked(STARTED + 2, flow)
-        assert flow.asks == 2
+        assert flow.request_count == 2
 
     def test_it_is_told_in_two_bytes(self):
-        assert decode_promise(encode_promise(1.25)) == 1.25
-        assert len(encode_promise(1e9)) == 2
-        assert decode_promise(b"1") is None
+        assert decode_expected_busy(encode_expected_busy(1.25)) == 1.25
+        assert len(encode_expected_busy(1e9)) == 2
+        assert decode_expected_busy(b"1") is None
 
 
 class TestPooling:
     """Shares that agents tell each other."""
 
     def learned(self, busy):
-        return TestLearning().played(busy, asks=3)
+        return TestLearning().played(busy, request_count=3)
 
     def test_all_use_the_mean(self):
         """Symptom: targets with a third fewer flows than others get no more of them.
@@ -126,7 +133,7 @@
             assert not work.is_due(STARTED + 0.5)
 
     def test_who_knows_nothing_takes_what_others_know(self):
-        new = Work(Flows())
+        new = Forecast(Flows())
         new.pool(STARTED, [b"", self.learned(0.3).section(), new.section(), b"torn"])
         assert new.share(ROUTE) == pytest.approx(0.3, abs=0.03)
 
@@ -157,19 +164,21 @@
         """
         old = [member(number, promised=2.0, busy=1.0) for number in range(3)]
         cold = member(9, promised=0.0, warming=2.0)
-        found = promises([*old, cold], 4.0)
-        assert found[cold.address].promise == pytest.approx(1.5)
+        found = expected_loads([*old, cold], 4.0)
+        assert found[cold.address].expected_busy == pytest.approx(1.5)
         taken = [chosen([*old, cold], 4.0, seed) for seed in range(20)]
         assert taken.count(cold.address) <= 10
 
     def test_a_new_one_is_preferred_within_bounds(self):
         old = [member(number, promised=6.0) for number in range(3)]
         new = member(9, promised=0.0)
-        found = promises([*old, new], 4.0)
-        assert found[new.address].promise == pytest.approx(4.5 - ADVANTAGE * SLOTS)
+        found = expected_loads([*old, new], 4.0)
+        assert found[new.address].expected_busy == pytest.approx(
+            4.5 - MAX_ADVANTAGE * SLOTS
+        )
         assert chosen([*old, new], 4.0) == new.address
 
     def test_flows_count_where_nothing_tells(self):
-        assert promise(member(1, flows=50)) == 50 * USUAL_SHARE
+        assert expected_busy(member(1, flows=50)) == 50 * DEFAULT_BUSY_SHARE
         members = [member(1, flows=90), member(2, flows=10)]
         assert chosen(members, later=None) == "10.0.0.2"
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
@@ -205,7 +205,7 @@
             "pointers": core.home.pointers,
             "verdicts": core.home.verdicts,
             "agents_present": len(core.roster.present(now)),
-            "work_promised": core.membership.work.promise,
+            "work_promised": core.membership.work.expected_busy,
             "openings_held": core.home.openings_held,
             **core.home.room.gauges(),
             **self._judged(now),
@@ -229,11 +229,11 @@
 
     def beat(self, beat: Beat) -> bool:
         """Take a heartbeat of the target; return False if it can't be one."""
-        return self.core.beat(time.monotonic(), beat)
+        return self.core.heartbeat(time.monotonic(), beat)
 
     def left(self, target: str, born: int | None) -> None:
         """Take that the target has ended."""
-        self.core.left(time.monotonic(), target, born)
+        self.core.note_ended(time.monotonic(), target, born)
 
     async def drain(self) -> None:
         """Hand openings over, and end at a moment without a request.
@@ -251,7 +251,7 @@
             handed = gone or time.monotonic() - began > HANDOVER_TIME
             if handed and not self.core.flows.busy:
                 break
-        self.core.farewell(time.monotonic())
+        self.core.announce_end(time.monotonic())
         if gone:
             await self._announcer.withdraw(self.core.evacuations.era)
 
@@ -284,11 +284,11 @@
         except ConnectionRefusedError:
             if not self.core.target.gone:
                 self.journal.event("target.absent", outcome="nothing is held here")
-            self.core.absent(time.monotonic())
+            self.core.note_absent(time.monotonic())
             return False
         except (OSError, TimeoutError):
             return False
-        self.core.appeared(time.monotonic())
+        self.core.note_appeared(time.monotonic())
         return True
 
     def _from_target(self, data: bytes, source: tuple) -> None:
--- a/packages/zinniahook-daemon/tests/test_packet_roles.py
+++ b/packages/zinniahook-daemon/tests/test_packet_roles.py
@@ -64,7 +64,7 @@
         address = Address(*listener.getsockname())
         listener.close()
         daemon = agent(address)
-        daemon.core.target.beat(0.0, Beat("t-1", "tally", 4, False, 0.0, 3))
+        daemon.core.target.heartbeat(0.0, Beat("t-1", "tally", 4, False, 0.0, 3))
         assert looked(daemon) is State.READY
 
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetparts.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetparts.py
@@ -86,7 +86,7 @@
         if self.core is None or self.core.target.is_known:
             return True
         if self.target is None or not self.target.alive:
-            self.core.absent(now)
+            self.core.note_absent(now)
             return False
-        self.core.appeared(now)
+        self.core.note_appeared(now)
         return True
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetworlds.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetworlds.py
@@ -276,7 +276,7 @@
             agent.beats,
             agent.born,
         )
-        agent.core.beat(self.now, beat)
+        agent.core.heartbeat(self.now, beat)
         if target.leaving and agent.told_leaving is None:
             agent.told_leaving = self.now
 
--- a/packages/zinniahook-testkit/tests/queueing_fakes.py
+++ b/packages/zinniahook-testkit/tests/queueing_fakes.py
@@ -15,7 +15,7 @@
     Urgency,
 )
 from zinniahook_core.packets.queueing import (
-    REQUESTS_EXTRA,
+    EXTRA_REQUESTS,
 )
 from zinniahook_core.packets.tunnel import Head, Kind, Mark, tag
 from zinniahook_testkit.packetends import PlainCodec, flow_key
@@ -27,7 +27,7 @@
 FIRST = 1000
 GOAL = 0.4
 FEED, EDIT = 1, 2
-BUSY = 1 + REQUESTS_EXTRA
+BUSY = 1 + EXTRA_REQUESTS
 """Requests that a target of one slot gets before others wait."""
 
 CLIENT_FIRST = (1 << 32) - 40
@@ -61,7 +61,7 @@
 
     def beat(self, **changes):
         beat = Beat("t-1", SERVICE, self.slots, False, 0.0, next(self.numbers), 1)
-        self.core.beat(self.now, beat._replace(**changes))
+        self.core.heartbeat(self.now, beat._replace(**changes))
 
     def wait(self, seconds, beats=True):
         """Let time pass, with ticks and heartbeats."""
--- a/packages/zinniahook-testkit/tests/request_loads.py
+++ b/packages/zinniahook-testkit/tests/request_loads.py
@@ -91,7 +91,7 @@
             self.beats += 1
             name, number = f"{self.address}-{self.starts}", self.beats
             beat = Beat(name, SERVICE, self.slots, False, 0.0, number, self.starts)
-            self.core.beat(self.load.now, beat)
+            self.core.heartbeat(self.load.now, beat)
 
     def to_peer(self, address, data):
         pass
--- a/packages/zinniahook-testkit/tests/test_packet_endings.py
+++ b/packages/zinniahook-testkit/tests/test_packet_endings.py
@@ -28,7 +28,7 @@
         world = PacketWorld(seed, {"tally": 8})
         flows = opened(world, 60, 2.0)
         agent = next(iter(world.agents_by_address.values()))
-        agent.core.left(world.now, agent.target.name)
+        agent.core.note_ended(world.now, agent.target.name)
         self.ended(world, agent)
         lost = [flow for flow in flows if not world.is_held(flow)]
         assert lost
@@ -53,7 +53,7 @@
             world.start_entry(address)
         world.run(0.2)
         alone.core.leave(world.now)
-        alone.core.absent(world.now)
+        alone.core.note_absent(world.now)
         world.run(0.1)
         alone.core.membership.farewell(world.now)
         alone.core = None
@@ -86,5 +86,5 @@
     def test_one_that_was_seen_is_not_absent(self):
         world = PacketWorld(1)
         agent = next(iter(world.agents_by_address.values()))
-        agent.core.absent(world.now)
+        agent.core.note_absent(world.now)
         assert agent.core.membership.state(world.now) is State.READY
--- a/packages/zinniahook-testkit/tests/test_packet_incarnations.py
+++ b/packages/zinniahook-testkit/tests/test_packet_incarnations.py
@@ -17,7 +17,7 @@
     target = Target("tally", INTERVAL)
     target.start(0.0)
     for number in range(1, beats + 1):
-        target.beat(number * INTERVAL, beat(number, born))
+        target.heartbeat(number * INTERVAL, beat(number, born))
     return target, beats * INTERVAL
 
 
@@ -29,53 +29,53 @@
 
     def test_a_later_time_of_birth_is_a_new_target(self):
         target, now = running()
-        assert target.beat(now + 0.7, beat(1, BORN + 9000))
+        assert target.heartbeat(now + 0.7, beat(1, BORN + 9000))
         assert target.state(now + 0.8) is State.READY
         assert not target.may_be_older
 
     def test_a_late_heartbeat_of_the_earlier_start_changes_nothing(self):
         target, now = running()
-        target.beat(now + 1, beat(1, BORN + 9000))
-        assert not target.beat(now + 2, beat(6, BORN, leaving=True))
+        target.heartbeat(now + 1, beat(1, BORN + 9000))
+        assert not target.heartbeat(now + 2, beat(6, BORN, leaving=True))
         assert target.state(now + 2) is State.READY
-        assert not target.beat(now + 3, beat(2, BORN + 9000))
+        assert not target.heartbeat(now + 3, beat(2, BORN + 9000))
         assert target.state(now + 3) is State.READY
 
     def test_it_does_not_end_by_a_late_farewell(self):
         target, now = running()
-        target.beat(now + 1, beat(1, BORN + 9000))
-        target.left("t-1", BORN)
+        target.heartbeat(now + 1, beat(1, BORN + 9000))
+        target.note_ended("t-1", BORN)
         assert target.state(now + 1) is State.READY
-        target.left("t-1", BORN + 9000)
+        target.note_ended("t-1", BORN + 9000)
         assert target.state(now + 1) is State.LEAVING
 
     @pytest.mark.parametrize("born", [None, BORN, BORN - 5000])
     def test_one_whose_time_proves_nothing_is_believed_once_it_goes_on(self, born):
         """Its clock jumped back, or it doesn't tell when it was born."""
         target, now = running(BORN if born else None)
-        assert not target.beat(now + 4, beat(1, born))
-        assert target.beat(now + 5, beat(2, born))
+        assert not target.heartbeat(now + 4, beat(1, born))
+        assert target.heartbeat(now + 5, beat(2, born))
         assert target.state(now + 5) is State.READY
 
     @pytest.mark.parametrize("born", [None, BORN, BORN - 5000])
     def test_delayed_ones_that_come_together_prove_nothing(self, born):
         target, now = running(BORN if born else None)
         for number in (1, 2, 3):
-            assert not target.beat(now + 0.5 + number / 1000, beat(number, born))
-        assert not target.beat(now + 1, beat(6, BORN if born else None))
+            assert not target.heartbeat(now + 0.5 + number / 1000, beat(number, born))
+        assert not target.heartbeat(now + 1, beat(6, BORN if born else None))
         assert target.state(now + 1) is State.READY
 
     def test_a_name_that_comes_back_after_another_one(self):
         target, now = running()
-        assert target.beat(now + 1, beat(1, BORN + 4000, "t-2"))
-        assert not target.beat(now + 2, beat(9, BORN, "t-1"))
-        assert target.beat(now + 3, beat(1, BORN + 8000, "t-1"))
+        assert target.heartbeat(now + 1, beat(1, BORN + 4000, "t-2"))
+        assert not target.heartbeat(now + 2, beat(9, BORN, "t-1"))
+        assert target.heartbeat(now + 3, beat(1, BORN + 8000, "t-1"))
         assert target.name == "t-1"
 
     def test_a_missing_time_is_no_new_target(self):
         target, now = running()
-        assert not target.beat(now + 1, beat(6, None))
-        assert not target.beat(now + 2, beat(7, BORN))
+        assert not target.heartbeat(now + 1, beat(6, None))
+        assert not target.heartbeat(now + 2, beat(7, BORN))
         assert target.state(now + 2) is State.READY
 
 
@@ -89,8 +89,8 @@
     def test_the_target_may_be_older(self):
         target = Target("tally", INTERVAL)
         target.start(100.0)
-        target.beat(100.1, beat(40, BORN))
-        assert target.beat(100.4, beat(7, BORN + 9000))
+        target.heartbeat(100.1, beat(40, BORN))
+        assert target.heartbeat(100.4, beat(7, BORN + 9000))
         assert target.may_be_older
 
 
--- a/packages/zinniahook-testkit/tests/test_packet_overload.py
+++ b/packages/zinniahook-testkit/tests/test_packet_overload.py
@@ -20,9 +20,9 @@
     Urgency,
     openings,
 )
+from zinniahook_core.packets.backlog import Backlog
 from zinniahook_core.packets.node import HOP_LIMIT
 from zinniahook_core.packets.tunnel import Head, Kind, tag
-from zinniahook_core.packets.waiting import Waiting
 from zinniahook_testkit.packetends import flow_key
 from zinniahook_testkit.packetworlds import SERVICE_PORT, PacketWorld
 
@@ -142,7 +142,7 @@
 
     def test_waiting_beats_handing_everything_to_the_targets(self, monkeypatch):
         in_time, _ = after_outage(0)
-        monkeypatch.setattr(openings, "QUEUE_EXTRA", 10_000)
+        monkeypatch.setattr(openings, "EXTRA_OPENINGS", 10_000)
         without, _ = after_outage(0)
         assert in_time >= without + 0.15
 
@@ -180,7 +180,7 @@
     def test_urgent_in_time_then_others_in_time_then_late(
         self, ages_by_priority, taken
     ):
-        waiting = Waiting()
+        waiting = Backlog()
         now = 10.0
         for priority, ages in ages_by_priority.items():
             for age in ages:
@@ -193,7 +193,7 @@
         assert now - opening.begun == pytest.approx(taken[1])
 
     def test_expired_ones_are_found_in_every_priority(self):
-        waiting = Waiting()
+        waiting = Backlog()
         for number, at in enumerate((1.0, 1.0, 2.0)):
             packet = Packet(bytes([number]) * 12, Flag.OPENING, 1, 0, 0, b"")
             waiting.add(at, "", Head(Kind.FORWARD), packet, Urgency(number, 1.0))
--- a/packages/zinniahook-testkit/tests/test_packet_queueing.py
+++ b/packages/zinniahook-testkit/tests/test_packet_queueing.py
@@ -16,14 +16,14 @@
 from zinniahook_core.packets import (
     Flag,
 )
-from zinniahook_core.packets.flows import Flow, Standing
+from zinniahook_core.packets.flows import Flow, FlowState
 from zinniahook_core.packets.queueing import (
-    HELD_MOST,
-    HOLD_LONGEST,
-    PACKETS_MOST,
+    MAX_HELD_PACKETS,
+    MAX_HELD_REQUESTS,
+    MAX_HOLD_SECONDS,
 )
+from zinniahook_core.packets.scheduling import GUARANTEED_SLOT_INTERVAL, Rank, Scheduler
 from zinniahook_core.packets.tunnel import Head, Kind, tag
-from zinniahook_core.packets.turns import TURN, Rank, Turns
 from zinniahook_testkit.packetends import flow_key
 
 
@@ -164,8 +164,8 @@
         desk = Desk()
         flow = desk.open(1)
         desk.busy()
-        raws = [desk.piece(flow, 5 * n, b"piece") for n in range(PACKETS_MOST)]
-        assert desk.given[-PACKETS_MOST:] == raws and desk.held == 0
+        raws = [desk.piece(flow, 5 * n, b"piece") for n in range(MAX_HELD_PACKETS)]
+        assert desk.given[-MAX_HELD_PACKETS:] == raws and desk.held == 0
 
     @pytest.mark.parametrize("seed", range(20))
     def test_whatever_the_network_does(self, seed):
@@ -185,7 +185,7 @@
                     sent[flow][raw] = sent[flow].get(raw, 0) + 1
             if rng.random() < 0.5:
                 desk.wait(0.05)
-        desk.wait(2 * HOLD_LONGEST)
+        desk.wait(2 * MAX_HOLD_SECONDS)
         assert desk.held == 0
         arrived = [desk.codec.from_client(raw) for raw in desk.given[given:]]
         for flow in flows:
@@ -247,7 +247,7 @@
         flow = desk.open(1)
         desk.busy()
         former = desk.ask(flow)
-        desk.core.flows.add(Flow(flow, Standing.OPEN, desk.now, ENTRY))
+        desk.core.flows.add(Flow(flow, FlowState.OPEN, desk.now, ENTRY))
         raw = desk.ask(flow)
         desk.wait(2.0)
         assert raw in desk.given and former not in desk.given
@@ -277,7 +277,7 @@
         flow = desk.open(1)
         working = desk.busy()
         raw = desk.ask(flow)
-        for _ in range(round(HOLD_LONGEST / 0.2) - 1):
+        for _ in range(round(MAX_HOLD_SECONDS / 0.2) - 1):
             desk.wait(0.2)
             for other in working:
                 desk.piece(other, 0, b"")
@@ -297,10 +297,10 @@
 
     def test_too_many_let_the_oldest_through(self):
         desk = Desk()
-        flows = [desk.open(n) for n in range(1, HELD_MOST + 2)]
+        flows = [desk.open(n) for n in range(1, MAX_HELD_REQUESTS + 2)]
         desk.busy()
         raws = [desk.ask(flow) for flow in flows]
-        assert desk.held == HELD_MOST
+        assert desk.held == MAX_HELD_REQUESTS
         assert desk.given[-1] == raws[0]
 
     def test_a_target_isnt_taken_for_dead(self):
@@ -364,16 +364,22 @@
     def test_a_flood_of_urgent_ones_leaves_the_others_a_share(self):
         """Symptom: a kind gets nothing for as long as a more urgent one keeps all
         slots. Cause: the more urgent one always goes first."""
-        turns = Turns()
+        turns = Scheduler()
         urgent, other = Rank(False, 1, 9.0, 8.6), Rank(False, 2, 8.0, 7.6)
-        chosen = [turns.choose([other, urgent]) for _ in range(5 * TURN)]
+        chosen = [
+            turns.choose([other, urgent]) for _ in range(5 * GUARANTEED_SLOT_INTERVAL)
+        ]
         assert chosen.count(other) == 5
-        assert chosen[:TURN] == [urgent] * (TURN - 1) + [other]
+        assert chosen[:GUARANTEED_SLOT_INTERVAL] == [urgent] * (
+            GUARANTEED_SLOT_INTERVAL - 1
+        ) + [other]
 
     def test_what_is_late_has_no_share(self):
-        turns = Turns()
+        turns = Scheduler()
         urgent, late = Rank(False, 1, 9.0, 8.6), Rank(True, 2, 1.0, 0.6)
-        assert {turns.choose([late, urgent]) for _ in range(5 * TURN)} == {urgent}
+        assert {
+            turns.choose([late, urgent]) for _ in range(5 * GUARANTEED_SLOT_INTERVAL)
+        } == {urgent}
         assert turns.choose([late]) == late
         assert turns.choose([]) is None
 
--- a/packages/zinniahook-testkit/tests/test_packet_request_loads.py
+++ b/packages/zinniahook-testkit/tests/test_packet_request_loads.py
@@ -11,7 +11,7 @@
 import pytest
 import request_loads
 from request_loads import EDIT, FEED, Load
-from zinniahook_core.packets.queueing import HOLD_LONGEST
+from zinniahook_core.packets.queueing import MAX_HOLD_SECONDS
 
 SEEDS = range(6)
 DAYS = {
@@ -94,10 +94,10 @@
     @pytest.mark.parametrize("day", DAYS)
     @pytest.mark.parametrize("kind", [FEED, EDIT])
     def test_no_kind_starves(self, day, kind):
-        """Each request of an open flow that lives is given in `HOLD_LONGEST`."""
+        """Each request of an open flow that lives is given in `MAX_HOLD_SECONDS`."""
         for seed in SEEDS:
             load = played(day, True, seed)
-            assert load.longest_hold <= HOLD_LONGEST + request_loads.TICK + 0.01
+            assert load.longest_hold <= MAX_HOLD_SECONDS + request_loads.TICK + 0.01
             served = [c for c in load.callers if c.kind is kind and c.done]
             assert len(served) >= 0.8 * sum(c.kind is kind for c in load.callers)
 
--- a/packages/zinniahook-testkit/tests/test_packet_room.py
+++ b/packages/zinniahook-testkit/tests/test_packet_room.py
@@ -17,7 +17,7 @@
     State,
     Urgency,
 )
-from zinniahook_core.packets.room import Cell, Count, encode_counts
+from zinniahook_core.packets.allocation import Count, TrafficClass, encode_counts
 from zinniahook_core.packets.sections import Section
 from zinniahook_core.packets.tunnel import Status, zone_tag
 from zinniahook_testkit.packetworlds import DATA_CENTRES, PacketWorld
@@ -305,7 +305,7 @@
         world = RoomWorld(3, ON)
         names = list(world.agents_by_address)
         world.cut = {frozenset((a, b)) for a in names for b in names if a != b}
-        waiting = {Cell(zone_tag("a"), 2): Count(4.0, 200)}
+        waiting = {TrafficClass(zone_tag("a"), 2): Count(4.0, 200)}
         sections = {Section.ROOM: encode_counts(waiting)}
         for agent in world.agents:
             agent.core.membership.leaving = True
--- a/packages/zinniahook-testkit/tests/test_packet_scale.py
+++ b/packages/zinniahook-testkit/tests/test_packet_scale.py
@@ -7,7 +7,7 @@
 
 import pytest
 from zinniahook_core.packets.circles import FIRST, FIRST_NEAR, WIDER
-from zinniahook_core.packets.flows import Flow, Standing
+from zinniahook_core.packets.flows import Flow, FlowState
 from zinniahook_core.packets.tunnel import Kind, Mark
 from zinniahook_testkit.packetworlds import PacketWorld
 
@@ -349,6 +349,6 @@
 
 
 def _claimed(core, flow, now):
-    claimed = Flow(flow.key, Standing.TRIED, now, "")
+    claimed = Flow(flow.key, FlowState.TRIED, now, "")
     core.flows.add(claimed)
     return claimed
--- a/packages/zinniahook-testkit/tests/test_packet_slow_openings.py
+++ b/packages/zinniahook-testkit/tests/test_packet_slow_openings.py
@@ -109,4 +109,4 @@
         self.ask(world, agent)
         again = Flag.OPENING, CLIENT_FIRST + 500_000, 0
         self.forward(world, agent, *again, marks=Mark.PLACED)
-        assert agent.flows.get(FLOW).first is None
+        assert agent.flows.get(FLOW).target_isn is None
--- a/packages/zinniahook-testkit/tests/test_packet_verdicts.py
+++ b/packages/zinniahook-testkit/tests/test_packet_verdicts.py
@@ -247,10 +247,10 @@
         flows = opened(world, 400, 2.0)
         for agent in list(world.agents_by_address.values())[:10]:
             agent.target.alive = False
-            agent.core.left(world.now, agent.target.name)
+            agent.core.note_ended(world.now, agent.target.name)
             agent.core.leave(world.now)
             world.run(0.2)
-            agent.core.farewell(world.now)
+            agent.core.announce_end(world.now)
             agent.core = None
         world.run(8.0)
         assert self.searches(world, flows) == []
@@ -286,7 +286,7 @@
         for address in leaving:
             agent = world.agents_by_address[address]
             agent.target.alive = False
-            agent.core.left(world.now, agent.target.name)
+            agent.core.note_ended(world.now, agent.target.name)
         world.run(0.3)
         forget_hints(world)
         world.ask(flow)
--- a/packages/zinniahook-testkit/tests/test_packets.py
+++ b/packages/zinniahook-testkit/tests/test_packets.py
@@ -2,7 +2,7 @@
 
 import pytest
 from packet_stories import SEEDS, asked, opened
-from zinniahook_core.packets.flows import Flow, Standing
+from zinniahook_core.packets.flows import Flow, FlowState
 from zinniahook_core.packets.tunnel import Head, Kind, encode, tag
 from zinniahook_testkit.packetworlds import PacketWorld
 
@@ -194,7 +194,7 @@
             if flow.key not in agent.target.by_flow
         )
         near = (flow.server_first - distance) % (1 << 32)
-        held = Flow(flow.key, Standing.OFFERED, world.now, "", first=near)
+        held = Flow(flow.key, FlowState.OFFERED, world.now, "", target_isn=near)
         other.core.flows.add(held)
         for entry in world.entries_by_address.values():
             entry.hints_by_flow[flow.key] = other.address
