--- a/packages/zinniahook-core/src/zinniahook_core/packets/__init__.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/__init__.py
@@ -1,7 +1,7 @@
-"""The packet service: flows with a handshake of their own.
+"""The packet service: flows with their own handshake.
 
-`Entry` and `Agent` are the two cores; ``docs/design/platform.md`` tells how
-they share the work.
+`Entry` and `Agent` are the two cores; ``docs/design/platform.md`` describes how they
+share the work.
 """
 
 from .agent import Agent
--- a/packages/zinniahook-core/src/zinniahook_core/packets/agent.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/agent.py
@@ -1,8 +1,8 @@
-"""The agent: owns the flows of the target beside it.
+"""The agent, which owns the flows of the target on its machine.
 
-Every packet to the target and every packet from it passes here, so the agent
-sees which flows the target took. It has the last word: what it doesn't own,
-it hands to the flow's home.
+Every packet to and from the target passes through the agent, so the agent knows which
+flows the target has accepted. It makes the final decision on a packet and passes what
+it doesn't own to the flow's home.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 
 EXPIRY_INTERVAL_SECONDS = 0.2
 FLOWS_PER_EXPIRY = 800
-"""Flows looked at each time: 4,000 a second; an agent has 3,200 at the size
-designed for."""
+"""Flows checked each time: 4,000 a second. An agent holds 3,200 at the designed
+size."""
 
 
 class Agent(Node):
@@ -41,11 +41,11 @@
     Parameters
     ----------
     target : Target
-        What is known of the target.
+        State of the target.
     incarnation : int
-        Number of this process, higher than that of the one before.
+        Number of this process, higher than that of the previous process.
     cold_limit : ColdLimit, optional
-        What a cold target may get in a second; without, any number.
+        Limit on openings to a cold target; unlimited by default.
 
     The other parameters are those of `Node`.
     """
@@ -85,7 +85,7 @@
         self._make_home()
 
     def start(self, now: float) -> None:
-        """Begin; flows may be older than this process for a while."""
+        """Start; for a while, flows may be older than this process."""
         self.target.start(now)
         self._pacer.start(now)
         self.trials.start(now)
@@ -104,9 +104,9 @@
         centre: str,
         order: int | None = None,
     ) -> None:
-        """Take an agent that announced itself in the store.
+        """Add an agent that announced itself in the store.
 
-        ``order`` tells which agents announced themselves before.
+        ``order`` gives the order of the announcements.
         """
         if service == self.target.service:
             self.membership.learn_member(now, address, zone_tag(centre), order)
@@ -119,12 +119,12 @@
         self.membership.tick(now)
 
     def neighbours(self, now: float) -> list[str]:
-        """Return the peers, then the entries that send here."""
+        """Return the peers, then the entries that send to this agent."""
         peers = [name for name in self.roster.present(now) if name != self.address]
         return [*peers, *self.membership.entries]
 
     def leave(self, now: float) -> None:
-        """Take no openings from now on and say so at once."""
+        """Stop accepting openings and announce it immediately."""
         self.membership.leaving = True
         self.home.hand_on()
         self.log.event("leaving", flows=len(self.flows), busy=self.flows.busy)
@@ -132,10 +132,10 @@
         self.membership.tick(now)
 
     def heartbeat(self, now: float, beat: Beat) -> bool:
-        """Take a heartbeat of the target; return False if it can't be one.
+        """Apply a heartbeat of the target; return False if it is rejected.
 
-        What goes wrong without the check: another writer names a service that
-        isn't any, and this agent leaves its own.
+        Without this check, another writer could name a service that doesn't exist, and
+        this agent would leave its own.
         """
         former = self.target.service
         if former and beat.service != former and not self._is_named(beat.service):
@@ -154,7 +154,7 @@
         return True
 
     def _is_named(self, service: str) -> bool:
-        """Tell whether the configuration in force leads to a service."""
+        """Return whether the configuration in force routes to a service."""
         return any(service in r.names for r in self.routes.by_address.values())
 
     def note_ended(self, now: float, target: str, born: int | None = None) -> None:
@@ -164,19 +164,19 @@
         self.membership.tick(now)
 
     def note_absent(self, now: float) -> None:
-        """Note that no target runs on this instance, if none was ever seen."""
+        """Note that no target runs on this instance, if none has been seen."""
         self.target.note_absent()
         self.membership.tick(now)
 
     def note_appeared(self, now: float) -> None:
-        """Note that a process runs where none did."""
+        """Note that a process now runs where none did."""
         self.target.note_appeared()
         self.membership.tick(now)
 
     def announce_end(self, now: float) -> None:
-        """Tell the others for the last time, as this process ends.
+        """Send the last messages to the other daemons before this process ends.
 
-        The flows of a target that has ended go with it.
+        If the target has ended, its flows are announced as ended too.
         """
         if self.target.gone:
             self.registry.tell_ended(now, list(self.flows.by_key.values()))
@@ -205,7 +205,7 @@
             self.registry.told(now, sender, head, body)
 
     def tick(self, now: float) -> None:
-        """Do what time demands; call it about twenty times a second."""
+        """Do all periodic work; call this about twenty times a second."""
         self.formers.tick(now)
         self.openings.tick(now)
         if self.target.is_dead(now) and len(self.flows):
@@ -225,7 +225,7 @@
             self.flows.expire(now, self.routes.idle_timeout, FLOWS_PER_EXPIRY)
 
     def _review_roster(self, now: float) -> None:
-        """Look over who is present; flows may have other homes now."""
+        """Refresh the roster; register flows again if their homes have changed."""
         changes = self.roster.refresh(now)
         if changes.come or changes.gone:
             self.log.event("roster", **changes.told())
@@ -233,7 +233,7 @@
             self.registry.register_all()
 
     def _change_service(self, service: str) -> None:
-        """Serve another service: nothing known of the former one holds."""
+        """Switch to another service and discard all state of the former service."""
         self.log.event("service.changed", service=service)
         self.membership.restart()
         self._make_home()
@@ -277,8 +277,8 @@
     def _wait_for_trial(self, now: float, head: Head, packet: Packet) -> None:
         """Handle a packet of a flow that is on trial here.
 
-        One packet is enough to find out; more would only reach a target that
-        may not be theirs. As the home, this agent goes on asking the others.
+        One packet is enough for a trial; more packets would only reach a target that
+        may not hold the flow. As the home, this agent keeps asking the others.
         """
         if head.marks & (Mark.SEARCH | Mark.POINTED):
             self.log.count("packets.waiting_for_trial")
@@ -286,12 +286,12 @@
             self.home.locate(now, head, packet)
 
     def _is_routed(self, now: float, sender: str, head: Head, packet: Packet) -> bool:
-        """Check that the packet may go to this service.
+        """Return whether the packet may go to this service.
 
-        The higher version of the two daemons decides. What goes wrong
-        without: an address is used again and a ticket reaches the ledger's
-        target, or an entry with an old configuration brings back a route. An
-        agent that has just started and has none takes what entries let pass.
+        The daemon with the higher configuration version decides. Without this check, a
+        ticket reaches the ledger's target when an address is reused, or an entry with
+        an old configuration restores a route. A new agent without a configuration
+        accepts what entries forward.
         """
         if head.service != tag(self.target.service):
             self.openings.send_back(now, sender, head, packet, Reason.WRONG_SERVICE)
@@ -334,10 +334,10 @@
             self.registry.tell_owner(now, head.entry, [flow.key])
 
     def _answer_search(self, now: float, asker: str, flow: Flow) -> None:
-        """Tell who searches for a flow, and its homes, that it is owned here.
+        """Report to a searching agent and to the flow's homes that it is owned here.
 
-        The asker may be none of its homes here. What goes wrong without
-        telling it: it goes on asking, and other targets get the packet.
+        The asker may not be one of its homes here. If it weren't notified, it would
+        continue to search, and other targets would receive the packet.
         """
         if asker and asker != self.address:
             self.registry.tell_owner(now, asker, [flow.key])
@@ -351,7 +351,7 @@
         self.registry.register(now, flow)
 
     def _misrouted(self, now: float, sender: str, head: Head, packet: Packet) -> None:
-        """Handle a packet of a flow that isn't known to be owned here."""
+        """Handle a packet of a flow that this agent isn't known to own."""
         asked = head.marks & (Mark.SEARCH | Mark.POINTED)
         if not asked:
             self.home.locate(now, head, packet)
@@ -367,7 +367,7 @@
     # Packets of the target
 
     def from_target(self, now: float, raw: bytes) -> None:
-        """Handle what the target sent."""
+        """Handle a packet that the target sent."""
         packet = self.codec.from_target(raw)
         if packet is None:
             self.log.count("packets.malformed")
@@ -384,21 +384,20 @@
         if packet.flags & Flag.OPENING or packet.length:
             self.target.note_working(now)
         else:
-            # Resets and acknowledgements also come where no target works any
-            # more. What goes wrong if they count: an instance whose target has
-            # ended comes back for a moment, is taken for one that holds flows,
-            # and nobody ends a flow for seconds after it has gone.
+            # Resets and acknowledgements also arrive when no target works any more. If
+            # they counted, an instance whose target has ended would reappear for a
+            # moment as a holder of flows, and no agent would end a flow for seconds
+            # after it has gone.
             self.target.heard(now)
         self.links.to_client(packet.flow, raw)
         self._answered(now, packet)
 
     def _reset_on_trial(self, now: float, flow: Flow) -> None:
-        """Take a reset of a flow on trial as "not mine", and keep it.
+        """Treat a reset of a flow on trial as a denial, and don't pass it on.
 
-        What goes wrong without: a target that is just starting, or has done
-        with an earlier flow from the same port, resets what it doesn't hold
-        instead of returning it, and the client loses its flow at the target
-        that does.
+        A target that is just starting, or that has finished an earlier flow from the
+        same port, resets a flow it doesn't hold instead of returning it. Passed on, the
+        reset would end the client's flow at the target that holds it.
         """
         self.target.heard(now)
         self.log.event("trial.reset", flow=flow.key, asker=flow.asker)
@@ -413,7 +412,7 @@
     def _answered(self, now: float, packet: Packet) -> None:
         flow = self.flows.get(packet.flow)
         if flow is None:
-            # This process is younger than the flow, or has given its opening up.
+            # This process is younger than the flow, or has abandoned its opening.
             flow = Flow(packet.flow, initial_state(packet), now, "", accepted_at=now)
             self.flows.add(flow)
             self.registry.register(now, flow)
@@ -436,14 +435,14 @@
             self.openings.admit(now)
 
     def _note_answer(self, now: float, flow: Flow, packet: Packet) -> bool:
-        """Note what the target answers; return whether a request was in progress."""
+        """Note an answer of the target; return whether a request was in progress."""
         if packet.flags & Flag.RESET:
             return self.requests.aborted(now, flow)
         if not packet.length and not packet.flags & Flag.CLOSING:
             return False
         if self.queue.note_sent(flow, packet):
             return False
-        # The end of a short answer may come before its data.
+        # The end of a short answer may arrive before its data.
         return self.requests.answered(now, flow, packet)
 
     def _accepted(self, now: float, flow: Flow, packet: Packet) -> None:
@@ -451,7 +450,7 @@
         flow.accepted_at = min(flow.accepted_at, now)
         self.openings.answered(flow)
         if flow.entry:
-            # The client's next packet comes in a few milliseconds.
+            # The client's next packet arrives in a few milliseconds.
             self.registry.tell_owner(now, flow.entry, [flow.key])
 
     def _returned(self, now: float, packet: Packet) -> None:
@@ -477,9 +476,9 @@
     def _disown(self, now: float, flow: Flow) -> None:
         """Tell the homes that a flow isn't owned here after all.
 
-        What goes wrong without: a target that hung kept the packets of a trial,
-        its agent took the flow for its own, and homes send every further packet
-        here although its owner lives.
+        Without this, if a target hung and kept the packets of a trial, its agent would
+        claim the flow, and homes would send every further packet here although the
+        flow's owner is alive.
         """
         self.log.event("flow.disowned", flow=flow.key, homes=flow.homes)
         self.trials.denied(now, flow.key)
@@ -488,8 +487,8 @@
 
     def _found(self, now: float, flow: Flow) -> None:
         self.log.event("flow.found", flow=flow.key, asker=flow.asker)
-        # Also if this agent isn't its home: a search that was begun here would
-        # go on and bring the packet to other targets.
+        # Also if this agent isn't its home: otherwise a search started here would
+        # continue and send the packet to other targets.
         self.home.learn(now, self.address, [flow.key])
         if flow.entry:
             self.registry.tell_owner(now, flow.entry, [flow.key])
--- a/packages/zinniahook-core/src/zinniahook_core/packets/allocation.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/allocation.py
@@ -1,9 +1,9 @@
-"""The room of a service as a whole, as one daemon sees it.
+"""The load of a service as a whole and the allocation of its slots.
 
-Loads: demand above the capacity of every target for seconds, from one data centre
-or of one kind of request. Agents whose openings wait tell how much by data centre
-and priority; from the last of these counts each home works out the same shares,
-without asking anyone. See ``docs/design/room.md``.
+This handles demand above the capacity of all targets for seconds, from one data centre
+or of one kind of request. Agents with waiting openings report their counts by data
+centre and priority. From the latest counts, each home computes the same shares without
+asking any other daemon. See ``docs/design/room.md``.
 """
 
 from __future__ import annotations
@@ -39,63 +39,63 @@
 ROW_FORMAT = struct.Struct("!HBHB")
 BUSY_UNITS = 100
 MAX_PRIORITY = 0xFF
-"""Priorities above are counted with this one."""
+"""Higher priorities are counted as this one."""
 
 MAX_WAITING = 0xFF
 MAX_UINT16 = 0xFFFF
 MAX_ROWS = 16
-"""Rows that an agent tells, 6 bytes each: four data centres and four priorities."""
+"""Rows in an agent's report, 6 bytes each: four data centres and four priorities."""
 
 MAX_COUNTS_AGE_SECONDS = 2.0
-"""Seconds for which counts are used. In a large service statuses come more rarely,
-and it is judged by the members that were heard within that time."""
+"""Maximum age of counts in seconds. In a large service statuses come less often, and
+the service is judged by the members heard within that time."""
 
 MIN_SAMPLE_SHARE = 0.25
-"""Share of the ready members whose counts must be known. What goes wrong without:
-a daemon that is cut off from most sees two full agents and rejects for all."""
+"""Share of the ready members whose counts must be known. Otherwise a daemon that is cut
+off from most agents would see two full ones and reject openings for all."""
 
 OVERLOAD_FULL_SHARE = 0.9
-"""Share of the slots at which openings must wait for an overload to begin: the
-others are too few to reach all of a flow's takers."""
+"""Share of the slots, at members with waiting openings, at which an overload begins:
+the other slots are too few to reach all candidates of a flow."""
 
 RELIEF_FULL_SHARE = 0.7
-"""The same below which it ends. What goes wrong with one bound for both: each
-status that tells of an empty queue turns rejecting off, and the next one on."""
+"""Share of such slots below which an overload ends. With one threshold for both, each
+status that reports an empty queue would turn rejecting off, and the next one on."""
 
 RELIEF_DEMAND = 0.9
-"""Demand, in capacities, below which an overload ends."""
+"""Demand as a share of capacity below which an overload ends."""
 
 FLOOR_SHARE = 0.5
-"""Part of an even share that each kind of each data centre gets before weights
-count, so that the least urgent one isn't left without any."""
+"""Part of an even share that each traffic class gets before weights count, so that the
+least urgent class always gets some slots."""
 
 PRIORITY_WEIGHT_RATIO = 0.5
-"""Weight of a priority in that of the next more urgent one."""
+"""Weight of a priority relative to the next more urgent one."""
 
 MIN_REVIEW_INTERVAL_SECONDS = 0.2
 MEMBERS_REVIEWED_PER_SECOND = 1600
-"""Seconds between two looks at the members, and members looked at in a second."""
+"""Minimum seconds between two reviews of the members, and members reviewed a second."""
 
 REJECT_AFTER_SECONDS = 4.2
-"""Seconds that an overload must have lasted before anything is rejected: three
-tries of a client that hears nothing. What goes wrong without: a client that is
-rejected at once uses up its tries within a second, while one that hears nothing
-would have been served at its last try, after a short overload."""
+"""Seconds that an overload must have lasted before openings are rejected: three tries
+of a client that gets no answer. In a short overload, a client that is rejected
+immediately uses up its tries within a second, while one that gets no answer would
+have been served at its last try."""
 
 MIN_ANSWER_SECONDS = 0.001
-"""Seconds that an answer is taken to need at least: members that have answered
-nothing yet tell 0, and no wait would follow from any number of openings."""
+"""Assumed minimum for the answer time: members that have answered nothing yet report 0,
+and no number of openings would then lead to a wait."""
 
 
 class TrafficClass(NamedTuple):
-    """One kind of request of one data centre: the tag of it and the priority."""
+    """The requests of one data centre, given by its tag, with one priority."""
 
     zone: int
     priority: int
 
 
 class Count(NamedTuple):
-    """Requests of one cell at one agent: in progress, and openings that wait."""
+    """Requests of one class at one agent: in progress, and openings that wait."""
 
     busy: float
     waiting: int
@@ -104,9 +104,16 @@
 class Allocation(NamedTuple):
     """How a service's slots are shared.
 
-    ``demand`` and ``capacity`` are in slots, ``full`` is the share of the slots at
-    members where openings wait, ``slots_by_class`` are slots, and ``waits_by_class``
-    seconds.
+    Attributes
+    ----------
+    demand, capacity : float
+        In slots.
+    full : float
+        Share of the slots at members with waiting openings.
+    slots_by_class : dict
+        Slots allocated to each class.
+    waits_by_class : dict
+        Seconds that an opening of each class waits.
     """
 
     demand: float
@@ -116,7 +123,7 @@
     waits_by_class: dict[TrafficClass, float]
 
     def shares_by_priority(self) -> dict[int, float]:
-        """Return the slots of each priority, of all data centres together."""
+        """Return the slots of each priority, summed over all data centres."""
         by_priority: dict[int, float] = {}
         for traffic_class, share in self.slots_by_class.items():
             by_priority[traffic_class.priority] = (
@@ -126,7 +133,7 @@
 
 
 def encode_counts(counts_by_class: Mapping[TrafficClass, Count]) -> bytes:
-    """Return what an agent tells of its requests, the largest cells first."""
+    """Encode the counts of an agent's requests, the largest classes first."""
     rows = sorted(
         counts_by_class.items(),
         key=lambda item: (-item[1].waiting, -item[1].busy, item[0]),
@@ -143,7 +150,7 @@
 
 
 def decode_counts(body: bytes) -> dict[TrafficClass, Count]:
-    """Read what an agent told; nothing if it is malformed."""
+    """Decode the counts that an agent reported; empty if malformed."""
     if len(body) % ROW_FORMAT.size:
         return {}
     counts: dict[TrafficClass, Count] = {}
@@ -156,14 +163,17 @@
 def max_min(
     wants: Sequence[float], weights: Sequence[float], capacity: float
 ) -> list[float]:
-    """Divide a capacity: nobody gets more than wanted, the rest goes by weight."""
+    """Divide a capacity by max-min fairness, in proportion to the weights.
+
+    No share exceeds what is wanted.
+    """
     given = [0.0] * len(wants)
     left = capacity
-    # Who wants least for its weight is satisfied first.
+    # The smallest demand relative to its weight is satisfied first.
     order = sorted(range(len(wants)), key=lambda i: wants[i] / weights[i])
     weight_left = sum(weights)
     for index in order:
-        # Weights that differ by more than a number holds leave nothing at the end.
+        # If weights differ by more than a float can represent, none is left at the end.
         share = left * weights[index] / weight_left if weight_left > 0 else left
         given[index] = min(wants[index], max(0.0, share))
         left -= given[index]
@@ -174,7 +184,7 @@
 def divide_slots(
     demand_by_class: Mapping[TrafficClass, float], capacity: float
 ) -> dict[TrafficClass, float]:
-    """Return the slots of each cell: a floor for each, the rest by priority."""
+    """Return the slots of each class: a floor for each, the rest by priority."""
     classes = sorted(demand_by_class)
     if not classes:
         return {}
@@ -196,7 +206,7 @@
 
 @dataclass(slots=True)
 class _Totals:
-    """What the members of a sample tell together."""
+    """Sums over the members of a sample."""
 
     busy: float = 0.0
     waiting: int = 0
@@ -211,7 +221,7 @@
         slots = member.slots / (WARMING_FACTOR if member.warming > 0 else 1.0)
         self.slots += slots
         self.full_slots += slots if waiting else 0.0
-        # Members tell counts only while openings wait, their load always.
+        # Members report counts only while openings wait, but their load always.
         self.busy += min(member.busy, member.slots) if not waiting else 0.0
         self.waiting += waiting
         self.answer_time_by_slots += member.answer_time * slots
@@ -224,10 +234,10 @@
 
 
 def allocate(now: float, members: Iterable[Member]) -> Allocation | None:
-    """Return how members share their slots; None if too little is known.
+    """Return how members share their slots; None if too few have reported.
 
-    ``members`` are those that may open flows. All numbers are of those that have
-    told lately: parts of the whole that compare as the whole does.
+    ``members`` are those that may open flows. All numbers cover only the members that
+    have reported recently; their proportions are those of the whole service.
     """
     total, heard, known = 0, 0, _Totals()
     for member in members:
@@ -271,7 +281,7 @@
     def section(
         self, now: float, routes: Routes, waiting: Mapping[tuple[int, int], int]
     ) -> bytes:
-        """Return what the agent tells; ``waiting`` are the openings by cell."""
+        """Return the agent's report; ``waiting`` are the openings by class."""
         if now - self._at >= MIN_REVIEW_INTERVAL_SECONDS:
             self._at = now
             self._count(routes)
@@ -295,10 +305,14 @@
 
 
 class ServiceLoad:
-    """What one home believes of its service's room.
+    """A home's view of its service's load.
 
-    ``since`` is since when the service is overloaded, None if it isn't,
-    ``allocation`` what was worked out last.
+    Attributes
+    ----------
+    since : float or None
+        When the current overload began, None if there is none.
+    allocation : Allocation or None
+        The last allocation computed.
     """
 
     def __init__(self) -> None:
@@ -307,16 +321,16 @@
         self._reviewed_at = float("-inf")
 
     def is_due(self, now: float, members: int) -> bool:
-        """Tell whether the members should be looked over again."""
+        """Return whether the members should be reviewed again."""
         pause = max(MIN_REVIEW_INTERVAL_SECONDS, members / MEMBERS_REVIEWED_PER_SECOND)
         return now - self._reviewed_at >= pause
 
     def clear(self) -> None:
-        """Forget everything, as the part is off."""
+        """Discard all state, as the feature is off."""
         self.since = self.allocation = None
 
     def review(self, now: float, members: Iterable[Member]) -> bool:
-        """Look over the members; return whether an overload began or ended."""
+        """Review the members; return whether an overload began or ended."""
         self._reviewed_at = now
         self.allocation = allocate(now, members)
         former = self.since is not None
@@ -336,7 +350,7 @@
         return known.demand > known.capacity and known.full >= OVERLOAD_FULL_SHARE
 
     def gauges(self) -> dict[str, float]:
-        """Return what a scrape tells, in slots; nothing if nothing is known."""
+        """Return the gauges for a scrape, in slots; empty if nothing is known."""
         known = self.allocation
         if known is None:
             return {}
@@ -349,7 +363,7 @@
         }
 
     def log_fields(self, traffic_class: TrafficClass | None = None) -> dict[str, Any]:
-        """Return what a line of the log tells, of one cell or of all."""
+        """Return the fields for a log line, of one class or of all classes."""
         known = self.allocation
         if known is None:
             return {}
@@ -370,12 +384,12 @@
         return fields
 
     def excess(self, now: float, traffic_class: TrafficClass, goal: float) -> float:
-        """Return the share of a cell's new openings that can't be served.
+        """Return the share of a class's new openings that can't be served.
 
-        Those are the ones that would wait until they are given up. It is 0 until
-        the overload has lasted for longer than callers want to wait and than a
-        client tries, and it grows from 0: a small error of the counts changes
-        little.
+        These are the openings that would wait until their clients give up. The share is
+        0 until the overload has lasted longer than the route's goal and than a client's
+        tries, and it grows from 0, so that a small error of the counts has little
+        effect.
         """
         if self.since is None or self.allocation is None:
             return 0.0
@@ -386,9 +400,9 @@
 
 
 def all_wait(now: float, takers: Iterable[Member]) -> bool:
-    """Tell whether openings wait at every one of some members, for sure.
+    """Return whether openings certainly wait at every given member.
 
-    One whose counts are old may have a free slot.
+    A member whose counts are old may have a free slot.
     """
     for member in takers:
         if now - member.told_at > MAX_COUNTS_AGE_SECONDS or member.has_room:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/attempts.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/attempts.py
@@ -1,4 +1,4 @@
-"""Where the copies of openings were sent."""
+"""Agents that the copies of openings were sent to."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class Attempts:
-    """Where the copies of one opening were sent, or that it was rejected."""
+    """Agents that the copies of one opening were sent to, or its rejection."""
 
     sequence: int
     at: float
--- a/packages/zinniahook-core/src/zinniahook_core/packets/backlog.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/backlog.py
@@ -1,13 +1,13 @@
-"""Openings that wait at an agent until its target has room.
-
-Loads: all targets return at the same moment, cold, and meet the openings of
-seconds; a third of the targets is lost at the busiest time. A target refuses
-what its own queue can't take, which costs the client one of its three tries,
-and serves the rest in turn, so that after a backlog of one second every
-request is late for as long as the load stays near the capacity. Here those
-that can still be answered within their route's goal go first, by the route's
-priority, and of each class the newest: it has the most time left, and an older
-one loses little by waiting longer. The others follow in the same order.
+"""Openings that wait at an agent until its target has capacity.
+
+This handles all targets that return at the same moment, cold, and receive the openings
+of seconds, and the loss of a third of the targets at the busiest time. A target refuses
+what its own queue can't hold, which costs the client one of its three tries, and serves
+the rest in order of arrival. After a backlog of one second, every request would be late
+for as long as the load stays near the capacity. Here, the openings that can still be
+answered within their route's goal go first, by the route's priority, and within each
+priority the newest: it has the most time left, and an older one loses little by waiting
+longer. The others follow in the same order.
 """
 
 from __future__ import annotations
@@ -22,26 +22,25 @@
 __all__ = ["Opening", "Backlog"]
 
 MAX_WAIT_SECONDS = 1.2
-"""Seconds an opening may wait: a client gives up its try after 1.4 s, and the
-answer to the opening needs some of them."""
+"""Seconds that an opening may wait: a client ends its try after 1.4 s, and the answer
+to the opening needs some of them."""
 
 COPY_AGES_SECONDS = (0.0, 0.2, 0.6)
 """Seconds since a client began, by the number of the opening's copy."""
 
 MAX_OPENINGS = 512
-"""Openings that wait at most; the oldest makes room."""
+"""Openings that wait at most; above it, the oldest is dropped."""
 
 EXTRA_OPENINGS = 1
-"""Requests that a target may have in progress above its slots. One keeps its
-slots busy while the next opening takes its two trips to the client; each more
-waits at the target for a quarter of a request's time, in the order of
-arrival."""
+"""Requests that a target may have in progress above its slots. One keeps its slots busy
+while the next opening takes its two trips to the client; each further one waits at
+the target for a quarter of a request's time, in order of arrival."""
 
 
 class Opening(NamedTuple):
     """An opening that waits, and the home that placed it.
 
-    ``begun`` is when its client first sent it, as far as copies tell.
+    ``begun`` is when its client first sent it, as far as its copies show.
     """
 
     begun: float
@@ -71,7 +70,7 @@
         packet: Packet,
         urgency: Urgency,
     ) -> None:
-        """Let an opening wait; a copy of one that waits changes nothing."""
+        """Add an opening; a copy of a waiting opening changes nothing."""
         known = self._by_flow.get(packet.flow)
         if known is not None:
             if known.packet.sequence == packet.sequence:
@@ -83,7 +82,7 @@
             self._drop(min(self._oldest(), key=lambda waiting: waiting.begun))
 
     def put(self, opening: Opening) -> None:
-        """Let an opening wait, or go on waiting."""
+        """Add an opening, or put it back."""
         flow = opening.packet.flow
         self._by_flow[flow] = opening
         flows = self._flows_by_priority.setdefault(opening.urgency.priority, [])
@@ -93,7 +92,7 @@
     def take(self, now: float, answer_time: float) -> Opening | None:
         """Return the opening to serve next, None if none waits.
 
-        ``answer_time`` is how many seconds an answer takes lately.
+        ``answer_time`` is how many seconds an answer takes recently.
         """
         newest = [
             self._by_flow[flows[-1][1]]
@@ -107,7 +106,7 @@
         return opening
 
     def clear(self) -> list[Opening]:
-        """Return all openings, the newest first, and forget them."""
+        """Remove and return all openings, the newest first."""
         openings = sorted(self._by_flow.values(), key=lambda o: o.begun, reverse=True)
         self._by_flow.clear()
         self._flows_by_priority.clear()
@@ -115,7 +114,7 @@
         return openings
 
     def expire(self, now: float) -> list[Opening]:
-        """Forget those that waited too long, and return them."""
+        """Remove and return those that waited too long."""
         expired: list[Opening] = []
         while over := [o for o in self._oldest() if now - o.begun >= MAX_WAIT_SECONDS]:
             for opening in over:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/buffers.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/buffers.py
@@ -1,7 +1,7 @@
-"""Packets for agents that an entry has never heard.
+"""Packets for agents that an entry hasn't heard from yet.
 
-When all processes start at once, an entry may run before the agents. What goes
-wrong without: whatever clients send in that time is lost until they repeat it.
+When all processes start at once, an entry may run before the agents. Without this
+buffer, packets that clients send in that time would be lost until they repeat them.
 """
 
 from __future__ import annotations
@@ -13,14 +13,13 @@
 __all__ = ["PacketBuffer"]
 
 MAX_HELD_SECONDS = 0.5
-"""Seconds for which a packet to an agent that was never heard is held: a client
-repeats an opening after 0.2 and 0.6 s itself."""
+"""Maximum seconds that a packet for an unheard agent is held: a client repeats an
+opening after 0.2 and 0.6 s itself."""
 
 MIN_HELD_SECONDS = 0.02
-"""Seconds that a packet must have been held to be routed again: an agent that
-runs tells of itself sooner. What goes wrong without: an
-agent that has the opening already gets it again, or another one does, and the
-client's flow stands at two targets."""
+"""Seconds that a packet must have been held to be routed again: a running agent sends a
+status sooner. Otherwise an agent would get an opening twice, or another agent would
+get it too, and the client's flow would be open at two targets."""
 
 MAX_HELD_PACKETS = 1024
 """Packets held in all, 1.3 MB."""
@@ -47,19 +46,19 @@
         return list(self._held_by_agent)
 
     def add(self, now: float, address: str, packet: Packet) -> None:
-        """Hold a packet until its agent has told of itself."""
+        """Hold a packet until its agent has sent a status."""
         if self._count < MAX_HELD_PACKETS:
             self._count += 1
             self._held_by_agent.setdefault(address, []).append(_Held(now, packet))
 
     def release(self, now: float, address: str) -> list[Packet]:
-        """Forget what is held for an agent; return what it can't have got."""
+        """Remove an agent's packets; return those that it can't have received."""
         held = self._held_by_agent.pop(address, [])
         self._count -= len(held)
         return [each.packet for each in held if now - each.at >= MIN_HELD_SECONDS]
 
     def expire(self, now: float) -> None:
-        """Forget what was held for too long: its client has sent it again."""
+        """Drop packets that were held for too long, as clients have repeated them."""
         for address, held in list(self._held_by_agent.items()):
             kept = [each for each in held if now - each.at <= MAX_HELD_SECONDS]
             self._count -= len(held) - len(kept)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/capacity.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/capacity.py
@@ -1,12 +1,13 @@
-"""How many requests a target really works on at once, and what cold costs.
-
-Loads: a target whose heartbeats tell more slots than it has, so that requests
-queue inside it while others idle; one that tells too few and stands half idle;
-one that warms up slowly or quickly. The agent knows from its own counts how
-long answers take with so many requests in progress. With `c` slots and `n` in
-progress an answer takes `max(1, n / c)` times as long as alone (Little's law:
-what leaves in a second is `c` by the time of one). The `c` that fits the times
-best is learned, if it fits clearly better than what the heartbeat tells.
+"""Slots of a target and its slowdown while cold, learned from answer times.
+
+This handles a target whose heartbeats report more slots than it has, so that requests
+queue inside it while others are idle; one that reports too few and is half idle; and
+one that warms up slowly or quickly. The agent knows from its own counts how long
+answers take at each number of requests in progress. With `c` slots and `n` requests in
+progress, an answer takes `max(1, n / c)` times as long as with a single request
+(Little's law: the throughput is `c` divided by the time of one request). The `c` that
+fits the times best is learned if it fits clearly better than the number in the
+heartbeat.
 """
 
 from __future__ import annotations
@@ -17,27 +18,26 @@
 __all__ = ["Capacity"]
 
 MEMORY_ANSWERS = 400
-"""Answers that count at each number of requests in progress: their mean is off by
-a fortieth, and a slot more or less changes it by more."""
+"""Answers that count at each number of requests in progress: their mean is off by a
+fortieth, and one slot more or less changes it by more."""
 
 FADE_SECONDS = 60.0
 """Seconds in which an answer's weight falls to a third."""
 
 MIN_ANSWERS = 20.0
-"""Answers without which a mean says nothing: those of one route differ by half
-of their mean, so that the mean of 20 is off by a tenth."""
+"""Answers required for a mean: the times of one route vary by half of their mean, so
+the mean of 20 is off by a tenth."""
 
 MIN_GAIN = 16.0
-"""Gain in the sum of squares, in units of the variance, at which another number
-than the told one is believed: four standard deviations, as it is looked at with
-each answer."""
+"""Gain in the sum of squares, in units of the variance, from which a number other than
+the reported one is used: four standard deviations, as a fit may follow each answer."""
 
 MAX_RATIO = 4
-"""The learned number lies between a quarter of what was told and four times it:
-beyond, it is the counts that are wrong."""
+"""The learned number is at least a quarter of the reported one and at most four times
+it: beyond that, the counts are wrong."""
 
 FIT_INTERVAL_SECONDS = 1.0
-"""Seconds between two fits, which cost as much as a hundred packets."""
+"""Seconds between two fits, each of which costs as much as a hundred packets."""
 
 MAX_CONCURRENCY = 256
 MAX_ROUTES = 256
@@ -46,11 +46,11 @@
 """Factor above which a target isn't cold but failing."""
 
 MIN_VARIANCE = 0.5
-"""Variance of the time of single answers, in squares of their mean, at least."""
+"""Minimum variance of the time of single answers, in squares of their mean."""
 
 
 class Tally:
-    """Answers and how long they took, against alone; older ones weigh less."""
+    """Times of answers relative to unloaded ones; older ones weigh less."""
 
     __slots__ = ("at", "count", "expected", "seconds", "squares")
 
@@ -62,7 +62,7 @@
         self.squares = 0.0
 
     def add(self, now: float, took: float, expected: float) -> None:
-        """Count an answer that takes ``expected`` if the target does nothing else."""
+        """Count an answer that takes ``expected`` seconds on an idle target."""
         kept = (1 - 1 / MEMORY_ANSWERS) * math.exp(
             min(0.0, self.at - now) / FADE_SECONDS
         )
@@ -74,7 +74,7 @@
 
     @property
     def ratio(self) -> float:
-        """How much longer answers take than alone."""
+        """How many times longer answers take than on an idle target."""
         return self.seconds / self.expected
 
     @property
@@ -84,12 +84,12 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether there were enough."""
+        """Whether enough answers were counted."""
         return self.count >= MIN_ANSWERS
 
 
 class Sample(NamedTuple):
-    """How much longer answers take with ``concurrency`` requests in progress."""
+    """How many times longer answers take with ``concurrency`` requests in progress."""
 
     concurrency: int
     ratio: float
@@ -97,10 +97,7 @@
 
 
 class Capacity:
-    """What a target was measured to bear.
-
-    ``cold`` is how much longer it takes while it is cold, None if not measured.
-    """
+    """The measured capacity of a target."""
 
     def __init__(self) -> None:
         self._unloaded_by_tag: dict[int, Tally] = {}
@@ -111,14 +108,14 @@
         self._fitted_at = float("-inf")
 
     def renew(self) -> None:
-        """Forget the slots of a former target, not how long a request takes alone."""
+        """Forget a former target's slots, but not how long a request takes unloaded."""
         self._by_concurrency.clear()
         self._learned = 0
 
     def answered(
         self, now: float, tag: int, took: float, concurrency: int, cold: bool
     ) -> None:
-        """Take a good answer, begun with ``concurrency`` requests in progress."""
+        """Record a good answer, begun with ``concurrency`` requests in progress."""
         if not 0 < concurrency < MAX_CONCURRENCY or took <= 0:
             return
         unloaded = self._unloaded_by_tag.get(tag)
@@ -148,16 +145,16 @@
 
     @property
     def cold(self) -> float | None:
-        """How much longer it takes while it is cold, None if not measured."""
+        """How many times longer it takes while it is cold, None if not measured."""
         if not self._cold.is_known:
             return None
         return min(MAX_COLD_FACTOR, max(1.0, self._cold.ratio))
 
     def slots(self, reported: int) -> int:
-        """Return how many requests it works on at once, told or learned.
+        """Return how many requests it works on at once, reported or learned.
 
-        The told number holds until enough answers were counted, those to a single
-        request in progress among them.
+        The reported number holds until enough answers were counted, including those to
+        a single request in progress.
         """
         if reported != self._reported:
             self._reported = reported
@@ -179,7 +176,7 @@
         return best if errors[reported] - errors[best] > MIN_GAIN else reported
 
     def _samples(self) -> list[Sample]:
-        """Return the levels that can be compared."""
+        """Return the samples that can be compared."""
         first = self._by_concurrency.get(1)
         if first is None or not first.is_known:
             return []
@@ -194,14 +191,17 @@
 def _sample(
     concurrency: int, tally: Tally, unloaded: float, base_variance: float
 ) -> Sample:
-    """Compare the times at one concurrency with the unloaded ones."""
+    """Compare the times at one concurrency with the unloaded ones.
+
+    ``base_variance`` is the variance of the unloaded mean.
+    """
     ratio = tally.ratio / unloaded
     variance = tally.variance / tally.count + base_variance * ratio * ratio
     return Sample(concurrency, ratio, 1 / variance)
 
 
 def _error(samples: list[Sample], slots: int) -> float:
-    """Return how badly a number of slots explains the times."""
+    """Return the weighted squared error of the times for a number of slots."""
     return sum(
         weight * (ratio - max(1.0, concurrency / slots)) ** 2
         for concurrency, ratio, weight in samples
--- a/packages/zinniahook-core/src/zinniahook_core/packets/flows.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/flows.py
@@ -11,47 +11,46 @@
 
 SEQUENCE_SPAN = 1 << 32
 ACKNOWLEDGED_WINDOW_BYTES = 1 << 24
-"""Bytes that a target may have sent in a flow: what a client acknowledges lies
-that close after the target's first number. Another target's random number
-passes by chance once in 256 times."""
+"""Bytes that a target may have sent in a flow: a client's acknowledgement is at most
+that far after the target's initial number. The random number of another target
+matches by chance once in 256 times."""
 
 OPENING_WINDOW_BYTES = 1 << 10
-"""The same until the client has chosen: a target sends nothing before, so the
-client acknowledges its first number alone. Another target's number passes once
-in four million times."""
+"""The same until the client has chosen a target: a target sends nothing before, so the
+client acknowledges only its initial number. Another target's number matches once in
+four million times."""
 
 IDLE_SLACK_SECONDS = 5.0
 CLOSED_FLOW_SECONDS = 3.0
-"""Seconds that a flow which both ends have closed stays known, for repeated last
-packets: a client repeats one after at most 1.6 s."""
+"""Seconds that a flow closed by both ends stays known, for repeated last packets: a
+client repeats one after at most 1.6 s."""
 
 MEAN_FADE_SECONDS = 0.4
-"""Seconds over which the mean number of requests in progress fades: two
-statuses."""
+"""Seconds over which the mean number of requests in progress fades: two statuses."""
 
 ABANDONED_SECONDS = 3.0
-"""Seconds after which a request without an answer no longer counts as work in
-progress: its client has given up, or its answer got lost."""
+"""Seconds after which a request without an answer no longer counts as work in progress:
+its client has given up, or its answer was lost."""
 
 UNUSED_OPENING_SECONDS = 0.3
-"""The same for an opening that its client didn't use: another target was
-faster. Two trips to the client take 16 ms at most."""
+"""The same for an opening that its client didn't use because another target was faster.
+Two round trips to the client take 16 ms at most."""
 
 HALF_OPEN_SECONDS = 3.0
-"""Seconds for an opening: a client gives up after 1.4 s."""
+"""Seconds that an unanswered opening is kept: a client gives up after 1.4 s."""
 
 
 class FlowState(enum.Enum):
-    """How sure an agent is that its target holds a flow."""
+    """How certain an agent is that its target holds a flow."""
 
     OFFERED = "offered"
-    """An opening was given to the target; the client hasn't chosen it yet."""
+    """An opening was sent to the target; the client hasn't chosen this target yet."""
 
     OPEN = "open"
     """A packet of the client acknowledged the target's own number."""
 
     TRIED = "tried"
-    """A packet was given to the target to see whether it returns it."""
+    """A packet was sent to the target to see whether the target returns it."""
 
     CLOSED = "closed"
 
@@ -124,9 +123,9 @@
     def is_awaited(self) -> bool:
         """Whether its client may still send anything.
 
-        What goes wrong if one that its target has closed doesn't count: its client
-        closes it seconds later, nobody knows the flow any more, and the service
-        is searched for each copy of the closing.
+        A flow that only its target has closed counts: its client closes it seconds
+        later. If the flow were unknown by then, the service would be searched for each
+        copy of the closing.
         """
         if self.state is FlowState.CLOSED:
             return not self.client_closed
@@ -134,16 +133,16 @@
 
     @property
     def is_proven(self) -> bool:
-        """Whether this process has seen the target open it and the client choose."""
+        """Whether this process has seen the target open it and the client choose it."""
         settled = self.state in (FlowState.OPEN, FlowState.CLOSED)
         return settled and self.target_isn is not None
 
     def matches(self, acknowledged: int) -> bool:
-        """Tell whether a client's packet can belong to this target's flow.
+        """Return whether a client's packet can belong to this target's flow.
 
-        What goes wrong without: two targets answered copies of one opening,
-        the client chose the other one, and this one swallows its packets, or
-        returns them and passes for one that has lost the flow: a reset ends it.
+        Two targets may have answered copies of one opening. If the client chose the
+        other one, this target would swallow its packets, or return them and seem to
+        have lost the flow, which would then be reset.
         """
         if self.target_isn is None:
             return self.state is not FlowState.OFFERED
@@ -156,7 +155,7 @@
 
 
 class Gauge:
-    """A count and its mean over the last moments."""
+    """A count and its fading mean."""
 
     __slots__ = ("_at", "_mean", "value")
 
@@ -182,9 +181,9 @@
 class Flows:
     """The flows of one agent, by their keys.
 
-    ``busy`` counts flows with a request in progress, an opening that was offered
-    among them; ``working`` only those whose request the target has got, and only
-    where requests wait for slots.
+    ``busy`` counts flows with a request in progress, including offered openings;
+    ``working`` counts only those whose request the target has received, and only where
+    requests wait for slots.
     """
 
     def __init__(self) -> None:
@@ -202,11 +201,11 @@
         return self._busy.value
 
     def load(self, now: float) -> float:
-        """Return requests in progress, half of it as the recent mean.
+        """Return the load: the mean of the requests in progress now and recently.
 
-        What goes wrong with the count alone: openings come in a rhythm, a
-        status that is sent just before them always tells of an idle target,
-        and every home sends its openings there.
+        With the present count alone, openings that arrive periodically would cause a
+        status sent just before them to report an idle target each time, and every home
+        would send its openings there.
         """
         return (self._busy.value + self._busy.mean(now)) / 2
 
@@ -215,13 +214,13 @@
         return self.by_key.get(key)
 
     def add(self, flow: Flow) -> Flow:
-        """Add a flow in place of one with the same key."""
+        """Add a flow, replacing any with the same key."""
         self.drop(flow.key)
         self.by_key[flow.key] = flow
         return flow
 
     def drop(self, key: bytes) -> Flow | None:
-        """Forget a flow."""
+        """Remove a flow and return it."""
         flow = self.by_key.pop(key, None)
         if flow is not None and flow.requested_at is not None:
             self._busy.add(flow.last_seen, -1)
@@ -232,8 +231,8 @@
     def asked(self, now: float, flow: Flow) -> None:
         """Note that the client sends a request, or is about to.
 
-        An opening counts already: its request follows in a few milliseconds,
-        and the target would look idle until then.
+        An opening counts already: its request follows in a few milliseconds, and the
+        target would look idle until then.
         """
         if flow.requested_at is None:
             self._busy.add(now, 1)
@@ -242,25 +241,24 @@
             flow.requested_at = now
 
     def began(self, flow: Flow) -> None:
-        """Note that the target has got a request, and not just an opening."""
+        """Note that the target has received a request, not only an opening."""
         if not flow.working:
             flow.working = True
             self.working += 1
 
     def forget_work(self) -> None:
-        """Forget what the target worked on: another one has taken its place.
+        """Clear the work in progress of a target that was replaced.
 
-        What goes wrong without: requests wait for slots that the former one has
-        taken with it.
+        Otherwise requests would wait for slots that were lost with the former target.
         """
         for flow in self.by_key.values():
             self._done(flow)
 
     def forget_numbers(self) -> None:
-        """Forget what targets got and sent; it wasn't followed for a while.
+        """Clear the sequence numbers, which weren't tracked for a while.
 
-        What goes wrong without: a request seems to lack its first packet, and
-        waits for a client that has nothing to repeat.
+        Otherwise a request would seem to lack its first packet and would wait for a
+        client that has nothing to repeat.
         """
         for flow in self.by_key.values():
             flow.received_until = flow.sent_until = None
@@ -271,7 +269,7 @@
             self.working -= 1
 
     def answered(self, now: float, flow: Flow) -> float | None:
-        """Note that the target answers; return the time since the request."""
+        """Note that the target answers; return the seconds since the request."""
         if flow.requested_at is None:
             return None
         took = now - flow.requested_at
@@ -282,7 +280,7 @@
         return took
 
     def expire(self, now: float, idle: float, most: int) -> int:
-        """Forget up to ``most`` flows that ended; return how many."""
+        """Remove ended flows among the next ``most`` flows; return their number."""
         expired = 0
         for _ in range(most):
             key = next(self._sweep, None)
@@ -294,7 +292,7 @@
                 continue
             if flow.requested_at is not None and now - flow.requested_at > _stale(flow):
                 self.answered(now, flow)
-                # If its client goes on with it, it is work again.
+                # If its client continues it, it counts as work again.
                 flow.received_until = None
             if now - flow.last_seen > _kept(flow, idle):
                 self.drop(key)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/forecasts.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/forecasts.py
@@ -1,11 +1,11 @@
-"""What open flows are going to ask of their target.
-
-Loads: most requests come on flows that are open already, and each goes
-to the target that was chosen at its opening. The agent looks over its flows and
-learns, by route, how much of a flow's life a request takes and how many more
-requests an open flow brings. Agents tell each other these shares and use the mean
-of all. What an agent's flows promise stands in its status beside its present load;
-see ``docs/design/room.md``.
+"""Forecast of the requests that open flows will send to their target.
+
+Most requests arrive on flows that are already open, and each goes to the target that
+was chosen at the flow's opening. The agent samples its flows and learns, by route, for
+which share of a flow's life a request is in progress and how many more requests an open
+flow brings. Agents exchange these shares and use the mean of all. The requests expected
+of an agent's flows are part of its status, beside its present load; see
+``docs/design/room.md``.
 """
 
 from __future__ import annotations
@@ -28,42 +28,41 @@
 SHARE_FORMAT = struct.Struct("!HH")
 SHARE_SCALE = 10_000
 MAX_REPORTED_ROUTES = 8
-"""Routes whose shares an agent tells, those with most flows: 4 bytes each."""
+"""Routes whose shares an agent reports, those with most flows: 4 bytes each."""
 
 POOL_INTERVAL_SECONDS = 1.0
-"""Seconds between two looks at what the others have learned."""
+"""Seconds between two updates of the shares from other agents."""
 
 EXPECTED_SCALE = 100
 MAX_UINT16 = 0xFFFF
 
 DEFAULT_BUSY_SHARE = 0.01
-"""Requests in progress that an open flow counts as until its route is known: a
-client that pauses for a hundred times as long as its requests take."""
+"""Requests in progress that an open flow counts as until its route is known: a client
+that pauses for a hundred times as long as its requests take."""
 
 DEFAULT_LATER_REQUESTS = 1.0
 MAX_LATER_REQUESTS = 8.0
-"""Requests to come of a flow whose route isn't known yet, and at most: what comes
-later is seen by other choices too, and a slot that is free now isn't left free
-for it."""
+"""Later requests of a flow, the default for an unknown route and the maximum: other
+placements see later requests too, and no free slot is kept free for them."""
 
 MIN_SAMPLES = 50
-"""Sights of open flows from which a route counts as known: a share of a tenth is
-then known to half of itself."""
+"""Samples of open flows from which a route counts as known: a share of a tenth is then
+known to within half of its value."""
 
 SWEEP_DECAY = 0.98
-"""What a sweep over the flows leaves of earlier ones. The last fifty count: ten
-seconds with few flows, minutes with thousands."""
+"""Weight that earlier sweeps over the flows keep after a sweep. The last fifty count:
+ten seconds with few flows, minutes with thousands."""
 
 SAMPLE_INTERVAL_SECONDS = 0.2
 FLOWS_PER_SAMPLE = 200
-"""Flows looked at each time, 1,000 a second: a sweep over many flows takes longer,
-and its numbers are older, but no tick does."""
+"""Flows sampled each time, 1,000 a second: a sweep over many flows takes longer and its
+numbers are older, but no tick takes longer."""
 
 MAX_ROUTES = 1024
 
 
 class _RouteSample:
-    """Sights of one route's open flows: all, busy ones, and requests so far.
+    """Samples of one route's open flows: all, busy ones, and requests so far.
 
     ``open`` counts those of the present sweep.
     """
@@ -78,7 +77,7 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether there were enough of them to learn from."""
+        """Whether enough flows were sampled."""
         return self.flows >= MIN_SAMPLES
 
 
@@ -102,7 +101,7 @@
         self._section = encode_expected_busy(0.0)
 
     def tick(self, now: float) -> None:
-        """Look at some flows, if it is time."""
+        """Sample some flows if it is time."""
         if now - self._sampled_at < SAMPLE_INTERVAL_SECONDS:
             return
         self._sampled_at = now
@@ -116,7 +115,7 @@
                 self._sample(flow)
 
     def share(self, route: bytes) -> float:
-        """Return how much of its life a flow of a route has a request in progress."""
+        """Return the share of its life in which a flow of a route has a request."""
         pooled = self._shares_by_tag.get(route_tag(route))
         if pooled is not None:
             return pooled
@@ -126,8 +125,8 @@
     def later(self, route: bytes) -> float:
         """Return how many requests follow the first one of a flow.
 
-        As many as open flows have brought already: a sight finds a flow at any
-        part of its life with the same chance.
+        This equals the requests that open flows have sent so far, as a sample finds a
+        flow at any point of its life with the same probability.
         """
         seen = self._by_route.get(route)
         if seen is None or not seen.is_known:
@@ -135,15 +134,15 @@
         return min(MAX_LATER_REQUESTS, max(0.0, seen.request_count / seen.flows - 1.0))
 
     def is_due(self, now: float) -> bool:
-        """Tell whether it is time to look at what the others have learned."""
+        """Return whether the other agents' shares should be read again."""
         return now - self._pooled_at >= POOL_INTERVAL_SECONDS
 
     def pool(self, now: float, told: Iterable[bytes]) -> None:
-        """Take the mean of what agents, this one among them, have told.
+        """Use the mean of the shares that all agents, including this one, report.
 
-        What goes wrong with the own shares alone: an agent whose few flows ask
-        more than usual for a while takes them for busy ones, says that it is
-        promised as much as the others, and its next flows go elsewhere.
+        With its own shares alone, an agent whose few flows are busier than usual for a
+        while would consider them busy flows. It would report as much expected work as
+        the others, and its next flows would go elsewhere.
         """
         self._pooled_at = now
         sums: dict[int, float] = {}
@@ -155,7 +154,7 @@
         self._shares_by_tag = {tag: sums[tag] / counts[tag] for tag in sums}
 
     def section(self) -> bytes:
-        """Return what the agent tells of its open flows, as the last sweep saw it."""
+        """Return the agent's report on its open flows, as of the last sweep."""
         return self._section
 
     def _encode_section(self) -> bytes:
@@ -187,7 +186,7 @@
             seen.busy += 1
 
     def _end_sweep(self) -> None:
-        """End a sweep over all flows, and begin the next one."""
+        """End a sweep over all flows and begin the next one."""
         self.expected_busy = sum(
             seen.open * self.share(route) for route, seen in self._by_route.items()
         )
@@ -203,7 +202,7 @@
 
 
 def _shares(body: bytes) -> Iterator[tuple[int, float]]:
-    """Read the shares that an agent told; none if they are malformed."""
+    """Decode the shares that an agent reported; none if they are malformed."""
     rows = body[EXPECTED_FORMAT.size :]
     if len(rows) % SHARE_FORMAT.size:
         return
@@ -212,12 +211,12 @@
 
 
 def encode_expected_busy(expected_busy: float) -> bytes:
-    """Return the promise of an agent's open flows."""
+    """Encode the requests expected of an agent's open flows."""
     return EXPECTED_FORMAT.pack(min(MAX_UINT16, round(expected_busy * EXPECTED_SCALE)))
 
 
 def decode_expected_busy(body: bytes) -> float | None:
-    """Read what an agent told; None if it is malformed."""
+    """Decode the expected requests; None if malformed."""
     if len(body) < EXPECTED_FORMAT.size:
         return None
     expected_busy: int = EXPECTED_FORMAT.unpack_from(body)[0]
--- a/packages/zinniahook-core/src/zinniahook_core/packets/health.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/health.py
@@ -1,13 +1,13 @@
-"""Whether a target answers as its peers do, judged by its own answers.
+"""Health of a target, judged by its answers compared with those of its peers.
 
-Loads: one of ten targets fails a part of its requests while its heartbeats say
-ready; one hangs; one is many times slower. A flow can't be moved and a request
-can't be repeated here, so all that can be done is to open new flows elsewhere.
-The agent beside a target sees all its answers and judges them; what it finds
-goes with its status, and homes place by it (`placement.usable`).
+This handles one of ten targets that fails part of its requests while its heartbeats say
+ready, one that hangs, and one that is many times slower. A flow can't be moved and a
+request can't be repeated here, so the only remedy is to open new flows elsewhere. The
+agent sees all answers of its target and judges them; the result goes into its status,
+and homes place flows by it (`placement.usable`).
 
-Requests that fail at every target say nothing of one of them: what counts is
-how far a target's share lies above that of its peers for the same routes.
+Requests that fail at every target say nothing about a single target. What counts is how
+far a target's share of failures exceeds its peers' on the same routes.
 """
 
 from __future__ import annotations
@@ -26,110 +26,110 @@
 __all__ = ["CONSULTED_PEERS", "Evidence", "Health", "Phase"]
 
 MIN_EXCESS_SHARE = 0.05
-"""Share of failures above that of the peers that is worth acting on: below,
-callers lose less than by the lost capacity."""
+"""Excess over the peers' share of failures that is acted on: below it, callers lose
+less through the failures than through the lost capacity."""
 
 MIN_EXCESS_RATIO = 1.5
-"""The same where peers fail often as well."""
+"""The same as a ratio, for peers that fail often as well."""
 
 MIN_FAILURES = 4.0
-"""Failures without which nothing is decided: a client that breaks off, or a
-lost packet, makes one or two."""
+"""Failures required for any decision: an aborting client or a lost packet causes one or
+two."""
 
 RECENT_WEIGHT = 0.15
-"""Weight of a new answer in the share of bad ones lately: what a target that is
-suspected does now, of which it may have done nothing a second ago."""
+"""Weight of a new answer in the recent share of bad answers, which describes what a
+suspected target does now; a second ago it may have been well."""
 
 MIN_RUN_PROBABILITY = 1e-8
-"""Probability of the bad answers in a row, at the peers' share, below which they
-aren't taken for chance. What goes wrong with the bound alone: a target that has
-begun to hang gets few requests, and the good ones of before count for half a
-minute."""
+"""Probability of the current run of bad answers, at the peers' share, below which the
+run isn't attributed to chance. With the bound alone, a target that begins to hang
+would be detected late: it gets few requests, and its earlier good answers count for
+half a minute."""
 
 MIN_PEER_ANSWERS = 10.0
-"""Answers of peers without which there is nothing to compare with."""
+"""Answers of peers required for a comparison."""
 
 SLOW_FACTOR = 4.0
-"""How much longer than at its peers an answer takes to count as slow: above
-`placement.WARMING_FACTOR`, so that a cold target isn't a failing one, and above
-the difference of one request from the next."""
+"""Ratio to the peers' answer time from which an answer is slow: above
+`placement.WARMING_FACTOR`, so that a cold target doesn't count as failing, and above
+the variation between requests."""
 
 HUNG_GOALS = 2.0
-"""Goals of its route after which a request without an answer counts as hung:
-its caller has lost most of what the answer was worth."""
+"""Multiples of its route's goal after which a request without an answer counts as hung:
+by then the answer has lost most of its value to the caller."""
 
 HUNG_FACTOR = 16.0
-"""Usual times after which it does where the route tells no goal."""
+"""Multiples of the usual time after which it does if the route has no goal."""
 
 MIN_HUNG_SECONDS = 0.5
-"""Seconds that it takes at least: a repeated packet comes after 0.2 and 0.6 s."""
+"""Minimum of this time: a repeated packet arrives after 0.2 and 0.6 s."""
 
 MAX_HUNG_SECONDS = 3.0
-"""Seconds after which it does if nothing is known; see `flows.ABANDONED_SECONDS`."""
+"""Maximum, also used if nothing is known; see `flows.ABANDONED_SECONDS`."""
 
 STALL_SECONDS = 0.5
-"""Seconds between two ticks after which this process itself stood still."""
+"""Seconds between two ticks from which this process itself was stalled."""
 
 CONFIRMATION_SECONDS = 0.2
-"""Seconds that a suspicion must last: a peer that is asked answers in less."""
+"""Seconds that a suspicion must last: a peer that is asked answers sooner."""
 
 CONSULTED_PEERS = 8
-"""Peers that are asked for their word on a suspicion. In a large service it comes
-unasked after seconds, and the target goes on failing until then."""
+"""Peers that are asked to report on a suspicion. In a large service their statuses
+would come only after seconds, and the target would fail requests until then."""
 
 COMPARISON_INTERVAL_SECONDS = 1.0
-"""Seconds between two looks at what peers tell."""
+"""Seconds between two comparisons with the peers' reports."""
 
 FALSE_RECOVERY_PROBABILITY = 0.02
-"""Chance that a target which still fails as it did shows as many good answers in
-a row as are asked for."""
+"""Probability that a target which still fails as before shows the required number of
+good answers in a row."""
 
 MIN_PROBES = 4
 MAX_PROBES = 40
-"""Good answers in a row that are asked for, at least and at most."""
+"""Good answers in a row that are required, at least and at most."""
 
 RELAPSE_SECONDS = 60.0
-"""Seconds after a return in which a new suspicion doubles what is asked for. What
-goes wrong without: a target that fails by turns comes back at each turn."""
+"""Seconds after a return in which a new suspicion doubles the required answers.
+Otherwise a target that fails intermittently would return each time."""
 
 MAX_EJECTION_SECONDS = 30.0
-"""Seconds after which it returns in any case, slowly: where few requests come,
-good answers take too long."""
+"""Seconds after which a target returns in any case, gradually: with few requests,
+enough good answers would take too long."""
 
 RAMP_SECONDS = 3.0
-"""Seconds in which a target's share of openings grows from nothing to all."""
+"""Seconds in which a returning target's share of openings grows to the full share."""
 
 RAMP_START_SHARE = 0.2
-"""Share that it begins with: above any trickle, see `member.ASIDE_BELOW`."""
+"""Initial share: above any probe share, see `member.ASIDE_BELOW`."""
 
 PROBE_SHARE = 0.08
 MIN_PROBE_SHARE = 0.01
-"""Share of the usual openings that a target gets while it is set aside, halved with
-each bad answer in a row, down to the second. Below `member.ASIDE_BELOW`, by which
-others see that it is set aside. One that fails half still answers some; one that
-hangs loses each request that it gets."""
+"""Share of the usual openings that an ejected target gets, halved with each bad answer
+in a row, down to the minimum. Both are below `member.ASIDE_BELOW`, by which others
+recognise an ejected target. A target that fails half of its requests still answers
+some; one that hangs loses every request it gets."""
 
 MAX_ROUTES = 256
 MAX_FAILING_FLOWS = 1024
 MAX_REPORTED_ROUTES = 6
-"""Routes that a status tells of, those with most answers: 34 bytes in all."""
+"""Routes in a status, those with most answers: 34 bytes in all."""
 
 
 class Phase(enum.Enum):
-    """What an agent concludes of its target."""
+    """An agent's verdict on its target."""
 
     FULL = "full"
     ASIDE = "aside"
-    """It gets a trickle only, to see whether it is well again."""
+    """Ejected: it gets only a probe share, to detect its recovery."""
 
     RETURNING = "returning"
 
 
 class Evidence(NamedTuple):
-    """Why a target is suspected: ``bad`` of ``total`` answers.
+    """The evidence for a suspicion: ``bad`` of ``total`` answers.
 
-    ``bound`` is what its share is at least, ``peers`` what its peers would have
-    had for the same routes.
+    ``bound`` is the lower confidence bound of the bad share, ``peers`` the share that
+    its peers have on the same routes.
     """
 
     bad: float
@@ -145,7 +145,7 @@
 
 @dataclass(slots=True)
 class Pending:
-    """A request without an answer so far; ``load`` is requests for each slot."""
+    """A request not answered yet; ``load`` is requests per slot when it began."""
 
     at: float
     tag: int
@@ -155,18 +155,18 @@
 
 
 class Health:
-    """The answers of one target, and what its agent concludes.
+    """The answers of one target and its agent's verdict.
 
     Parameters
     ----------
     log : Log
-        Where decisions are told.
+        Receives the decisions.
     flows : Flows
         Tells whether a request still waits for its answer.
 
-    ``phase`` is what its agent concludes, ``failing`` the share of requests that it
-    failed when it was set aside, ``suspect_since`` since when its agent waits for
-    the word of peers on a suspicion, None if it doesn't.
+    ``phase`` is the agent's verdict, ``failing`` the share of requests that the target
+    failed when it was ejected, ``suspect_since`` since when the agent waits for peers'
+    reports on a suspicion, None if it doesn't.
     """
 
     def __init__(self, log: Log, flows: Flows) -> None:
@@ -192,7 +192,7 @@
         self._relapses = 0
 
     def renew(self) -> None:
-        """Forget what a former target did."""
+        """Discard what is known of a former target."""
         self.phase = Phase.FULL
         self.failing = 0.0
         self._counts_by_tag.clear()
@@ -204,14 +204,14 @@
         self._recent_bad_share = self._recent_failed_share = 0.0
         self._relapses = 0
 
-    # What passes
+    # Requests and answers
 
     def begun(self, now: float, key: bytes, tag: int, goal: float, load: float) -> None:
-        """Note that a request was given to the target."""
+        """Note that a request was sent to the target."""
         self._pending[key] = Pending(now, tag, goal, load, key)
 
     def answered(self, now: float, key: bytes, answer: int) -> bool:
-        """Take how an answer begins; return whether it was due, and served."""
+        """Record the start of an answer; return whether it was due and served."""
         pending = self._pending.pop(key, None)
         if pending is None:
             return False
@@ -236,14 +236,13 @@
             self._failed(now, pending, "reset")
 
     def refused(self, now: float, tag: int, load: float) -> None:
-        """Note that the target returned an opening, or didn't answer it."""
+        """Note that the target returned an opening or didn't answer it."""
         self._rejected(now, Pending(now, tag, float("inf"), load))
 
     def _rejected(self, now: float, pending: Pending) -> None:
-        """Count what has not run, if the target had a free slot for it.
+        """Count a rejected request as failed if the target had a free slot for it.
 
-        What goes wrong if it always counts: a target that is full does what it
-        should, and passes for broken.
+        If it always counted, a full target that rightly rejects would be ejected.
         """
         if pending.load <= 1:
             self._failed(now, pending, "rejected")
@@ -277,10 +276,10 @@
             self._bad_probes_in_row = self._bad_probes_in_row + 1 if bad else 0
 
     def _is_known_bad(self, key: bytes, bad: bool) -> bool:
-        """Tell whether a flow fails again whose last request has failed as well.
+        """Return whether a flow's previous request failed as well.
 
-        What goes wrong if each counts: one client that sends what can't be served
-        stays at its target, no peer sees it, and the target is set aside.
+        If each failure counted, one client that sends requests that can't be served,
+        stays at its target and is seen by no peer would get the target ejected.
         """
         if not bad or not key:
             self._bad_flows.pop(key, None)
@@ -293,7 +292,7 @@
         return False
 
     def _run_probability(self) -> float:
-        """Return the chance of the bad answers in a row at the peers' shares."""
+        """Return the probability of the run of bad answers at the peers' shares."""
         chance = 1.0
         for tag, count in self._bad_in_row.items():
             peers = self._peers.get(tag)
@@ -302,10 +301,10 @@
         return chance
 
     def _is_slow(self, pending: Pending, took: float) -> bool:
-        """Tell whether an answer came late by the target's own doing.
+        """Return whether an answer was late because of the target itself.
 
-        Not if it came within half of its route's goal. With n requests for each
-        slot an answer may take n times as long.
+        It isn't slow within half of its route's goal. With n requests per slot an
+        answer may take n times as long.
         """
         peers = self._peers.get(pending.tag)
         if peers is None or not peers.answer_time:
@@ -314,20 +313,19 @@
             return False
         return took > SLOW_FACTOR * peers.answer_time * max(1.0, pending.load)
 
-    # What follows
+    # Decisions
 
     def tick(self, now: float, roster: Roster, own: str) -> bool:
-        """Do what time demands; return whether others should hear at once.
+        """Do all periodic work; return whether to report to peers immediately.
 
-        ``roster`` holds the agents of the service, ``own`` is the address of this
-        one.
+        ``roster`` holds the agents of the service, ``own`` is this agent's address.
         """
         stalled = now - self._ticked_at > STALL_SECONDS
         self._ticked_at = now
         if stalled:
-            # Answers that came meanwhile haven't been read. What goes wrong if
-            # their requests count as hung: each pause of this process makes its
-            # target a suspect.
+            # Answers that arrived meanwhile haven't been read. If their requests
+            # counted as hung, each pause of this process would make its target a
+            # suspect.
             self._pending.clear()
         self._find_hung(now)
         if now - self._compared_at >= COMPARISON_INTERVAL_SECONDS:
@@ -345,7 +343,7 @@
     def _compare(
         self, now: float, roster: Roster, own: str, since: float = float("-inf")
     ) -> int:
-        """Take what peers have told since a moment; return how many did."""
+        """Read the peers' reports since a time; return how many have reported."""
         others = [
             member
             for member in roster.by_address.values()
@@ -356,10 +354,10 @@
         return len(others)
 
     def _is_confirmed(self, now: float, roster: Roster, own: str) -> bool:
-        """Tell whether a suspicion has outlasted the next word of the peers.
+        """Return whether a suspicion has outlasted the peers' next reports.
 
-        What goes wrong without: a route begins to fail everywhere, every agent
-        still compares with what its peers told before, and suspects its target.
+        Without this, when a route begins to fail everywhere, every agent would compare
+        with its peers' earlier reports and suspect its target.
         """
         since = self.suspect_since
         if since is None:
@@ -397,12 +395,12 @@
             seconds = HUNG_FACTOR * peers.answer_time
         else:
             return MAX_HUNG_SECONDS
-        # With n requests for each slot an answer takes n times as long.
+        # With n requests per slot an answer takes n times as long.
         seconds *= max(1.0, pending.load)
         return min(MAX_HUNG_SECONDS, max(MIN_HUNG_SECONDS, seconds))
 
     def evidence(self, now: float) -> Evidence:
-        """Return what the answers of routes say that can be compared."""
+        """Return the evidence from all routes that can be compared."""
         bad = total = expected = 0.0
         for tag, counts in self._counts_by_tag.items():
             peers = self._peers.get(tag)
@@ -465,7 +463,7 @@
         return True
 
     def trust(self, now: float) -> float:
-        """Return the share of openings that it should get of what is usual."""
+        """Return the share of the usual openings that the target should get."""
         if self.phase is Phase.FULL:
             return 1.0
         if self.phase is Phase.ASIDE:
@@ -473,13 +471,13 @@
         return min(1.0, RAMP_START_SHARE + (now - self._phase_since) / RAMP_SECONDS)
 
     def failed_share(self) -> float:
-        """Return the share of requests failed lately."""
+        """Return the share of requests that failed recently."""
         total = sum(counts.total for counts in self._counts_by_tag.values())
         failed = sum(counts.failed for counts in self._counts_by_tag.values())
         return failed / total if total else 0.0
 
     def report(self, now: float) -> HealthReport:
-        """Return what a status tells."""
+        """Return the health report for a status."""
         tags = list(self._counts_by_tag.items())
         if len(tags) > MAX_REPORTED_ROUTES:
             tags.sort(key=lambda item: -item[1].total)
@@ -491,7 +489,7 @@
 
 
 def _probes(share: float) -> int:
-    """Return how many good answers in a row a failing target hardly shows."""
+    """Return how many good answers in a row a failing target rarely shows."""
     if share >= 1:
         return MIN_PROBES
     needed = math.ceil(math.log(FALSE_RECOVERY_PROBABILITY) / math.log(1 - share))
--- a/packages/zinniahook-core/src/zinniahook_core/packets/lookups.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/lookups.py
@@ -1,4 +1,4 @@
-"""Packets that an entry keeps until a service has told of their flows' owners."""
+"""Packets that an entry keeps until a service has reported their flows' owners."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 __all__ = ["KNOWN_REPEAT_SECONDS", "REPEAT_SECONDS", "PendingLookup", "PendingLookups"]
 
 REPEAT_SECONDS = 0.3
-"""Seconds without a certain answer after which an entry asks again for a flow's
-owner: above the time after which a search gives packets back. What goes wrong
-without: the question to the service that owns the flow gets lost, its client repeats
-the packet after 1.6 s only, and until then other targets alone have seen it."""
+"""Seconds without a certain answer after which an entry asks again for a flow's owner:
+longer than a search takes to return packets. If the question to the service that
+owns the flow is lost, the client repeats the packet only after 1.6 s, and until then
+only other targets would have seen it."""
 
 KNOWN_REPEAT_SECONDS = 0.1
-"""The same for a home that only tells what it knows: it answers at once."""
+"""The same for a home that only reports known owners: it answers at once."""
 
 MAX_REPEAT_SECONDS = 1.6
 """Seconds for which an entry asks with one packet: its client repeats it then."""
@@ -33,7 +33,7 @@
 
 
 class PendingLookups:
-    """The packets of one entry whose owners aren't known yet, one a flow."""
+    """The packets of one entry whose owners aren't known yet, one per flow."""
 
     def __init__(self) -> None:
         self._by_flow: dict[bytes, PendingLookup] = {}
@@ -41,8 +41,8 @@
     def keep(self, now: float, packet: Packet, after: float) -> None:
         """Keep a packet, to ask with it again after a while.
 
-        One without data leaves the packet before it: the owner isn't known, and
-        nobody searches with the new one.
+        A packet without data doesn't replace the packet before it: the owner isn't
+        known, and no service searches with the new packet.
         """
         if packet.is_bare:
             return
@@ -52,11 +52,11 @@
             self._by_flow[packet.flow] = PendingLookup(begun, now + after, packet)
 
     def take(self, flow: bytes) -> PendingLookup | None:
-        """Return what is kept of a flow, and keep it no longer."""
+        """Remove and return the packet kept for a flow."""
         return self._by_flow.pop(flow, None)
 
     def due(self, now: float) -> list[PendingLookup]:
-        """Return what to ask with again, and keep it no longer."""
+        """Remove and return the packets that should be asked with again."""
         due = [asked for asked in self._by_flow.values() if now >= asked.due]
         for asked in due[:MAX_REPEATS_PER_TICK]:
             del self._by_flow[asked.packet.flow]
@@ -67,7 +67,7 @@
         ]
 
     def restore_begun(self, asked: PendingLookup) -> None:
-        """Count the time of a packet from when it was first asked with."""
+        """Restore the time at which the packet was first asked with."""
         again = self._by_flow.get(asked.packet.flow)
         if again is not None:
             self._by_flow[asked.packet.flow] = again._replace(begun=asked.begun)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/openings.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/openings.py
@@ -1,4 +1,4 @@
-"""Openings at the agent that was chosen for them: offered, waiting, refused."""
+"""Openings at the agent chosen for them: offered, waiting or refused."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 MAX_CHECKS_PER_TICK = 256
 MAX_MOVE_HOPS = 2
-"""Daemons that an opening may have passed to be moved: its entry and its home."""
+"""Daemons that an opening may have passed and still be moved: its entry and home."""
 
 MAX_UNMOVED_PER_TICK = 8
-"""Waiting openings without a free peer that are looked at in a tick."""
+"""Waiting openings without a free peer that are checked in one tick."""
 
 
 RETAINING_REASONS = frozenset((Reason.LEAVING, Reason.EVACUATED))
-"""Reasons for which an agent takes nothing new, but keeps what it has."""
+"""Reasons for which an agent accepts no new flows but keeps its existing ones."""
 
 
 class Placer(Protocol):
-    """The home of this agent, which places openings that it can't take."""
+    """The home of this agent, which places openings that the agent can't accept."""
 
     def refused(self, now: float, sender: str, head: Head, packet: Packet) -> None:
-        """Place an opening again that an agent gave back."""
+        """Place an opening again that an agent returned."""
 
     def move(self, now: float, head: Head, packet: Packet) -> bool:
-        """Hand an opening that waits to a peer with a free slot, if there is one."""
+        """Move a waiting opening to a peer with a free slot, if there is one."""
 
 
 class Openings:
@@ -47,14 +47,14 @@
     node : Node
         The agent; sends and logs.
     target : Target
-        What is known of the target.
+        State of the target.
     flows : Flows
-        Offered flows stand there too.
+        Flows of the agent, including offered ones.
     membership : Membership
-        Tells whether this agent takes openings.
+        Tells whether this agent accepts openings.
     pacer : Pacer
-        Limits what a cold target gets.
-    queue : Queue
+        Limits the openings that a cold target receives.
+    queue : RequestQueue
         Requests of open flows that wait for the same slots.
     """
 
@@ -79,16 +79,16 @@
         self._offered_at: dict[bytes, float] = {}
 
     def take(self, now: float, home: str, head: Head, packet: Packet) -> Reason:
-        """Offer an opening to the target, or let it wait; return why not.
+        """Offer an opening to the target or queue it; return why it is refused.
 
-        It waits, too, while this agent may lack an order to evacuate its data
-        centre. It has the last word: the home may know less.
+        It also waits while this agent may lack an order to evacuate its data centre.
+        The agent makes the final decision, as the home may know less.
         """
         flow = self._flows.get(packet.flow)
         known = flow is not None and _is_copy(flow, packet)
         reason = self._refusal_reason(now)
-        # A copy of an opening that the target has answered is no new work. What
-        # goes wrong if it goes elsewhere: the flow stands at two targets.
+        # A copy of an opening that the target has answered is no new work. Sent
+        # elsewhere, it would open the same flow at two targets.
         answered = known and flow is not None and flow.target_isn is not None
         if reason is not Reason.NONE and not (reason in RETAINING_REASONS and answered):
             return reason
@@ -109,7 +109,7 @@
         return Reason.NONE
 
     def answered(self, flow: Flow) -> None:
-        """Note that the target answered an opening, or a client used it."""
+        """Note that the target answered an opening, or that a client used it."""
         self._offered_at.pop(flow.key, None)
 
     def returned(self, now: float, packet: Packet) -> None:
@@ -125,7 +125,7 @@
             self._refuse_flow(now, flow, packet, Reason.FULL)
 
     def admit(self, now: float) -> None:
-        """Give the target what waits while it has room, requests first."""
+        """Send waiting requests, then openings, while the target has capacity."""
         self._queue.admit(now)
         while self._may_offer(now):
             opening = self._next(now)
@@ -136,7 +136,7 @@
                 self._refuse_waiting(now, opening, reason)
 
     def tick(self, now: float) -> None:
-        """Hand on what can't be taken, and end what waited too long."""
+        """Return openings that can't be accepted and drop those that are too old."""
         self._check_offered(now)
         for opening in self.waiting.expire(now):
             self._node.log.event(
@@ -153,7 +153,7 @@
         self._move(now)
 
     def _refusal_reason(self, now: float) -> Reason:
-        """Return why no opening is taken, if so."""
+        """Return why no opening is accepted, `Reason.NONE` if there is no reason."""
         if self._membership.is_evacuated:
             return Reason.EVACUATED
         state = self._membership.state(now)
@@ -164,14 +164,14 @@
         return Reason.NONE
 
     def is_throttled(self, now: float) -> bool:
-        """Tell whether a cold target must get nothing for now."""
+        """Return whether the cold limit holds openings back for now."""
         if not self._target.may_be_cold(now):
             return False
         rate = self._node.routes.cold_rates.get(self._target.service, 0.0)
         return not self._pacer.allows(now, rate)
 
     def _may_offer(self, now: float) -> bool:
-        """Tell whether the target may get an opening now."""
+        """Return whether the target may receive an opening now."""
         certain = self._node.evacuations.is_certain(now)
         return self._has_capacity and certain and not self.is_throttled(now)
 
@@ -194,11 +194,11 @@
         return flow
 
     def _move(self, now: float) -> None:
-        """Hand waiting openings to peers that have free slots.
+        """Move waiting openings to peers that have free slots.
 
-        One that has been moved stays. What goes wrong without: in overload each
-        opening is handed on again and again, and with each datagram that gets
-        lost a client's try is lost.
+        An opening is moved only once. Otherwise, in overload each opening would be
+        moved again and again, and each lost datagram would cost a client one of its
+        tries.
         """
         stay: list[Opening] = []
         while len(stay) < MAX_UNMOVED_PER_TICK:
@@ -215,7 +215,7 @@
         return self.waiting.take(now, self._target.answer_time)
 
     def _check_offered(self, now: float) -> None:
-        """Hand openings on that the target leaves without an answer."""
+        """Place openings elsewhere that the target hasn't answered in time."""
         for key, offered_at in list(self._offered_at.items())[:MAX_CHECKS_PER_TICK]:
             if now - offered_at < ANSWER_TIMEOUT_SECONDS:
                 break
@@ -231,7 +231,7 @@
                 self._refuse_flow(now, flow, packet, Reason.SILENT)
 
     def _record_refusal(self, now: float, flow: Flow) -> None:
-        """Hold an opening that the target didn't take against it, if it has room."""
+        """Count a refused opening in the target's health, if it had capacity for it."""
         if self._target.health is not None:
             load = (self._flows.busy + 1) / self._membership.slots
             self._target.health.refused(now, route_tag_of(flow.key), load)
@@ -266,7 +266,7 @@
     def send_back(
         self, now: float, address: str, head: Head, packet: Packet, reason: Reason
     ) -> None:
-        """Send a packet back to who sent it here."""
+        """Return a packet to the daemon that sent it here."""
         self._node.log.event(
             "returned", flow=packet.flow, to=address, reason=reason.name
         )
@@ -283,12 +283,12 @@
 
 
 def _is_copy(flow: Flow, packet: Packet) -> bool:
-    """Tell whether an opening is one that the target has got already.
+    """Return whether an opening is a copy of one that the target already has.
 
-    Also if this agent has given it up meanwhile and the target answers it now:
-    whose number that is was never seen. What goes wrong without: the copy passes
-    for another opening, the target's number is forgotten, and the client's first
-    data finds no owner.
+    This also holds if this agent has abandoned it in the meantime and the target
+    answers it now, in which case the client's number was never seen. Without this, the
+    copy would count as another opening, the target's number would be forgotten, and the
+    client's first data would find no owner.
     """
     if flow.client_isn is None:
         return flow.state is FlowState.OFFERED
@@ -296,10 +296,10 @@
 
 
 def initial_state(packet: Packet) -> FlowState:
-    """Return how sure it is that a target holds a flow of which it sends a packet.
+    """Return the state of an unknown flow, given a packet the target sent in it.
 
-    What goes wrong if the answer to an opening counts as an open flow: its client
-    may have chosen another target, and this one swallows its packets.
+    If the answer to an opening counted as an open flow, this target would swallow the
+    packets of a client that may have chosen another target.
     """
     opens = packet.flags & Flag.OPENING
     return FlowState.OFFERED if opens else FlowState.OPEN
--- a/packages/zinniahook-core/src/zinniahook_core/packets/outcomes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/outcomes.py
@@ -1,4 +1,4 @@
-"""Answers of targets by kind of route, and how shares of them compare."""
+"""Statistics of targets' answers by route, and their comparison."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 ]
 
 MEMORY_ANSWERS = 40
-"""Answers that count: fewer can't tell a fifth of failures from chance, and with
-more it takes as many failures again to find the one that begins to fail."""
+"""Answers that count: with fewer, a fifth of failures can't be told from chance; with
+more, a target that begins to fail is detected only after as many more failures."""
 
 FADE_SECONDS = 20.0
-"""Seconds in which an answer's weight falls to a third, where few come. What a peer
-told is used as long."""
+"""Seconds in which an answer's weight falls to a third, where answers are rare. A
+peer's report is used for as long."""
 
 DEVIATIONS = 3.0
-"""Standard deviations of the bound: a target passes it by chance once in 700
-looks at new answers, if it fails as often as what is left to it."""
+"""Standard deviations of the bound: a target that fails no more often than allowed
+exceeds it by chance in one of 700 evaluations of new answers."""
 
 TAG_MASK = 0xFFFF
 
 
 def lower_bound(bad: float, total: float) -> float:
-    """Return what a share is at least: the lower end of Wilson's interval."""
+    """Return the lower bound of a share, by Wilson's interval."""
     if total <= 0:
         return 0.0
     square = DEVIATIONS * DEVIATIONS
@@ -47,17 +47,17 @@
 
 
 def route_tag(route: bytes) -> int:
-    """Return a short tag of a route's key, as statuses tell it."""
+    """Return a short tag of a route's key, as used in statuses."""
     return zlib.crc32(route) & TAG_MASK
 
 
 def route_tag_of(flow: bytes) -> int:
-    """Return the tag of the route that a flow came by."""
+    """Return the tag of a flow's route."""
     return route_tag(route_key(flow))
 
 
 class Counts:
-    """Answers of one kind, older ones with less weight."""
+    """Answers on one route; older ones have less weight."""
 
     __slots__ = ("at", "bad", "failed", "seconds", "total")
 
@@ -69,7 +69,7 @@
         self.seconds = 0.0
 
     def fade(self, now: float, kept: float = 1.0) -> None:
-        """Lower the weight of what was counted."""
+        """Reduce the weight of earlier answers."""
         kept *= math.exp(min(0.0, self.at - now) / FADE_SECONDS)
         self.at = now
         self.total *= kept
@@ -78,7 +78,7 @@
         self.seconds *= kept
 
     def add(self, now: float, took: float, bad: bool, failed: bool) -> None:
-        """Count one answer; one may be bad without being a failure: slow."""
+        """Count one answer; a slow one is bad without being a failure."""
         self.fade(now, 1 - 1 / MEMORY_ANSWERS)
         self.total += 1
         self.bad += bad
@@ -94,7 +94,7 @@
 
 
 class Peers(NamedTuple):
-    """What the peers' answers of one kind were like."""
+    """The peers' answers on one route."""
 
     total: float
     bad: float
@@ -102,12 +102,12 @@
 
     @property
     def share(self) -> float:
-        """The share of bad ones; never 0, as some failure may come to anybody."""
+        """The share of bad answers; never 0, as any peer may see some failures."""
         return (self.bad + 0.5) / (self.total + 1)
 
 
 def summarize_peers(now: float, members: Iterable[Member]) -> dict[int, Peers]:
-    """Add up what peers told lately, by kind of route."""
+    """Add up the peers' recent reports, by route."""
     rows_by_tag: dict[int, list[RouteRow]] = {}
     for member in members:
         if member.health is None or now - member.told_at > FADE_SECONDS:
@@ -118,7 +118,7 @@
 
 
 def _sum_rows(rows: list[RouteRow]) -> Peers:
-    """Add up one kind; the median of times, as some peers may be slow too."""
+    """Add up one route; the median of times, as some peers may be slow too."""
     times = sorted(row.answer_time for row in rows if row.answer_time)
     answer_time = times[len(times) // 2] if times else 0.0
     return Peers(sum(r.total for r in rows), sum(r.bad for r in rows), answer_time)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/overload.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/overload.py
@@ -1,4 +1,4 @@
-"""When a home's service has too little room, and the word to who is rejected."""
+"""Overload of a home's service, and the rejection of openings."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Overload:
-    """Watches the room of one home's service.
+    """Watches the load of one home's service.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
         self._switch = Switch(node.features, bool(node.features.shared_room))
 
     def review(self, now: float) -> None:
-        """Look over the room of the service, if it is time."""
+        """Review the load of the service if it is time."""
         service = self._roster.service
         if not self._switch.is_on(self._node.routes, service):
             self.load.clear()
@@ -42,7 +42,7 @@
             self._node.log.event(event, service=service, **self.load.log_fields())
 
     def reject(self, held: HeldOpening) -> None:
-        """Tell the client of an opening that nobody has it."""
+        """Reset an opening, so that its client knows that no target has accepted it."""
         packet = held.packet
         self._node.log.count("openings.rejected")
         self._node.log.event(
--- a/packages/zinniahook-core/src/zinniahook_core/packets/pacing.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/pacing.py
@@ -1,9 +1,9 @@
-"""How many openings a cold target may get.
+"""Limit on the openings that a cold target gets.
 
-Loads: the targets of a data centre come back at the same moment, after an
-evacuation or a loss of power, and meet the openings of everybody. A service may
-tell how many requests a second a cold target bears. The agent beside the target
-sees every opening, so what it lets pass in any second is what the target gets.
+The targets of a data centre may return at the same moment, after an evacuation or a
+power failure, and receive openings from every entry. A service may state how many
+requests a second a cold target can serve. The agent on the target's machine sees every
+opening, so the openings it passes in any second are all that the target gets.
 """
 
 from __future__ import annotations
@@ -14,22 +14,21 @@
 __all__ = ["ColdLimit", "Pacer"]
 
 WINDOW_SECONDS = 1.1
-"""Seconds in which openings are counted: the second that is promised, and a
-tenth for openings that the network brings closer together."""
+"""Seconds in which openings are counted: the guaranteed second, and a tenth for
+openings that the network brings closer together."""
 
 
 class ColdLimit(NamedTuple):
-    """What operators allow a cold target in one second.
+    """The operators' limit for a cold target in one second.
 
-    It is ``excess`` times the rate that its service tells, and ``burst`` requests
-    more.
+    It is ``excess`` times the rate that its service states, plus ``burst`` requests.
     """
 
     excess: float
     burst: float
 
     def openings(self, rate: float) -> int:
-        """Return how many openings a second hold at most."""
+        """Return the maximum number of openings in a second."""
         return int(rate * self.excess + self.burst)
 
 
@@ -39,7 +38,7 @@
     Parameters
     ----------
     limit : ColdLimit, optional
-        What a cold target may get; without, any number.
+        Limit for a cold target; unlimited by default.
     """
 
     def __init__(self, limit: ColdLimit | None = None) -> None:
@@ -48,23 +47,23 @@
         self._closed_until = float("-inf")
 
     def start(self, now: float) -> None:
-        """Note that this process begins.
+        """Note that this process starts, and block openings for one window.
 
-        What goes wrong without: the process before it has just let pass what a
-        cold target bears in a second, and this one lets pass as much again.
+        The process before it may have just passed as many openings as a cold target can
+        serve in a second, and this one would pass as many again.
         """
         self._closed_until = now + WINDOW_SECONDS
 
     def offered(self, now: float) -> None:
-        """Note an opening that the target got."""
+        """Note an opening that the target received."""
         if self._limit is not None:
             self._offered.append(now)
             self._forget(now)
 
     def allows(self, now: float, rate: float) -> bool:
-        """Tell whether a cold target may get another opening.
+        """Return whether a cold target may get another opening.
 
-        ``rate`` is how many requests a second it bears; a service that tells none
+        ``rate`` is how many requests a second it can serve; a service that states none
         has no limit.
         """
         if self._limit is None or rate <= 0:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/placement.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/placement.py
@@ -1,10 +1,10 @@
-"""Which agent opens a flow.
+"""Choice of the agent that opens a flow.
 
-Loads: a calm day at 40 to 60 % of the slots, a target that is slow or cold,
-several that come back at the same moment. The home compares all ready members
-by the requests that each has in progress for its slots. What it placed itself
-since a member's last status counts too, or it would send every opening of
-0.2 s to the member that was idle at the last status.
+This handles normal operation at 40 to 60 % of the slots, a slow or cold target, and
+several targets that return at the same moment. The home compares all ready members by
+their requests in progress per slot. Openings that it has placed since a member's last
+status count too. Otherwise it would send all openings of 0.2 s to the member that was
+idle at the last status.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 __all__ = ["Volumes", "choose", "cost", "usable"]
 
 REMOTE_COST = 0.5
-"""What another data centre costs for a flow of `TYPICAL_VOLUME_BYTES`, in the unit of
-`cost`: half of the slots busy. Up to there a request waits for nobody."""
+"""Cost of another data centre for a flow of `TYPICAL_VOLUME_BYTES`, in the unit of
+`cost`: half of the slots busy. Up to that load no request has to wait."""
 
 TYPICAL_VOLUME_BYTES = 40_000.0
-"""Bytes of an export, and of a stream in 20 answers of 2,000."""
+"""Bytes of an export, or of a stream with 20 answers of 2,000 bytes."""
 
 MIN_REMOTE_COST = 0.1
 MAX_REMOTE_COST = 1.0
@@ -36,37 +36,37 @@
 MAX_ROUTES = 8192
 
 WARMING_FACTOR = 1.6
-"""How much longer a target works while it warms up."""
+"""How many times longer a target works while it warms up."""
 
 MAX_ADVANTAGE = 0.25
-"""Requests a slot by which a target that was promised less work than the others
-is preferred at most. What goes wrong without: targets are replaced one after the
-other, and the flows of each come back as a wave that goes to the newest alone."""
+"""Maximum preference, in requests per slot, for a target with less expected work than
+the others. Otherwise, when targets are replaced one after the other, the flows of
+each would return in a wave that goes to the newest target only."""
 
 JITTER = 0.1
-"""Spreads homes that see the same loads; below the cost of one slot of four."""
+"""Spreads the choices of homes that see the same loads; below the cost of one slot of
+four."""
 
 FORECAST_JITTER = 0.02
-"""The same among promises, which change slowly: a tenth would hide who was
-promised a fifth more than the others."""
+"""The same for expected loads, which change slowly: with a tenth, the jitter would hide
+a target whose expected load is a fifth above the others'."""
 
 SLOW_FACTOR = 2.0
-"""How much longer than usual the answers of a slow target take; loads of
-different clients alone differ by less than two."""
+"""Ratio to the usual answer time from which a target is slow; through their different
+clients alone, targets differ by less than a factor of two."""
 
 PLACED_WEIGHT = 1.0
-"""Requests in progress that a placed opening counts as, until the next
-status."""
+"""Requests in progress that a placed opening counts as, until the next status."""
 
 MAX_EJECTED_SHARE = 0.5
-"""Share of the targets for a flow that may be set aside. If more fail, it is no
-longer one of them that is bad, and the rest couldn't bear it."""
+"""Maximum share of a flow's targets that may be ejected. If more of them fail, the
+fault isn't that of single targets, and the rest couldn't carry the load."""
 
 
 class Volumes:
     """How much the target sends in a flow, by route.
 
-    What a flow sends is what its distance costs: a ticket of 600 bytes may go
+    The volume of a flow determines the cost of distance: a ticket of 600 bytes may go
     to the other data centre for a shorter queue, an export may not.
     """
 
@@ -85,14 +85,14 @@
         self._means[route] = mean + VOLUME_WEIGHT * (flow.bytes_sent - mean)
 
     def remote_cost(self, key: bytes) -> float:
-        """Return what another data centre costs for a new flow."""
+        """Return the cost of another data centre for a new flow."""
         mean = self._means.get(route_key(key), TYPICAL_VOLUME_BYTES)
         share = mean / TYPICAL_VOLUME_BYTES * REMOTE_COST
         return min(MAX_REMOTE_COST, max(MIN_REMOTE_COST, share))
 
 
 class ExpectedLoad(NamedTuple):
-    """The work to come: requests after the first, and what a member is promised."""
+    """Expected load: requests after the first, and the expected busy requests."""
 
     later: float
     expected_busy: float
@@ -100,27 +100,26 @@
     def mean(self, busy: float, slots: int) -> float:
         """Return the load that the requests of a flow meet on average.
 
-        The first one meets that of now, the others what the flows that are open
-        will bring. Where the first one must wait, it waits for whoever is above
-        the slots. What goes wrong with the load of now alone: it changes in each
-        tenth of a second, and which target it favours says nothing of the minute
-        that a flow lasts.
+        The first request meets the present load, the later ones the load that the open
+        flows are expected to bring. Requests above the slots delay the first request.
+        With the present load alone, the choice would depend on a value that changes
+        every tenth of a second and says nothing about the minute that a flow lasts.
         """
         ahead = max(0.0, busy + 1 - slots)
         return (busy + self.later * (self.expected_busy + ahead)) / (1 + self.later)
 
 
 def expected_busy(member: Member) -> float:
-    """Return the requests in progress that a member's open flows are to bring."""
+    """Return the requests in progress expected from a member's open flows."""
     told = decode_expected_busy(member.sections.get(Section.WORK, b""))
     return member.flows * DEFAULT_BUSY_SHARE if told is None else told
 
 
 def expected_loads(members: Sequence[Member], later: float) -> dict[str, ExpectedLoad]:
-    """Return what members are promised, for a flow that ``later`` requests follow.
+    """Return each member's expected load, for a flow with ``later`` more requests.
 
-    One that was promised less than the others counts as promised `MAX_ADVANTAGE` less
-    at most, and as the others while it is cold.
+    A member with a lower expected load than the others counts as at most
+    `MAX_ADVANTAGE` below them, and as equal to them while it is cold.
     """
     found = [expected_busy(member) for member in members]
     slots = sum(member.slots for member in members)
@@ -142,11 +141,11 @@
     remote: float,
     expected: ExpectedLoad | None = None,
 ) -> float:
-    """Return how unfavourable a member is for an opening.
+    """Return the cost of placing an opening at a member.
 
-    ``zone`` is the tag of the client's data centre, ``usual`` the
-    usual time until an answer begins, ``remote`` what another zone costs,
-    ``expected`` the work to come, None if nothing tells.
+    ``zone`` is the tag of the client's data centre, ``usual`` the usual time until an
+    answer begins, ``remote`` the cost of another data centre, ``expected`` the expected
+    load, None if unknown.
     """
     busy = member.busy + member.placed * PLACED_WEIGHT
     if expected is None:
@@ -171,15 +170,15 @@
 ) -> Member | None:
     """Return the member that should open a flow, None if there is none.
 
-    ``later`` is how many requests follow the first one of the flow, None if
-    flows aren't placed by what they bring.
+    ``later`` is how many requests follow the first one of the flow, None if flows
+    aren't placed by their expected requests.
     """
     if not members:
         return None
     times = sorted(member.answer_time for member in members)
     usual = times[(len(times) - 1) // 2]
     expected = expected_loads(members, later) if later is not None else {}
-    # If no request follows the first, promises count for nothing: see `mean`.
+    # If no request follows the first, expected loads have no weight: see `mean`.
     jitter = FORECAST_JITTER if later else JITTER
     chosen = min(
         members,
@@ -193,11 +192,11 @@
 
 
 def usable(members: Sequence[Member], rng: random.Random) -> Sequence[Member]:
-    """Return those that an opening may go to, as their answers are trusted.
+    """Return the members that an opening may go to, given the trust in their answers.
 
-    Those set aside get a trickle and no more while others have free slots. What
-    goes wrong without the last: the rest can't bear the load, every request is
-    late, and targets that would answer half of them stand idle.
+    Ejected members get only their probe share while others have free slots. They get
+    more when no other has one: otherwise the rest couldn't carry the load, every
+    request would be late, and targets that would answer half of them would be idle.
     """
     if all(member.trust >= 1 for member in members):
         return members
@@ -218,9 +217,10 @@
 
 
 def _draw_probed(aside: list[Member], size: int, rng: random.Random) -> Member | None:
-    """Draw whether an opening goes to a target that was set aside, and to which.
+    """Draw the ejected member that a probe goes to, None for no probe.
 
-    One that works on something is left alone until that is done: it may hang.
+    A member with a request in progress gets no other probe until that is done, as it
+    may hang.
     """
     drawn = rng.random() * size
     for member in aside:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/queueing.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/queueing.py
@@ -1,10 +1,10 @@
 """Requests of open flows that wait at the agent for a slot of its target.
 
-A target serves what it has in order of arrival, and most requests come in flows
-that are open already. So an agent that orders openings alone leaves most of the
-work in order of arrival. Here a request waits before it has begun: while the target
-works on as many as it can, and only until one is done. Its packets are given on
-unchanged, in the order of their numbers, and nothing else of a flow waits. See
+A target serves its requests in order of arrival, and most requests arrive in flows that
+are already open. An agent that orders only openings would leave most of the work in
+order of arrival. Here a request waits before it has begun, while the target already
+works on as many as it can, and only until one of them is done. Its packets are then
+forwarded unchanged, in sequence order, and nothing else of a flow waits. See
 ``docs/design/queueing.md``.
 """
 
@@ -24,34 +24,35 @@
 __all__ = ["HeldRequest", "RequestQueue"]
 
 MAX_HOLD_SECONDS = MAX_WAIT_SECONDS
-"""Seconds that a request waits at most, as openings do: less than a target goes on
-repeating what a packet that waits acknowledges, and than a client waits."""
+"""Maximum seconds that a request waits, as for openings. This is shorter than the time
+for which a target repeats data that a waiting packet acknowledges, and than the time
+a client waits."""
 
 MAX_HOLD_GOALS = 3.0
-"""Times its route's goal that a request waits at most: callers that want their
-answers soon give up soon."""
+"""Maximum wait in multiples of the route's goal: callers that want their answers soon
+give up soon."""
 
 EXTRA_REQUESTS = EXTRA_OPENINGS + 1
-"""Requests that a target may have above its slots before others wait here: one
-more than for openings. An opening can go to another target, a request of an open
-flow to this one alone, and each opening brings further requests."""
+"""Requests that a target may have above its slots before others wait here: one more
+than for openings. An opening can go to another target, but a request of an open flow
+only to this one, and each opening brings further requests."""
 
 MAX_HELD_REQUESTS = 64
-"""Requests that wait at most; the oldest is let through then."""
+"""Maximum number of waiting requests; above it, the oldest is let through."""
 
 MAX_HELD_PACKETS = 16
-"""Packets of one request that wait: as many as an end may have in flight."""
+"""Maximum packets of one waiting request: as many as an endpoint may have in flight."""
 
 MAX_IDLE_SHARE = 0.5
-"""Share of the idle timeout after which a flow's request doesn't wait. What goes
-wrong without: the target closes the flow as idle while its request waits here."""
+"""Share of the idle timeout after which a flow's request doesn't wait. Otherwise the
+target would close the flow as idle while its request waits here."""
 
 HALF_SEQUENCE_SPAN = SEQUENCE_SPAN // 2
 
 
 @dataclass(slots=True)
 class HeldRequest:
-    """A request that waits; ``begun`` is when its first packet came here."""
+    """A request that waits; ``begun`` is when its first packet arrived here."""
 
     flow: Flow
     begun: float
@@ -60,22 +61,22 @@
 
     @property
     def until(self) -> float:
-        """When it is let through, whether a slot is free or not."""
+        """When it is let through, whether or not a slot is free."""
         return self.begun + min(MAX_HOLD_GOALS * self.urgency.goal, MAX_HOLD_SECONDS)
 
     @property
     def is_whole(self) -> bool:
         """Whether its first packet is here, as far as is known.
 
-        What goes wrong without: a slot is kept for a request that the target
-        can't begin, until its client has repeated what got lost.
+        Without this, a slot would be kept for a request that the target can't begin
+        until its client has repeated a lost packet.
         """
         return (
             self.flow.received_until is None or self.flow.received_until in self.packets
         )
 
     def in_order(self) -> list[Packet]:
-        """Return its packets in the order of their numbers, also past the wrap."""
+        """Return its packets in sequence order, also across the wrap-around."""
         middle = self.flow.received_until
         if middle is None:
             middle = next(iter(self.packets))
@@ -92,13 +93,13 @@
     node : Node
         The agent; sends, logs, knows routes and features.
     target : Target
-        What is known of the target.
+        State of the target.
     flows : Flows
         Counts what the target works on.
     membership : Membership
-        Tells whether the target is certainly at work.
+        Tells whether the target is certainly working.
     requests : Requests
-        Notes what the target gets.
+        Records the requests that the target receives.
     """
 
     def __init__(
@@ -132,8 +133,8 @@
     def is_on(self) -> bool:
         """Whether requests of this service wait at all.
 
-        It is worked out when the configuration or the service changes. Numbers
-        that were noted before it was last off are forgotten then.
+        It is computed when the configuration or the service changes. When queueing is
+        switched on, sequence numbers noted before it was last off are discarded.
         """
         node, service = self._node, self._target.service
         if node.routes is not self._enabled_for or service != self._enabled_service:
@@ -148,7 +149,7 @@
     # Packets of clients
 
     def deliver(self, now: float, flow: Flow, packet: Packet) -> None:
-        """Give a packet of an open flow to the target, or let it wait."""
+        """Send a packet of an open flow to the target, or let it wait."""
         if self._by_flow:
             held = self._by_flow.get(packet.flow)
             if held is not None and self._joins(now, held, flow, packet):
@@ -156,17 +157,17 @@
         if self.is_on and self._must_wait(now, flow, packet):
             self._hold(now, flow, packet)
         elif self._is_repeated(flow, packet):
-            # No new work: the target only acknowledges it once more.
+            # No new work: the target only acknowledges it again.
             self._target.note_given(now)
             self._node.links.to_target(packet.raw)
         else:
             self._forward(now, flow, packet)
 
     def _must_wait(self, now: float, flow: Flow, packet: Packet) -> bool:
-        """Tell whether a packet begins a request that the target can't work on.
+        """Return whether a packet begins a request that the target can't work on.
 
         Data of a request that has begun never waits, nor does an opening's first
-        request: its opening has waited for a slot already.
+        request, because its opening has already waited for a slot.
         """
         if not packet.length or packet.flags & (Flag.RESET | Flag.CLOSING):
             return False
@@ -185,24 +186,24 @@
 
     @property
     def has_capacity(self) -> bool:
-        """Whether the target may get another request.
+        """Whether the target may receive another request.
 
-        Openings that were offered don't count: they use no slot yet.
+        Offered openings don't count, as they don't use a slot yet.
         """
         return self._flows.working < self._target.usable_slots + EXTRA_REQUESTS
 
     def _may_hold(self, now: float) -> bool:
-        """Tell whether the target is known to work and stays.
+        """Return whether the target is known to be working and not to be leaving.
 
-        What goes wrong without: requests wait for a slot of a target whose slots
-        nobody has told, or that ends meanwhile.
+        Otherwise requests would wait for a slot of a target whose number of slots isn't
+        known, or that ends in the meantime.
         """
         if not self.is_on or not self._target.slots:
             return False
         return self._membership.state(now) is State.READY
 
     def _is_repeated(self, flow: Flow, packet: Packet) -> bool:
-        """Tell whether the target has got all data of a packet, and answered it."""
+        """Return whether the target has received and answered all data of a packet."""
         if (
             flow.requested_at is not None
             or flow.received_until is None
@@ -227,11 +228,11 @@
             self._let_through(now, next(iter(self._by_flow.values())), "many")
 
     def _joins(self, now: float, held: HeldRequest, flow: Flow, packet: Packet) -> bool:
-        """Take another packet of a flow that waits; return whether it waits too.
+        """Add another packet of a waiting flow; return whether it waits too.
 
-        A closing and a reset go on at once, after what came before them. What
-        goes wrong without: the target takes the flow for closed, and answers the
-        data that follows with a reset.
+        A closing packet or a reset goes on immediately, after the packets before it.
+        Otherwise the target would consider the flow closed and answer the data that
+        follows with a reset.
         """
         if held.flow is not flow:
             self._forget(held)
@@ -246,7 +247,7 @@
         if not packet.length or self._is_repeated(flow, packet):
             return False
         if packet.sequence in held.packets:
-            # The later copy tells more of what its client has got.
+            # The later copy acknowledges more of what its client has received.
             self._node.log.count("packets.repeated_while_held")
         held.packets[packet.sequence] = packet
         if len(held.packets) >= MAX_HELD_PACKETS:
@@ -270,11 +271,11 @@
     # Packets of the target
 
     def note_sent(self, flow: Flow, packet: Packet) -> bool:
-        """Note how far the target has sent; return whether it only repeats.
+        """Note how far the target has sent; return whether this is only a repeat.
 
-        What goes wrong without: it repeats the end of its last answer, which
-        the packet that waits acknowledges, and the repetition passes for the
-        answer to the request that has just been given.
+        The target repeats the end of its last answer until it is acknowledged, and the
+        packet that acknowledges it may be waiting here. Without this check, the repeat
+        would count as the answer to the request that has just been sent.
         """
         if not self.is_on or not packet.length:
             return False
@@ -285,11 +286,11 @@
         return False
 
     def acknowledged(self, flow: Flow, packet: Packet) -> None:
-        """Note what the target has got and answers; forget it if it waits.
+        """Note what the target acknowledges; drop a waiting request it already has.
 
-        What goes wrong without: after a restart of this process a copy of what the
-        target has got before passes for another request, and takes a slot until the
-        client asks again.
+        Without this, after a restart of this process a copy of data that the target
+        already has would count as another request and occupy a slot until the client
+        sends its next one.
         """
         if not packet.length or not packet.flags & Flag.ACKNOWLEDGES:
             return
@@ -305,7 +306,7 @@
             self._forget(held)
 
     def ended(self, now: float, flow: Flow) -> None:
-        """Note that the target ends a flow: nothing of it waits any more."""
+        """Let a waiting request through, as the target ends its flow."""
         held = self._by_flow.get(flow.key)
         if held is not None:
             self._let_through(now, held, "ended")
@@ -313,7 +314,7 @@
     # Releasing
 
     def admit(self, now: float) -> None:
-        """Give requests that wait to the target while it has room."""
+        """Send waiting requests to the target while it has capacity."""
         while self._by_flow and self.has_capacity:
             answer_time = self._target.answer_time
             held_by_rank = {
@@ -327,7 +328,7 @@
             self._release(now, held_by_rank[chosen])
 
     def _release(self, now: float, held: HeldRequest) -> None:
-        """Give a request that waited to the target."""
+        """Send a request that waited to the target."""
         self._forget(held)
         if self._flows.get(held.flow.key) is not held.flow:
             # Its flow has ended; its client has been told, or is silent.
@@ -341,7 +342,7 @@
             self._forward(now, held.flow, packet, waited)
 
     def tick(self, now: float) -> None:
-        """Let through what has waited long enough, or waits in vain."""
+        """Let through requests that have waited too long or that can't be served."""
         if not self._by_flow:
             return
         may_hold = self._may_hold(now)
@@ -355,7 +356,7 @@
         self.admit(now)
 
     def _let_through(self, now: float, held: HeldRequest, why: str) -> None:
-        """Give a request to the target although no slot is known to be free."""
+        """Send a request to the target although no slot is known to be free."""
         self._node.log.count(f"requests.let_through_{why}")
         self._release(now, held)
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/rejections.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/rejections.py
@@ -1,11 +1,11 @@
-"""Openings that are rejected as their service is overloaded.
-
-An opening that would wait until it is given up costs its client 1.4 s of silence.
-One that is rejected at once lets it try again, or tell its caller. That must be
-true, so only the first copy of an opening is rejected that was placed nowhere,
-and only while openings wait at every agent that could take it. It is held for a
-moment before: a slot that becomes free meanwhile takes it, and clients that were
-rejected together don't come back together.
+"""Openings that are rejected because their service is overloaded.
+
+An opening that waits until its client gives up costs the client 1.4 s without an
+answer. If it is rejected at once, the client can retry or inform its caller. A
+rejection must be true, so only the first copy of an opening that was placed nowhere is
+rejected, and only while openings wait at every agent that could accept it. It is held
+briefly before: a slot that becomes free in that time takes it, and clients that were
+rejected together don't return together.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 __all__ = ["HeldOpening", "Rejections"]
 
 MAX_HOLD_SECONDS = 0.1
-"""Seconds that an opening is held at most. With the wait for loads, a tick and
-the ways it is decided before 0.2 s, when the client sends a copy: whoever gets
-that one can't know any more that the opening was placed nowhere."""
+"""Maximum seconds that an opening is held. With the wait for loads, a tick and the
+network delays, it is decided before 0.2 s, when the client sends a copy. An agent
+that gets that copy can't know any more that the opening was placed nowhere."""
 
 MAX_LATENESS_SECONDS = 0.05
-"""Seconds after its time, a tick, for which a held opening may still be rejected.
-What goes wrong without: the process stood still, and a copy was placed elsewhere."""
+"""Seconds past its time, a tick, for which a held opening may still be rejected. After
+a longer stall of the process, a copy may have been placed elsewhere."""
 
 MAX_HELD_OPENINGS = 1024
-"""Openings held at most; further ones are placed at once."""
+"""Maximum number of held openings; further ones are placed at once."""
 
 
 @dataclass(slots=True)
 class HeldOpening:
-    """An opening that is held.
+    """A held opening.
 
-    ``draw`` is a random number from 0 to 1; the opening is rejected if the excess
-    of its cell is above it.
+    ``draw`` is a random number from 0 to 1; the opening is rejected if the excess of
+    its class is above it.
     """
 
     until: float
@@ -56,11 +56,11 @@
     Parameters
     ----------
     load : ServiceLoad
-        What is believed of the service's room.
+        View of the service's load.
     rng : random.Random
-        Source of chance.
+        Source of randomness.
     takers : callable
-        Returns the members that may take an opening.
+        Returns the members that may accept an opening.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         return len(self._by_flow)
 
     def hold(self, now: float, head: Head, packet: Packet, urgency: Urgency) -> bool:
-        """Hold an opening that can't be served, if so; return whether it did."""
+        """Hold an opening if it can't be served; return whether it is held."""
         if self._load.since is None or len(self._by_flow) >= MAX_HELD_OPENINGS:
             return False
         traffic_class = TrafficClass(head.zone, min(MAX_PRIORITY, urgency.priority))
@@ -94,11 +94,11 @@
         return True
 
     def forget(self, flow: bytes) -> None:
-        """End the holding of an opening."""
+        """Stop holding an opening."""
         self._by_flow.pop(flow, None)
 
     def due(self, now: float) -> list[tuple[HeldOpening, bool]]:
-        """Return those whose time is over, and whether each is rejected."""
+        """Return the openings whose time is over, and whether each is rejected."""
         due = [held for held in self._by_flow.values() if now >= held.until]
         for held in due:
             del self._by_flow[held.packet.flow]
--- a/packages/zinniahook-core/src/zinniahook_core/packets/reports.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/reports.py
@@ -1,4 +1,4 @@
-"""What a status tells of a target's answers and of what it bears."""
+"""Reports in a status on a target's answers and on its capacity."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 COUNT_SCALE = 6
 MIN_TIME_SECONDS = 0.0001
 TIME_STEPS_PER_DOUBLING = 16
-"""Steps of a told time for each doubling."""
+"""Steps of an encoded time for each doubling."""
 
 COLD_SCALE = 25
 
 
 class RouteRow(NamedTuple):
-    """The answers of one kind of route at one target.
+    """The answers on one route at one target.
 
     ``tag`` is the tag of the route's address, ``answer_time`` the mean of the times of
     good answers, 0 if there were none.
@@ -42,9 +42,9 @@
 class HealthReport(NamedTuple):
     """How a target answers.
 
-    ``trust`` is the share of openings that it should get of what is usual: 1 as a
-    rule, a trickle if it is set aside. ``failing`` is the share of requests that
-    it failed then.
+    ``trust`` is the share of the usual openings that it should get: 1 as a rule, a
+    probe share if it is ejected. ``failing`` is the share of requests that it failed
+    when it was ejected.
     """
 
     trust: float
@@ -53,7 +53,7 @@
 
 
 def encode_health(report: HealthReport) -> bytes:
-    """Return a report as a section: 2 bytes, and 5 for each kind of route."""
+    """Return a report as a section: 2 bytes, and 5 for each route."""
     trust, failing = (round(min(1.0, s) * MAX_BYTE) for s in report[:2])
     return HEAD.pack(trust, failing) + b"".join(
         ROW.pack(
@@ -67,7 +67,7 @@
 
 
 def decode_health(body: bytes) -> HealthReport | None:
-    """Read a report; None if it is malformed."""
+    """Decode a report; None if it is malformed."""
     if len(body) < HEAD.size or (len(body) - HEAD.size) % ROW.size:
         return None
     trust, failing = HEAD.unpack_from(body)
@@ -79,12 +79,12 @@
 
 
 def encode_cold(factor: float) -> bytes:
-    """Return how much longer a target takes while it is cold: 1 byte."""
+    """Return a target's slowdown while it is cold as a section: 1 byte."""
     return bytes((min(MAX_BYTE, round(factor * COLD_SCALE)),))
 
 
 def decode_cold(body: bytes) -> float | None:
-    """Read how much longer it takes; None if it is malformed."""
+    """Decode the slowdown; None if it is malformed."""
     return body[0] / COLD_SCALE if len(body) == 1 and body[0] else None
 
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/requests.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/requests.py
@@ -1,4 +1,4 @@
-"""The requests that one target works on, as its agent sees them pass."""
+"""The requests that one target works on, as its agent observes them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     node : Node
         The agent; logs, and knows the routes.
     target : Target
-        What is known of the target; learns how long it takes.
+        State of the target, including its answer times.
     flows : Flows
         Counts requests in progress.
     """
@@ -32,7 +32,7 @@
     def begun(
         self, now: float, flow: Flow, packet: Packet, waited: float = 0.0
     ) -> None:
-        """Note data of a client, which begins a request or goes on with it.
+        """Note data of a client, which begins or continues a request.
 
         ``waited`` is for how many seconds it waited here for a slot.
         """
@@ -55,10 +55,10 @@
             )
 
     def _measure(self, now: float, flow: Flow) -> None:
-        """Note what a request that begins meets at the target.
+        """Note the load that a new request meets at the target.
 
-        It begins with its first data: an acknowledgement alone has opened the
-        flow before, and the work was counted with the opening.
+        A request begins with its first data: an earlier packet without data only opened
+        the flow, and that work was counted with the opening.
         """
         flow.awaits_answer = True
         flow.concurrency = max(1, self._flows.busy)
@@ -71,10 +71,10 @@
             self._target.health.begun(now, flow.key, tag, goal, load)
 
     def answered(self, now: float, flow: Flow, packet: Packet) -> bool:
-        """Note that the target has begun its answer; return if one was due.
+        """Note that the target has begun its answer; return whether one was due.
 
-        What goes wrong if the time of a failed one counts: a target that fails
-        at once looks like the fastest of all, and gets the openings of others.
+        The time of a failed request doesn't count. Otherwise a target that fails
+        immediately would look like the fastest of all and get the openings of others.
         """
         took = self._flows.answered(now, flow)
         if self._target.health is not None:
@@ -90,11 +90,11 @@
         return True
 
     def _record_outcome(self, now: float, flow: Flow, packet: Packet) -> None:
-        """Take how an answer begins, which may come after its end.
+        """Record the start of an answer, which may arrive after its end.
 
-        What goes wrong if the end alone counts as an answer: a target sends a
-        short failure and its end at once, the end comes first, and the failure
-        passes for a good answer, and a quick one.
+        The end alone doesn't count as an answer. A target may send a short failure and
+        its end at once, and the end may arrive first; the failure would then count as a
+        good and quick answer.
         """
         health = self._target.health
         if health is None or not packet.length:
@@ -104,7 +104,7 @@
             self._served(now, flow, now - flow.request_begun_at)
 
     def _served(self, now: float, flow: Flow, took: float) -> None:
-        """Learn from a request that the target has done."""
+        """Update the target's answer time and capacity from a served request."""
         self._target.answered(took)
         if self._target.capacity is not None:
             tag, cold = route_tag_of(flow.key), self._target.may_be_cold(now)
@@ -112,11 +112,10 @@
             self._target.capacity.answered(now, tag, seconds, flow.concurrency, cold)
 
     def aborted(self, now: float, flow: Flow) -> bool:
-        """Note that the target broke a request off; return if one was in progress.
+        """Note that the target reset a flow; return whether a request was in progress.
 
-        What goes wrong if it counts as an answer: a target that has crashed
-        resets within a millisecond, looks like the fastest of all, and gets
-        the openings of the others.
+        This doesn't count as an answer. A crashed target resets within a millisecond;
+        it would look like the fastest of all and get the openings of the others.
         """
         took = self._flows.answered(now, flow)
         if took is None:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/resets.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/resets.py
@@ -10,8 +10,8 @@
 __all__ = ["Resets"]
 
 ENDING_STATES = frozenset((FlowState.OPEN, FlowState.CLOSED))
-"""Flows that end together with their target; a client that has closed its own
-hears nothing."""
+"""Flows that end together with their target; a client that has closed its own flow
+isn't sent a reset."""
 
 
 class Resets:
@@ -22,7 +22,7 @@
     node : Node
         The agent; sends and logs.
     target : Target
-        What is known of the target.
+        State of the target.
     flows : Flows
         The flows that may have ended.
     """
@@ -33,11 +33,11 @@
         self._flows = flows
 
     def end_all(self, why: str, until: float) -> list[Flow]:
-        """Reset the flows that a target took until it ended; return what has ended.
+        """Reset the flows that a target accepted until it ended; return them.
 
-        Nobody holds them any more; their clients may try anew at once. What
-        goes wrong without the time: a new target takes flows before its first
-        heartbeat, and they are reset as if they were the former one's.
+        No target holds them any more, and their clients may retry immediately. The time
+        is needed because a new target accepts flows before its first heartbeat: they
+        would be reset as if they were the former target's.
         """
         ended = [
             flow
@@ -59,11 +59,11 @@
         return ended
 
     def lost(self, flow: Flow, packet: Packet) -> None:
-        """End a flow that the target held and doesn't hold any more.
+        """End a flow that the target held and has lost.
 
-        It has crashed and started again; the client may try anew at once
-        instead of waiting until its time is over. Of one that the target had
-        closed it may have had everything.
+        The target has crashed and restarted; the client may retry immediately instead
+        of waiting for its timeout. If the target had closed the flow, the client may
+        already have received everything.
         """
         if flow.state is FlowState.CLOSED and not packet.is_resettable:
             return
@@ -76,6 +76,6 @@
         self.reset(flow.key, packet.acknowledged)
 
     def reset(self, key: bytes, acknowledged: int) -> None:
-        """Reset one flow, whose client has acknowledged so far."""
+        """Reset one flow, whose client has acknowledged data up to ``acknowledged``."""
         self._node.log.count("resets")
         self._node.links.to_client(key, self._node.codec.reset(key, acknowledged))
--- a/packages/zinniahook-core/src/zinniahook_core/packets/scheduling.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/scheduling.py
@@ -1,11 +1,10 @@
-"""Which request of an open flow gets the next free slot of its target.
-
-Openings are ordered otherwise, see `waiting`. A kind is all requests of one
-priority. Those go first that can still be answered within their route's goal: by
-the route's priority, and of equal ones whose time is over first. What can't be in
-time any more takes the slots that nobody else wants. A kind that others go before
-gets one slot in `GUARANTEED_SLOT_INTERVAL` while it can be in time, so that a
-flood of urgent requests leaves the rest a share.
+"""Choice of the request of an open flow that gets its target's next free slot.
+
+Openings are ordered differently, see `backlog`. Requests that can still be answered
+within their route's goal go first: by the route's priority, and among equal ones by the
+earliest deadline. Late requests get the slots that no other request needs. A priority
+that others precede gets one slot in `GUARANTEED_SLOT_INTERVAL` while it can be in time,
+so that a flood of urgent requests leaves the rest a share.
 """
 
 from __future__ import annotations
@@ -18,12 +17,12 @@
 __all__ = ["Rank", "Scheduler", "rank"]
 
 GUARANTEED_SLOT_INTERVAL = 4
-"""Slots of which a kind that waits gets one at least; the more urgent kinds keep
-the others."""
+"""A waiting priority gets at least one slot in this many; more urgent ones get the
+others."""
 
 
 class Rank(NamedTuple):
-    """How soon something that waits gets a slot; the least goes first."""
+    """The order in which waiting requests get a slot; the smallest goes first."""
 
     is_late: bool
     priority: int
@@ -32,22 +31,22 @@
 
 
 def rank(now: float, answer_time: float, begun: float, urgency: Urgency) -> Rank:
-    """Return the rank of what began at a time.
+    """Return the rank of a request that began at ``begun``.
 
-    ``answer_time`` is how many seconds an answer takes lately.
+    ``answer_time`` is how many seconds an answer takes recently.
     """
     deadline = begun + urgency.goal
     return Rank(now + answer_time >= deadline, urgency.priority, deadline, begun)
 
 
 class Scheduler:
-    """Counts how often each kind was passed over in favour of more urgent ones."""
+    """Counts how often each priority was passed over for more urgent ones."""
 
     def __init__(self) -> None:
         self._passed_by_priority: dict[int, int] = {}
 
     def choose(self, ranks: Iterable[Rank]) -> Rank | None:
-        """Return which of those that wait gets the next slot, None if none waits."""
+        """Return which waiting request gets the next slot, None if none waits."""
         waiting = sorted(ranks)
         if not waiting:
             return None
--- a/packages/zinniahook-core/src/zinniahook_core/packets/target.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/target.py
@@ -1,4 +1,4 @@
-"""What an agent believes of its target, from heartbeats and from packets."""
+"""An agent's view of its target, from heartbeats and from packets."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 __all__ = ["Target"]
 
 ANSWER_TIMEOUT_SECONDS = 0.1
-"""Seconds for the answer to an opening. It comes from the same machine in
-about 0.3 ms; a client repeats the opening after 0.2 s."""
+"""Seconds for the answer to an opening. It comes from the same machine in about 0.3 ms;
+a client repeats the opening after 0.2 s."""
 
 MIN_UNANSWERED_PACKETS = 4
 DEAD_SECONDS = 0.6
-"""Packets in a row, and seconds since the first of them, without any answer
-after which the target is dead. One packet in a hundred may get lost, and a
-client sends again after 0.2 s: a live target misses four once in 10^8."""
+"""Packets in a row, and seconds since the first of them, without any answer after which
+the target is dead. One packet in a hundred may be lost, and a client repeats after
+0.2 s, so a live target misses four once in 10^8."""
 
 MISSED_HEARTBEATS = 3.0
-"""Heartbeats that may be missing before the target counts as down."""
+"""Heartbeats that may be missing before the target is considered down."""
 
 HEARTBEAT_DELAY_SECONDS = 1.0
-"""Seconds that a heartbeat may be under way; its sender gives up then."""
+"""Seconds that a heartbeat may be in transit; its sender gives up then."""
 
 REFUSAL_SECONDS = 0.3
-"""Seconds for which a target that returned an opening counts as busier than it
-looks. One that has crashed returns all of them and works on nothing."""
+"""Seconds for which a target that returned an opening counts as busier than it appears.
+A crashed target returns all openings and works on nothing."""
 
 FIRST_HEARTBEAT_NUMBER = 1
 """Number of a target's first heartbeat."""
 
 FIRST_HEARTBEAT_INTERVALS = 1.5
-"""Intervals within which a target that has started sends its first heartbeat."""
+"""Heartbeat intervals within which a new target sends its first heartbeat."""
 
 ANSWER_WEIGHT = 0.1
 """Weight of a new answer time in the mean: about the last ten count."""
 
 
 class Target:
-    """The target beside an agent.
+    """The target of one agent.
 
     Parameters
     ----------
@@ -51,8 +51,8 @@
     beat_interval : float
         Seconds between its heartbeats.
 
-    ``slots`` is 0 until a heartbeat has told it. ``health`` and ``capacity`` are
-    what its answers show, None where that is switched off.
+    ``slots`` is 0 until the first heartbeat. ``health`` and ``capacity`` are derived
+    from its answers, None where they are switched off.
     """
 
     def __init__(self, service: str, beat_interval: float) -> None:
@@ -82,22 +82,22 @@
         self._unanswered_since = 0.0
 
     def enable_measurement(self, features: Features, log: Log, flows: Flows) -> None:
-        """Judge and measure it by its answers, where that is switched on."""
+        """Track health and capacity from the target's answers, where switched on."""
         if features.target_health:
             self.health = Health(log, flows)
         if features.learned_capacity:
             self.capacity = Capacity()
 
     def start(self, now: float) -> None:
-        """Note when the agent began to look at the target."""
+        """Note when the agent began to observe the target."""
         self._since = now
         self.suspect_cold(now)
 
     def heartbeat(self, now: float, beat: Beat) -> bool:
-        """Take a heartbeat; return whether a new target has started.
+        """Apply a heartbeat; return whether a new target has started.
 
-        A late one of an earlier target, or one that was overtaken, changes
-        nothing: it would make a leaving target ready again.
+        A late heartbeat of an earlier target, or one that was overtaken, is ignored. It
+        would make a leaving target ready again.
         """
         verdict = self._incarnations.judge(now, beat)
         if verdict is Verdict.LATE:
@@ -119,10 +119,10 @@
     def _started(self, now: float, beat: Beat) -> None:
         """Note that the target of a heartbeat has started.
 
-        It is younger than this agent if the one before it was seen running. What
-        goes wrong without the check: an agent restarts, a late heartbeat of an
-        earlier target comes first, the next one seems to be of a new target, and
-        the agent denies the flows that it holds.
+        It is younger than this agent if its predecessor was seen running. Without this
+        check, a late heartbeat of an earlier target could be the first one after a
+        restart of the agent. The next heartbeat would seem to come from a new target,
+        and the agent would deny flows that the target holds.
         """
         seen_running = (
             self._heartbeat_at - self._known_since > HEARTBEAT_DELAY_SECONDS / 2
@@ -144,17 +144,17 @@
 
     @property
     def usable_slots(self) -> int:
-        """Requests that it works on at a time, as told or as measured."""
+        """Requests that it works on at a time, as reported or as measured."""
         if self.capacity is None or not self.slots:
             return self.slots
         return self.capacity.slots(self.slots)
 
     def _is_first(self, now: float, beat: Beat) -> bool:
-        """Tell whether a target has surely started while this agent ran.
+        """Return whether a target has certainly started while this agent ran.
 
-        What goes wrong with the number alone: a target takes flows before its
-        first heartbeat, its agent restarts, hears number 1, and denies the
-        flows that it didn't see.
+        The number alone isn't enough: a target may accept flows before its first
+        heartbeat. If its agent restarts in that time and receives number 1, it would
+        deny the flows that it didn't see.
         """
         long_enough = (
             now - self._since > FIRST_HEARTBEAT_INTERVALS * self._heartbeat_interval
@@ -165,13 +165,13 @@
     def may_be_older(self) -> bool:
         """Whether the target may have run before this agent.
 
-        It hasn't if its very first heartbeat came here, or if it took the
-        place of another one that this agent knew.
+        It hasn't if its very first heartbeat arrived here, or if it replaced another
+        target that this agent knew.
         """
         return not self._seen_from_start
 
     def note_ended(self, target: str, born: int | None = None) -> None:
-        """Note that the target has said that it ends; an earlier one may not."""
+        """Note that the target has announced its end; ignore earlier targets."""
         if self._incarnations.is_former(target, born):
             return
         if target == self.name or not self.name:
@@ -180,7 +180,7 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether the target has told of itself, or sent anything."""
+        """Whether the target has sent a heartbeat or any data."""
         return bool(self.name) or self._has_answered
 
     def note_absent(self) -> None:
@@ -191,26 +191,26 @@
             self._is_absent = True
 
     def note_appeared(self) -> None:
-        """Note that a process runs where none did; it hasn't told of itself yet."""
+        """Note that a process runs where none did; it has sent no heartbeat yet."""
         if self._is_absent:
             self.leaving = False
             self.gone = False
             self._is_absent = False
 
     def heard(self, now: float) -> None:
-        """Note a sign of life."""
+        """Note any packet or heartbeat of the target."""
         self._heard_at = now
         self._silent_since = None
         self._unanswered_count = 0
 
     def note_working(self, now: float) -> None:
-        """Note an answer to an opening, or data: only a target that works sends it."""
+        """Note an answer to an opening, or data, which only a working target sends."""
         self._has_answered = True
         self.note_appeared()
         self.heard(now)
 
     def heard_since(self, moment: float) -> bool:
-        """Tell whether the target has sent anything after ``moment``."""
+        """Return whether the target has sent anything after ``moment``."""
         return self._heard_at > moment
 
     def refused(self, now: float) -> None:
@@ -219,39 +219,39 @@
         self.suspect_cold(now)
 
     def refused_recently(self, now: float) -> bool:
-        """Tell whether the target returned an opening lately.
+        """Return whether the target returned an opening recently.
 
-        One that has done nothing else yet may be no target at all, and goes on
-        refusing until a heartbeat tells otherwise.
+        If it has done nothing else yet, it may be no target at all and counts as
+        refusing until a heartbeat arrives.
         """
         if not self.name and not self._has_answered:
             return self._refused_at > float("-inf")
         return now - self._refused_at < REFUSAL_SECONDS
 
     def note_given(self, now: float) -> None:
-        """Note that the target got a packet that it must answer."""
+        """Note that the target was sent a packet that it must answer."""
         if not self._unanswered_count:
             self._unanswered_since = now
         self._unanswered_count += 1
 
     def is_dead(self, now: float) -> bool:
-        """Tell whether the target certainly doesn't run.
+        """Return whether the target certainly doesn't run.
 
-        It stands on the same machine and acknowledges openings and data in
-        about a millisecond, however busy it is. What goes wrong without: the
-        clients of its flows wait until their time is over.
+        It is on the same machine and acknowledges openings and data in about a
+        millisecond, however busy it is. Without this, the clients of its flows would
+        wait for their timeout.
         """
         silent = self._unanswered_count >= MIN_UNANSWERED_PACKETS
         return silent and now - self._unanswered_since >= DEAD_SECONDS
 
     def unanswered(self, now: float, since: float) -> None:
-        """Note that an opening given to the target at ``since`` has no answer."""
+        """Note that an opening sent to the target at ``since`` has no answer."""
         if self._heard_at < since and self._silent_since is None:
             self._silent_since = now
             self.suspect_cold(now)
 
     def answered(self, seconds: float) -> None:
-        """Take the time that a request took until its answer began."""
+        """Record the time that a request took until its answer began."""
         if not self.answer_time:
             self.answer_time = seconds
         self.answer_time += ANSWER_WEIGHT * (seconds - self.answer_time)
@@ -261,19 +261,19 @@
         return max(0.0, self._warm_at - now)
 
     def suspect_cold(self, now: float) -> None:
-        """Note that the target may have become cold without telling yet."""
+        """Note that the target may have become cold without reporting it yet."""
         self._doubted_at = now
 
     def may_be_cold(self, now: float) -> bool:
-        """Tell whether the target may be slow for now.
+        """Return whether the target may be slow for now.
 
-        What goes wrong with its word alone: it has just started, or its data
-        centre is taken back, and until its next heartbeat it passes for warm.
+        Its heartbeats alone aren't enough: if it has just started, or its data centre
+        is back in use, it would count as warm until its next heartbeat.
         """
         return self._heartbeat_at <= self._doubted_at or self.warming(now) > 0
 
     def state(self, now: float) -> State:
-        """Return what others should think of the target."""
+        """Return the state to report for the target."""
         if self.leaving:
             return State.LEAVING
         if self._silent_since is not None or self.is_dead(now):
--- a/packages/zinniahook-core/src/zinniahook_core/packets/trials.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/trials.py
@@ -1,8 +1,8 @@
-"""Finds out which flows a target holds that is older than its agent.
+"""Trials that find out which flows a target older than its agent holds.
 
-An agent that was restarted alone knows nothing of its target's flows. It gives
-one packet of an unknown flow to the target: one that isn't held there comes
-back at once, and everything else is the target's own.
+An agent that was restarted alone knows nothing of its target's flows. It sends one
+packet of an unknown flow to the target. If the target doesn't hold the flow, it returns
+the packet at once; otherwise the flow belongs to the target.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 __all__ = ["Trials"]
 
 TRIAL_SECONDS = 0.05
-"""Seconds in which a target returns a packet that isn't its own; it takes
+"""Seconds in which a target returns a packet of a flow that it doesn't hold; it takes
 under 1 ms. If the target has sent anything since, the flow counts as owned."""
 
 MAX_TRIAL_SECONDS = 1.5
-"""Seconds after which a trial ends without a verdict: longer than a heartbeat,
-which a target that lives sends even if nobody asks it."""
+"""Seconds after which a trial ends without a result: longer than the interval of
+heartbeats, which a live target sends even if it receives nothing."""
 
 MAX_REPEAT_SECONDS = 0.4
-"""Seconds after which a target doesn't get a packet again: its client has repeated it
-meanwhile, or has its answer, and the target may be another one that has just started.
-Who still searches asks again."""
+"""Seconds after which a target isn't sent a packet again: its client has repeated it by
+then, or has its answer, and the target may be a different one that has just started.
+An agent that still searches asks again."""
 
 DENIAL_SECONDS = 4.0
-"""Seconds for which a returned flow isn't tried again: twice the time after
-which a flow counts as broken if only other targets get its packets."""
+"""Seconds for which a returned flow isn't tried again: twice the time after which a
+flow counts as broken if only other targets get its packets."""
 
 MAX_DENIALS = 16384
 MAX_CHECKS_PER_TICK = 256
@@ -43,7 +43,7 @@
 
 
 class _Trial(NamedTuple):
-    """A packet that was given to the target to see whether it returns it."""
+    """A packet that was sent to the target to see whether the target returns it."""
 
     begun: float
     given_at: float
@@ -58,11 +58,11 @@
     Parameters
     ----------
     flows : Flows
-        Flows on trial stand there too.
+        Flows of the agent, including those on trial.
     target : Target
-        What is known of the target.
+        State of the target.
     links : Links
-        Gives packets to it.
+        Sends packets to the target.
     found : callable
         Called with the time and a flow that turned out to be owned.
     pending : callable
@@ -87,15 +87,15 @@
         self._denied_until: dict[bytes, float] = {}
 
     def start(self, now: float) -> None:
-        """Begin; flows may be older than this process for a while."""
+        """Start; for a while, flows may be older than this process."""
         self._started = now
 
     def begin(self, now: float, head: Head, packet: Packet, asker: str = "") -> Taken:
-        """Try a packet, if its flow may be older than this agent.
+        """Try a packet if its flow may be older than this agent.
 
-        One that is on trial already is open. What goes wrong without: another
-        agent has asked for the flow, this one searches for it as its home,
-        hears everybody else deny it, and resets a flow of its own target.
+        A flow already on trial is undecided. Otherwise, when another agent has asked
+        for the flow and this agent searches for it as its home, all other agents would
+        deny it, and this agent would reset a flow of its own target.
         """
         key = packet.flow
         known = self._flows.get(key)
@@ -113,11 +113,10 @@
         return Taken.OPEN
 
     def denied(self, now: float, key: bytes) -> None:
-        """Note that the target returned a packet; try none for a while.
+        """Note that the target returned a packet; don't try its flow for a while.
 
-        What goes wrong without: the agent of the flow's target restarts too
-        and can't answer yet, the client repeats its packet, and other targets
-        get each copy of it.
+        Otherwise, if the agent of the flow's target restarts too and can't answer yet,
+        the client would repeat its packet, and other targets would get each copy of it.
         """
         self._by_flow.pop(key, None)
         denied = self._denied_until
@@ -135,8 +134,8 @@
     def tick(self, now: float) -> None:
         """End trials whose packets the target has kept.
 
-        What goes wrong if silence alone counts: the target is dead, its agent
-        claims every flow it is asked for, and resets flows of others later.
+        Silence alone doesn't count. Otherwise the agent of a dead target would claim
+        every flow that it is asked for, and later reset flows of others.
         """
         trials = list(self._by_flow.items())[:MAX_CHECKS_PER_TICK]
         self._notify_askers(now, trials)
@@ -158,7 +157,7 @@
                 self._flows.drop(key)
 
     def _notify_askers(self, now: float, trials: list[tuple[bytes, _Trial]]) -> None:
-        """Show who searches that this agent runs and has yet to answer."""
+        """Notify askers that this agent is running and will answer later."""
         askers: dict[str, None] = {}
         for key, trial in trials:
             flow = self._flows.get(key)
@@ -169,11 +168,11 @@
             self._pending(now, asker)
 
     def _decide(self, now: float, flow: Flow, trial: _Trial) -> None:
-        """Claim a flow whose packet a living target has kept twice.
+        """Claim a flow whose packet a live target has kept twice.
 
-        What goes wrong with once: the target was dead as it got the packet,
-        another one has started since, and its first sign of life passes for
-        that of a target that kept the packet.
+        Once isn't enough. If the target was dead when it was sent the packet and
+        another one has started since, the first packet of the new target would seem to
+        come from a target that kept the packet.
         """
         if trial.repeated:
             self.succeeded(now, flow)
