--- a/packages/zinniahook-core/src/zinniahook_core/packets/agent.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/agent.py
@@ -31,8 +31,7 @@
 
 EXPIRY_INTERVAL_SECONDS = 0.2
 FLOWS_PER_EXPIRY = 800
-"""Flows checked each time: 4,000 a second. An agent holds 3,200 at the designed
-size."""
+"""Flows checked each time: 4,000 a second, for 3,200 flows at the designed size."""
 
 
 class Agent(Node):
@@ -131,25 +130,31 @@
         self.queue.tick(now)
         self.membership.tick(now)
 
-    def heartbeat(self, now: float, beat: Beat) -> bool:
+    def heartbeat(self, now: float, heartbeat: Beat) -> bool:
         """Apply a heartbeat of the target; return False if it is rejected.
 
         Without this check, another writer could name a service that doesn't exist, and
         this agent would leave its own.
         """
         former = self.target.service
-        if former and beat.service != former and not self._is_named(beat.service):
-            self.log.event("heartbeat.foreign", target=beat.target, of=beat.service)
+        if (
+            former
+            and heartbeat.service != former
+            and not self._is_named(heartbeat.service)
+        ):
+            self.log.event(
+                "heartbeat.foreign", target=heartbeat.target, of=heartbeat.service
+            )
             return False
-        replaced = self.target.heartbeat(now, beat)
+        replaced = self.target.heartbeat(now, heartbeat)
         if replaced:
             until = self.target.former_until
             self.flows.forget_work()
             ended = self.resets.end_all("target.replaced", until)
             self.registry.tell_ended(now, ended)
             self.queue.admit(now)
-        if beat.service != former:
-            self._change_service(beat.service)
+        if heartbeat.service != former:
+            self._change_service(heartbeat.service)
         self.membership.tick(now)
         return True
 
@@ -174,10 +179,7 @@
         self.membership.tick(now)
 
     def announce_end(self, now: float) -> None:
-        """Send the last messages to the other daemons before this process ends.
-
-        If the target has ended, its flows are announced as ended too.
-        """
+        """Announce the end of this process, and of an ended target's flows."""
         if self.target.gone:
             self.registry.tell_ended(now, list(self.flows.by_key.values()))
         self.membership.farewell(now)
@@ -474,11 +476,11 @@
         self.queue.admit(now)
 
     def _disown(self, now: float, flow: Flow) -> None:
-        """Tell the homes that a flow isn't owned here after all.
+        """Report to the homes that a flow isn't owned here after all.
 
-        Without this, if a target hung and kept the packets of a trial, its agent would
-        claim the flow, and homes would send every further packet here although the
-        flow's owner is alive.
+        If a target hung and kept the packets of a trial, its agent has claimed the
+        flow. Homes would send every further packet here although the flow's owner is
+        alive.
         """
         self.log.event("flow.disowned", flow=flow.key, homes=flow.homes)
         self.trials.denied(now, flow.key)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/allocation.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/allocation.py
@@ -161,24 +161,26 @@
 
 
 def max_min(
-    wants: Sequence[float], weights: Sequence[float], capacity: float
+    demands: Sequence[float], weights: Sequence[float], capacity: float
 ) -> list[float]:
     """Divide a capacity by max-min fairness, in proportion to the weights.
 
     No share exceeds what is wanted.
     """
-    given = [0.0] * len(wants)
-    left = capacity
+    granted = [0.0] * len(demands)
+    remaining = capacity
     # The smallest demand relative to its weight is satisfied first.
-    order = sorted(range(len(wants)), key=lambda i: wants[i] / weights[i])
+    order = sorted(range(len(demands)), key=lambda i: demands[i] / weights[i])
     weight_left = sum(weights)
     for index in order:
         # If weights differ by more than a float can represent, none is left at the end.
-        share = left * weights[index] / weight_left if weight_left > 0 else left
-        given[index] = min(wants[index], max(0.0, share))
-        left -= given[index]
+        share = (
+            remaining * weights[index] / weight_left if weight_left > 0 else remaining
+        )
+        granted[index] = min(demands[index], max(0.0, share))
+        remaining -= granted[index]
         weight_left -= weights[index]
-    return given
+    return granted
 
 
 def divide_slots(
@@ -193,14 +195,16 @@
         PRIORITY_WEIGHT_RATIO ** ranks.index(traffic_class.priority)
         for traffic_class in classes
     ]
-    wants = [demand_by_class[traffic_class] for traffic_class in classes]
+    demands = [demand_by_class[traffic_class] for traffic_class in classes]
     even = FLOOR_SHARE * capacity / len(classes)
-    floors = [min(want, even) for want in wants]
-    wanted = [want - floor for want, floor in zip(wants, floors, strict=True)]
-    rest = max_min(wanted, weights, capacity - sum(floors))
+    floors = [min(demand, even) for demand in demands]
+    remaining_demands = [
+        demand - floor for demand, floor in zip(demands, floors, strict=True)
+    ]
+    rest = max_min(remaining_demands, weights, capacity - sum(floors))
     return {
-        traffic_class: floor + more
-        for traffic_class, floor, more in zip(classes, floors, rest, strict=True)
+        traffic_class: floor + extra
+        for traffic_class, floor, extra in zip(classes, floors, rest, strict=True)
     }
 
 
@@ -249,8 +253,8 @@
             known.add(member, decode_counts(member.sections.get(Section.ROOM, b"")))
     if not heard or heard < MIN_SAMPLE_SHARE * total:
         return None
-    wants = {c: n.busy + n.waiting for c, n in known.counts_by_class.items()}
-    by_class = divide_slots(wants, known.slots)
+    demands = {c: n.busy + n.waiting for c, n in known.counts_by_class.items()}
+    by_class = divide_slots(demands, known.slots)
     mean = known.answer_time_by_slots / known.slots
     answer_time = max(MIN_ANSWER_SECONDS, mean)
     waits = {
--- a/packages/zinniahook-core/src/zinniahook_core/packets/capacity.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/capacity.py
@@ -167,11 +167,11 @@
         samples = self._samples()
         if not samples or not 0 < reported < MAX_CONCURRENCY:
             return reported
-        least, most = (
+        lowest, highest = (
             max(1, reported // MAX_RATIO),
             min(MAX_CONCURRENCY, reported * MAX_RATIO),
         )
-        errors = {c: _error(samples, c) for c in range(least, most + 1)}
+        errors = {c: _error(samples, c) for c in range(lowest, highest + 1)}
         best = min(errors, key=lambda c: (round(errors[c], 6), c))
         return best if errors[reported] - errors[best] > MIN_GAIN else reported
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/flows.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/flows.py
@@ -279,10 +279,10 @@
         self._done(flow)
         return took
 
-    def expire(self, now: float, idle: float, most: int) -> int:
-        """Remove ended flows among the next ``most`` flows; return their number."""
+    def expire(self, now: float, idle: float, limit: int) -> int:
+        """Remove ended flows among the next ``limit`` flows; return their number."""
         expired = 0
-        for _ in range(most):
+        for _ in range(limit):
             key = next(self._sweep, None)
             if key is None:
                 self._sweep = iter(list(self.by_key))
--- a/packages/zinniahook-core/src/zinniahook_core/packets/forecasts.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/forecasts.py
@@ -137,7 +137,7 @@
         """Return whether the other agents' shares should be read again."""
         return now - self._pooled_at >= POOL_INTERVAL_SECONDS
 
-    def pool(self, now: float, told: Iterable[bytes]) -> None:
+    def pool(self, now: float, sections: Iterable[bytes]) -> None:
         """Use the mean of the shares that all agents, including this one, report.
 
         With its own shares alone, an agent whose few flows are busier than usual for a
@@ -147,7 +147,7 @@
         self._pooled_at = now
         sums: dict[int, float] = {}
         counts: dict[int, int] = {}
-        for body in told:
+        for body in sections:
             for tag, share in _shares(body):
                 sums[tag] = sums.get(tag, 0.0) + share
                 counts[tag] = counts.get(tag, 0) + 1
@@ -163,7 +163,7 @@
             for route, seen in self._by_route.items()
             if seen.is_known
         ]
-        known.sort(key=lambda one: (-one[0], one[1]))
+        known.sort(key=lambda row: (-row[0], row[1]))
         rows = [
             SHARE_FORMAT.pack(
                 route_tag(route), round(SHARE_SCALE * seen.busy / seen.flows)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/health.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/health.py
@@ -181,9 +181,9 @@
         self._phase_since = float("-inf")
         self._returned_at = float("-inf")
         self._ticked_at = float("-inf")
-        self._good_in_row = 0
-        self._bad_probes_in_row = 0
-        self._bad_in_row: dict[int, int] = {}
+        self._good_run = 0
+        self._bad_probe_run = 0
+        self._bad_run_by_tag: dict[int, int] = {}
         self._bad_flows: dict[bytes, None] = {}
         self.suspect_since: float | None = None
         self._recent_bad_share = 0.0
@@ -198,7 +198,7 @@
         self._counts_by_tag.clear()
         self._pending.clear()
         self._returned_at = float("-inf")
-        self._bad_in_row.clear()
+        self._bad_run_by_tag.clear()
         self._bad_flows.clear()
         self.suspect_since = None
         self._recent_bad_share = self._recent_failed_share = 0.0
@@ -263,17 +263,17 @@
             counts = self._counts_by_tag[pending.tag] = Counts(now)
         counts.add(now, took, bad, failed)
         if bad:
-            row = self._bad_in_row
-            row[pending.tag] = row.get(pending.tag, 0) + 1
+            runs_by_tag = self._bad_run_by_tag
+            runs_by_tag[pending.tag] = runs_by_tag.get(pending.tag, 0) + 1
         else:
-            self._bad_in_row.clear()
+            self._bad_run_by_tag.clear()
         self._recent_bad_share += RECENT_WEIGHT * (bad - self._recent_bad_share)
         self._recent_failed_share += RECENT_WEIGHT * (
             failed - self._recent_failed_share
         )
         if self.phase is Phase.ASIDE and pending.at >= self._phase_since:
-            self._good_in_row = 0 if bad else self._good_in_row + 1
-            self._bad_probes_in_row = self._bad_probes_in_row + 1 if bad else 0
+            self._good_run = 0 if bad else self._good_run + 1
+            self._bad_probe_run = self._bad_probe_run + 1 if bad else 0
 
     def _is_known_bad(self, key: bytes, bad: bool) -> bool:
         """Return whether a flow's previous request failed as well.
@@ -294,7 +294,7 @@
     def _run_probability(self) -> float:
         """Return the probability of the run of bad answers at the peers' shares."""
         chance = 1.0
-        for tag, count in self._bad_in_row.items():
+        for tag, count in self._bad_run_by_tag.items():
             peers = self._peers.get(tag)
             if peers is not None and peers.total >= MIN_PEER_ANSWERS:
                 chance *= peers.share**count
@@ -419,10 +419,13 @@
         evidence = self.evidence(now)
         if evidence.bad < MIN_FAILURES:
             return False
-        usual = max(
+        allowed_share = max(
             MIN_EXCESS_RATIO * evidence.peers, evidence.peers + MIN_EXCESS_SHARE
         )
-        return evidence.bound > usual or self._run_probability() < MIN_RUN_PROBABILITY
+        return (
+            evidence.bound > allowed_share
+            or self._run_probability() < MIN_RUN_PROBABILITY
+        )
 
     def _eject(self, now: float, evidence: Evidence) -> None:
         relapsed = now - self._returned_at < RELAPSE_SECONDS
@@ -432,9 +435,9 @@
         self.failing = self._recent_failed_share
         self.phase = Phase.ASIDE
         self._phase_since = now
-        self._good_in_row = self._bad_probes_in_row = 0
+        self._good_run = self._bad_probe_run = 0
         chance = self._run_probability()
-        self._bad_in_row.clear()
+        self._bad_run_by_tag.clear()
         self._counts_by_tag.clear()
         self._log.event(
             "target.suspected",
@@ -447,14 +450,14 @@
         )
 
     def _try_return(self, now: float) -> bool:
-        aside = now - self._phase_since
-        if self._good_in_row < self._good_needed and aside < MAX_EJECTION_SECONDS:
+        elapsed = now - self._phase_since
+        if self._good_run < self._good_needed and elapsed < MAX_EJECTION_SECONDS:
             return False
         self._log.event(
             "target.trusted",
-            good=self._good_in_row,
+            good=self._good_run,
             good_asked=self._good_needed,
-            aside=round(aside, 2),
+            aside=round(elapsed, 2),
         )
         self.phase = Phase.RETURNING
         self._phase_since = self._returned_at = now
@@ -467,7 +470,7 @@
         if self.phase is Phase.FULL:
             return 1.0
         if self.phase is Phase.ASIDE:
-            return max(MIN_PROBE_SHARE, PROBE_SHARE * 0.5**self._bad_probes_in_row)
+            return max(MIN_PROBE_SHARE, PROBE_SHARE * 0.5**self._bad_probe_run)
         return min(1.0, RAMP_START_SHARE + (now - self._phase_since) / RAMP_SECONDS)
 
     def failed_share(self) -> float:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/placement.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/placement.py
@@ -111,8 +111,8 @@
 
 def expected_busy(member: Member) -> float:
     """Return the requests in progress expected from a member's open flows."""
-    told = decode_expected_busy(member.sections.get(Section.WORK, b""))
-    return member.flows * DEFAULT_BUSY_SHARE if told is None else told
+    reported = decode_expected_busy(member.sections.get(Section.WORK, b""))
+    return member.flows * DEFAULT_BUSY_SHARE if reported is None else reported
 
 
 def expected_loads(members: Sequence[Member], later: float) -> dict[str, ExpectedLoad]:
@@ -121,16 +121,16 @@
     A member with a lower expected load than the others counts as at most
     `MAX_ADVANTAGE` below them, and as equal to them while it is cold.
     """
-    found = [expected_busy(member) for member in members]
+    loads = [expected_busy(member) for member in members]
     slots = sum(member.slots for member in members)
-    usual = sum(found) / max(1, slots)
-    least = [
+    usual = sum(loads) / max(1, slots)
+    minimums = [
         usual * m.slots if m.warming > 0 else (usual - MAX_ADVANTAGE) * m.slots
         for m in members
     ]
     return {
-        member.address: ExpectedLoad(later, max(one, low))
-        for member, one, low in zip(members, found, least, strict=True)
+        member.address: ExpectedLoad(later, max(load, minimum))
+        for member, load, minimum in zip(members, loads, minimums, strict=True)
     }
 
 
@@ -200,30 +200,30 @@
     """
     if all(member.trust >= 1 for member in members):
         return members
-    aside = [member for member in members if member.is_aside]
-    tried = _draw_probed(aside, len(members), rng)
-    if tried is not None:
-        return [tried]
-    aside.sort(key=lambda member: member.health.failing if member.health else 0.0)
-    too_many = max(0, len(aside) - int(MAX_EJECTED_SHARE * len(members)))
+    ejected = [member for member in members if member.is_aside]
+    probed = _draw_probed(ejected, len(members), rng)
+    if probed is not None:
+        return [probed]
+    ejected.sort(key=lambda member: member.health.failing if member.health else 0.0)
+    excess = max(0, len(ejected) - int(MAX_EJECTED_SHARE * len(members)))
     others = [member for member in members if not member.is_aside]
     used = [m for m in others if m.trust >= 1 or rng.random() < m.trust]
-    used += aside[:too_many]
+    used += ejected[:excess]
     if any(member.has_room for member in used):
         return used
     returning = [m for m in others if m not in used]
-    spare = [m for m in aside[too_many:] if m.has_room and not m.is_lost]
+    spare = [m for m in ejected[excess:] if m.has_room and not m.is_lost]
     return [*used, *returning, *spare] or members
 
 
-def _draw_probed(aside: list[Member], size: int, rng: random.Random) -> Member | None:
+def _draw_probed(ejected: list[Member], size: int, rng: random.Random) -> Member | None:
     """Draw the ejected member that a probe goes to, None for no probe.
 
     A member with a request in progress gets no other probe until that is done, as it
     may hang.
     """
     drawn = rng.random() * size
-    for member in aside:
+    for member in ejected:
         drawn -= member.trust
         if drawn < 0:
             return member if member.busy + member.placed < 1 else None
--- a/packages/zinniahook-core/src/zinniahook_core/packets/queueing.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/queueing.py
@@ -152,7 +152,7 @@
         """Send a packet of an open flow to the target, or let it wait."""
         if self._by_flow:
             held = self._by_flow.get(packet.flow)
-            if held is not None and self._joins(now, held, flow, packet):
+            if held is not None and self._join(now, held, flow, packet):
                 return
         if self.is_on and self._must_wait(now, flow, packet):
             self._hold(now, flow, packet)
@@ -227,7 +227,7 @@
         if len(self._by_flow) > MAX_HELD_REQUESTS:
             self._let_through(now, next(iter(self._by_flow.values())), "many")
 
-    def _joins(self, now: float, held: HeldRequest, flow: Flow, packet: Packet) -> bool:
+    def _join(self, now: float, held: HeldRequest, flow: Flow, packet: Packet) -> bool:
         """Add another packet of a waiting flow; return whether it waits too.
 
         A closing packet or a reset goes on immediately, after the packets before it.
@@ -355,9 +355,9 @@
                 self._let_through(now, held, "overdue")
         self.admit(now)
 
-    def _let_through(self, now: float, held: HeldRequest, why: str) -> None:
+    def _let_through(self, now: float, held: HeldRequest, reason: str) -> None:
         """Send a request to the target although no slot is known to be free."""
-        self._node.log.count(f"requests.let_through_{why}")
+        self._node.log.count(f"requests.let_through_{reason}")
         self._release(now, held)
 
     def _forget(self, held: HeldRequest) -> None:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/reports.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/reports.py
@@ -15,8 +15,8 @@
     "encode_health",
 ]
 
-HEAD = struct.Struct("!BB")
-ROW = struct.Struct("!HBBB")
+HEAD_FORMAT = struct.Struct("!BB")
+ROW_FORMAT = struct.Struct("!HBBB")
 MAX_BYTE = 255
 COUNT_SCALE = 6
 MIN_TIME_SECONDS = 0.0001
@@ -55,8 +55,8 @@
 def encode_health(report: HealthReport) -> bytes:
     """Return a report as a section: 2 bytes, and 5 for each route."""
     trust, failing = (round(min(1.0, s) * MAX_BYTE) for s in report[:2])
-    return HEAD.pack(trust, failing) + b"".join(
-        ROW.pack(
+    return HEAD_FORMAT.pack(trust, failing) + b"".join(
+        ROW_FORMAT.pack(
             row.tag,
             min(MAX_BYTE, round(row.total * COUNT_SCALE)),
             min(MAX_BYTE, round(row.bad * COUNT_SCALE)),
@@ -68,12 +68,12 @@
 
 def decode_health(body: bytes) -> HealthReport | None:
     """Decode a report; None if it is malformed."""
-    if len(body) < HEAD.size or (len(body) - HEAD.size) % ROW.size:
+    if len(body) < HEAD_FORMAT.size or (len(body) - HEAD_FORMAT.size) % ROW_FORMAT.size:
         return None
-    trust, failing = HEAD.unpack_from(body)
+    trust, failing = HEAD_FORMAT.unpack_from(body)
     rows = tuple(
         RouteRow(tag, total / COUNT_SCALE, bad / COUNT_SCALE, _time(packed))
-        for tag, total, bad, packed in ROW.iter_unpack(body[HEAD.size :])
+        for tag, total, bad, packed in ROW_FORMAT.iter_unpack(body[HEAD_FORMAT.size :])
     )
     return HealthReport(trust / MAX_BYTE, failing / MAX_BYTE, rows)
 
--- a/packages/zinniahook-core/src/zinniahook_core/packets/target.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/target.py
@@ -93,30 +93,30 @@
         self._since = now
         self.suspect_cold(now)
 
-    def heartbeat(self, now: float, beat: Beat) -> bool:
+    def heartbeat(self, now: float, heartbeat: Beat) -> bool:
         """Apply a heartbeat; return whether a new target has started.
 
         A late heartbeat of an earlier target, or one that was overtaken, is ignored. It
         would make a leaving target ready again.
         """
-        verdict = self._incarnations.judge(now, beat)
+        verdict = self._incarnations.judge(now, heartbeat)
         if verdict is Verdict.LATE:
             return False
         replaced = verdict is Verdict.STARTED and bool(self.name)
         if verdict is Verdict.STARTED:
-            self._started(now, beat)
-        self.name = beat.target
-        self.service = beat.service
-        self.slots = max(1, beat.slots)
-        self.leaving = beat.leaving
+            self._started(now, heartbeat)
+        self.name = heartbeat.target
+        self.service = heartbeat.service
+        self.slots = max(1, heartbeat.slots)
+        self.leaving = heartbeat.leaving
         self.gone = False
         self._is_absent = False
-        self._warm_at = now + beat.warming
+        self._warm_at = now + heartbeat.warming
         self._heartbeat_at = now
         self.heard(now)
         return replaced
 
-    def _started(self, now: float, beat: Beat) -> None:
+    def _started(self, now: float, heartbeat: Beat) -> None:
         """Note that the target of a heartbeat has started.
 
         It is younger than this agent if its predecessor was seen running. Without this
@@ -131,7 +131,7 @@
             self.former_until = self._heartbeat_at - HEARTBEAT_DELAY_SECONDS
             self._forget_answers()
         if (self.name and seen_running) or (
-            not self.name and self._is_first(now, beat)
+            not self.name and self._is_first(now, heartbeat)
         ):
             self._seen_from_start = True
         self._known_since = now
@@ -149,7 +149,7 @@
             return self.slots
         return self.capacity.slots(self.slots)
 
-    def _is_first(self, now: float, beat: Beat) -> bool:
+    def _is_first(self, now: float, heartbeat: Beat) -> bool:
         """Return whether a target has certainly started while this agent ran.
 
         The number alone isn't enough: a target may accept flows before its first
@@ -159,7 +159,7 @@
         long_enough = (
             now - self._since > FIRST_HEARTBEAT_INTERVALS * self._heartbeat_interval
         )
-        return beat.number <= FIRST_HEARTBEAT_NUMBER and long_enough
+        return heartbeat.number <= FIRST_HEARTBEAT_NUMBER and long_enough
 
     @property
     def may_be_older(self) -> bool:
--- a/packages/zinniahook-core/tests/health_fakes.py
+++ b/packages/zinniahook-core/tests/health_fakes.py
@@ -27,7 +27,7 @@
 ANSWER_WEIGHT = 0.1
 
 
-class Lines:
+class RecordingLog:
     """A log that keeps its lines."""
 
     def __init__(self):
@@ -43,7 +43,7 @@
     def observe(self, name, seconds, **labels):
         pass
 
-    def told(self, name):
+    def events(self, name):
         return [fields for event, fields in self.lines if event == name]
 
 
@@ -58,9 +58,9 @@
         self.share = 0.0
         self.kinds_failing = frozenset()
         self.free_at = [0.0] * slots
-        self.log = Lines()
+        self.log = RecordingLog()
         self.answer_time = 0.0
-        self.told = Member(address, 0)
+        self.member = Member(address, 0)
         self.restart()
 
     def restart(self):
@@ -68,12 +68,12 @@
         self.flows = Flows()
         self.health = Health(self.log, self.flows)
 
-    def fate(self, kind):
+    def outcome(self, kind):
         if kind in self.kinds_failing:
             return "errors"
         return self.fault if self.rng.random() < self.share else ""
 
-    def run(self, now, work):
+    def serve(self, now, work):
         start = max(now, heapq.heappop(self.free_at))
         heapq.heappush(self.free_at, start + work)
         return start + work
@@ -94,24 +94,24 @@
 class Service:
     """Targets, their callers, and the clock.
 
-    ``ways`` names what placing goes by: "times" alone, "shares" of failures, or
+    ``criteria`` names what placing goes by: "times" alone, "shares" of failures, or
     both.
     """
 
-    def __init__(self, seed, size=10, ways=frozenset(("times", "shares"))):
+    def __init__(self, seed, size=10, criteria=frozenset(("times", "shares"))):
         self.rng = random.Random(seed)
         self.now = 0.0
-        self.ways = ways
+        self.criteria = criteria
         self.targets = [FakeTarget(f"10.0.0.{n}", self.rng) for n in range(1, size + 1)]
         self.by_address = {target.address: target for target in self.targets}
         self.roster = Roster("floor")
-        self.roster.by_address = {t.address: t.told for t in self.targets}
+        self.roster.by_address = {t.address: t.member for t in self.targets}
         self.asked = self.failed = self.late = 0
         self._numbers = itertools.count()
         self._ends = []
         self._tick_at = self._tell_at = 0.0
 
-    def play(self, seconds, rate, kinds=(1, 2), base=0.0):
+    def run(self, seconds, rate, kinds=(1, 2), base=0.0):
         """Let callers come; return the shares of failed and of late requests."""
         asked, failed, late = self.asked, self.failed, self.late
         until = self.now + seconds
@@ -139,16 +139,16 @@
         self._tick_at = self.now + TICK
         changed = False
         for target in self.targets:
-            if "shares" in self.ways:
+            if "shares" in self.criteria:
                 changed |= target.health.tick(self.now, self.roster, target.address)
         if changed or self.now >= self._tell_at:
             self._tell_at = self.now + STATUS
             for target in self.targets:
-                target.told.take(target.status(self.now), self.now)
+                target.member.take(target.status(self.now), self.now)
 
     def _place(self, kind):
-        takers = [target.told for target in self.targets]
-        if "shares" in self.ways:
+        takers = [target.member for target in self.targets]
+        if "shares" in self.criteria:
             takers = placement.usable(takers, self.rng)
         chosen = placement.choose(takers, 0, 0.0, self.rng)
         self._ask(self.by_address[chosen.address], kind)
@@ -162,46 +162,46 @@
         load = target.flows.busy / target.slots
         health, flows, begun = target.health, target.flows, self.now
         health.begun(begun, flow.key, kind, GOAL, load)
-        fate = target.fate(kind)
-        if not fate and self.rng.random() < self._base:
-            fate = "errors"
+        outcome = target.outcome(kind)
+        if not outcome and self.rng.random() < self._base:
+            outcome = "errors"
         work = WORK * self.rng.lognormvariate(-0.125, 0.5)
 
         def finish():
             took = self.now - begun
             flows.answered(self.now, flow)
             flows.drop(flow.key)
-            failed = bool(fate) and fate != "slow"
+            failed = bool(outcome) and outcome != "slow"
             self.failed += failed
             self.late += not failed and took > LATE
-            served = fate in ("", "slow")
-            judged = "shares" in self.ways
-            if fate == "reset":
+            served = outcome in ("", "slow")
+            judged = "shares" in self.criteria
+            if outcome == "reset":
                 health.aborted(self.now, flow.key)
-            elif fate in ("errors", "shed"):
-                kind_of = Answer.FAILED if fate == "errors" else Answer.REJECTED
+            elif outcome in ("errors", "shed"):
+                kind_of = Answer.FAILED if outcome == "errors" else Answer.REJECTED
                 health.answered(self.now, flow.key, kind_of)
             elif served:
                 served = health.answered(self.now, flow.key, Answer.DONE)
-            answers = fate in ("", "slow", "errors", "shed")
-            if "times" in self.ways and (served or (answers and not judged)):
+            answers = outcome in ("", "slow", "errors", "shed")
+            if "times" in self.criteria and (served or (answers and not judged)):
                 target.answer_time += ANSWER_WEIGHT * (took - target.answer_time)
 
-        if fate in ("hang", "mute"):
+        if outcome in ("hang", "mute"):
             done = self.now + ABANDONED
-        elif fate in ("", "slow"):
-            done = target.run(self.now, work * (8 if fate else 1))
+        elif outcome in ("", "slow"):
+            done = target.serve(self.now, work * (8 if outcome else 1))
         else:
             done = self.now + 0.001
         heapq.heappush(self._ends, (done, number, finish))
 
-    def aside(self):
+    def ejected(self):
         """Return the targets that are set aside."""
         return [t for t in self.targets if t.health.phase is Phase.ASIDE]
 
-    def time_until(self, target, standing, longest, rate=100, step=0.1):
+    def time_until(self, target, phase, longest, rate=100, step=0.1):
         """Return the seconds until a target stands so, ``longest`` if it doesn't."""
         began = self.now
-        while self.now - began < longest and target.health.phase is not standing:
-            self.play(step, rate)
+        while self.now - began < longest and target.health.phase is not phase:
+            self.run(step, rate)
         return self.now - began
--- a/packages/zinniahook-core/tests/test_packet_capacity.py
+++ b/packages/zinniahook-core/tests/test_packet_capacity.py
@@ -13,7 +13,7 @@
 SEEDS = range(5)
 
 
-class Queue:
+class FakeTarget:
     """A target with slots, fed as an agent feeds it: one above what it bears."""
 
     def __init__(self, seed, slots):
@@ -30,106 +30,106 @@
         self.free_at = sorted(self.free_at)[:slots]
         self.free_at += [self.now] * (slots - len(self.free_at))
 
-    def play(self, seconds, told, load=0.8):
+    def run(self, seconds, reported, load=0.8):
         until = self.now + seconds
         while self.now < until:
-            bears = self.capacity.slots(told)
+            usable = self.capacity.slots(reported)
             pause = self.rng.expovariate(load * self.slots / WORK)
             self.now += pause
             self._finish()
-            if len(self.ends) <= bears:
+            if len(self.ends) <= usable:
                 self._begin()
 
     def _begin(self):
         work = WORK * self.rng.lognormvariate(-0.125, 0.5) * self.cold
         start = max(self.now, heapq.heappop(self.free_at))
         heapq.heappush(self.free_at, start + work)
-        level = len(self.ends) + 1
-        heapq.heappush(self.ends, (start + work, self.now, level, self.cold > 1))
+        concurrency = len(self.ends) + 1
+        heapq.heappush(self.ends, (start + work, self.now, concurrency, self.cold > 1))
 
     def _finish(self):
         while self.ends and self.ends[0][0] <= self.now:
-            end, begun, level, cold = heapq.heappop(self.ends)
-            self.capacity.answered(end, KIND, end - begun, level, cold)
+            end, begun, concurrency, cold = heapq.heappop(self.ends)
+            self.capacity.answered(end, KIND, end - begun, concurrency, cold)
 
 
 class TestLearnedSlots:
     @pytest.mark.parametrize("slots", [1, 2, 3, 4, 8])
-    def test_told_truly_they_stay(self, slots):
+    def test_correct_reports_are_kept(self, slots):
         for seed in SEEDS:
-            queue = Queue(seed, slots)
+            target = FakeTarget(seed, slots)
             for _ in range(10):
-                queue.play(10.0, slots)
-                assert queue.capacity.slots(slots) == slots
+                target.run(10.0, slots)
+                assert target.capacity.slots(slots) == slots
 
-    @pytest.mark.parametrize(("slots", "told"), [(1, 3), (2, 4), (3, 6), (2, 8)])
-    def test_told_too_many(self, slots, told):
+    @pytest.mark.parametrize(("slots", "reported"), [(1, 3), (2, 4), (3, 6), (2, 8)])
+    def test_too_many_reported(self, slots, reported):
         """Symptom: requests queue inside a target while others are idle.
 
         Sequence: its heartbeat tells more slots than it works with. Cause: the
         told number is believed whatever the times say.
         """
         for seed in SEEDS:
-            queue = Queue(seed, slots)
-            queue.play(60.0, told)
-            assert queue.capacity.slots(told) < told
+            target = FakeTarget(seed, slots)
+            target.run(60.0, reported)
+            assert target.capacity.slots(reported) < reported
 
-    @pytest.mark.parametrize(("slots", "told"), [(3, 1), (4, 2), (6, 3)])
-    def test_told_too_few(self, slots, told):
+    @pytest.mark.parametrize(("slots", "reported"), [(3, 1), (4, 2), (6, 3)])
+    def test_too_few_reported(self, slots, reported):
         """Symptom: a target stands half idle while openings wait."""
         for seed in SEEDS:
-            queue = Queue(seed, slots)
-            queue.play(120.0, told, load=0.6)
-            assert told < queue.capacity.slots(told) <= slots + 1
+            target = FakeTarget(seed, slots)
+            target.run(120.0, reported, load=0.6)
+            assert reported < target.capacity.slots(reported) <= slots + 1
 
     def test_few_counts_change_nothing(self):
-        queue = Queue(1, 1)
-        queue.play(MIN_ANSWERS * WORK / 2, 4)
-        assert queue.capacity.slots(4) == 4
+        target = FakeTarget(1, 1)
+        target.run(MIN_ANSWERS * WORK / 2, 4)
+        assert target.capacity.slots(4) == 4
 
-    def test_one_that_is_never_alone_is_believed(self):
+    def test_report_is_kept_without_unloaded_answers(self):
         """What a request takes alone isn't known, so nothing can be compared."""
-        queue = Queue(1, 8)
-        queue.play(60.0, 3, load=1.5)
-        assert queue.capacity.slots(3) == 3
+        target = FakeTarget(1, 8)
+        target.run(60.0, 3, load=1.5)
+        assert target.capacity.slots(3) == 3
 
     def test_a_change_is_followed(self):
-        queue = Queue(1, 4)
-        queue.play(60.0, 4)
-        queue.set_slots(2)
-        queue.play(120.0, 4)
-        assert queue.capacity.slots(4) <= 3
-        queue.set_slots(4)
-        queue.play(240.0, 4)
-        assert queue.capacity.slots(4) == 4
-
-    def test_a_new_target_is_believed_again(self):
-        queue = Queue(1, 1)
-        queue.play(60.0, 4)
-        assert queue.capacity.slots(4) < 4
-        queue.capacity.renew()
-        assert queue.capacity.slots(4) == 4
-
-    def test_one_that_becomes_slower_keeps_its_slots(self):
+        target = FakeTarget(1, 4)
+        target.run(60.0, 4)
+        target.set_slots(2)
+        target.run(120.0, 4)
+        assert target.capacity.slots(4) <= 3
+        target.set_slots(4)
+        target.run(240.0, 4)
+        assert target.capacity.slots(4) == 4
+
+    def test_report_of_a_new_target_is_used(self):
+        target = FakeTarget(1, 1)
+        target.run(60.0, 4)
+        assert target.capacity.slots(4) < 4
+        target.capacity.renew()
+        assert target.capacity.slots(4) == 4
+
+    def test_a_slower_target_keeps_its_slots(self):
         """Symptom: a target that gets slower passes for one with fewer slots."""
-        queue = Queue(1, 3)
-        queue.play(60.0, 3)
-        queue.cold = 2.0
-        queue.capacity.renew()
-        queue.play(60.0, 3)
-        queue.cold = 1.0
-        assert queue.capacity.slots(3) == 3
+        target = FakeTarget(1, 3)
+        target.run(60.0, 3)
+        target.cold = 2.0
+        target.capacity.renew()
+        target.run(60.0, 3)
+        target.cold = 1.0
+        assert target.capacity.slots(3) == 3
 
 
 class TestCold:
     @pytest.mark.parametrize("factor", [1.3, 1.6, 4.0])
     def test_is_measured(self, factor):
         for seed in SEEDS:
-            queue = Queue(seed, 3)
-            queue.play(30.0, 3, load=0.6)
-            queue.cold = factor
-            queue.play(10.0, 3, load=0.3)
-            assert queue.capacity.cold == pytest.approx(factor, rel=0.25)
+            target = FakeTarget(seed, 3)
+            target.run(30.0, 3, load=0.6)
+            target.cold = factor
+            target.run(10.0, 3, load=0.3)
+            assert target.capacity.cold == pytest.approx(factor, rel=0.25)
 
     def test_is_unknown_at_first(self):
         assert Capacity().cold is None
--- a/packages/zinniahook-core/tests/test_packet_health.py
+++ b/packages/zinniahook-core/tests/test_packet_health.py
@@ -7,7 +7,7 @@
 import random
 
 import pytest
-from health_fakes import GOAL, Lines, Service
+from health_fakes import GOAL, RecordingLog, Service
 from zinniahook_core.packets import Answer, placement
 from zinniahook_core.packets.flows import Flow, Flows, FlowState
 from zinniahook_core.packets.health import MAX_EJECTION_SECONDS, Health, Phase
@@ -33,10 +33,10 @@
 ]
 
 
-def failing(seed, fault, share, ways=None):
+def failing(seed, fault, share, criteria=None):
     """Return a service in which one of ten targets has begun to fail."""
-    service = Service(seed) if ways is None else Service(seed, ways=ways)
-    service.play(5.0, RATE)
+    service = Service(seed) if criteria is None else Service(seed, criteria=criteria)
+    service.run(5.0, RATE)
     target = service.targets[3]
     target.fault, target.share = fault, share
     return service, target
@@ -54,17 +54,17 @@
         before = after = 0.0
         for seed in SEEDS:
             service, _ = failing(seed, fault, share, TIMES)
-            before += service.play(15.0, RATE)[0]
+            before += service.run(15.0, RATE)[0]
             service, _ = failing(seed, fault, share)
-            after += service.play(15.0, RATE)[0]
+            after += service.run(15.0, RATE)[0]
         assert after < before / 2
 
     @pytest.mark.parametrize(("fault", "share"), FAULTS)
-    def test_is_set_aside_within_seconds_and_returns(self, fault, share):
+    def test_is_ejected_within_seconds_and_returns(self, fault, share):
         for seed in SEEDS:
             service, target = failing(seed, fault, share)
             assert service.time_until(target, Phase.ASIDE, 6) < 6
-            assert service.aside() == [target]
+            assert service.ejected() == [target]
             target.share = 0.0
             assert (
                 service.time_until(target, Phase.FULL, 60) < MAX_EJECTION_SECONDS + 10
@@ -81,22 +81,22 @@
         before = after = 0.0
         for seed in SEEDS:
             service, _ = failing(seed, fault, 1.0, TIMES)
-            before += service.play(15.0, RATE)[0]
+            before += service.run(15.0, RATE)[0]
             service, target = failing(seed, fault, 1.0)
-            after += service.play(15.0, RATE)[0]
-            assert target in service.aside()
+            after += service.run(15.0, RATE)[0]
+            assert target in service.ejected()
         assert after < before
 
     def test_one_that_is_slow_makes_no_more_late_than_before(self):
         before = after = 0.0
         for seed in SEEDS:
             service, _ = failing(seed, "slow", 1.0, TIMES)
-            before += sum(service.play(15.0, RATE))
+            before += sum(service.run(15.0, RATE))
             service, _ = failing(seed, "slow", 1.0)
-            after += sum(service.play(15.0, RATE))
+            after += sum(service.run(15.0, RATE))
         assert after < 1.5 * before + 0.001
 
-    def test_one_that_fails_by_turns_is_asked_for_more_each_time(self):
+    def test_intermittent_failures_require_more_probes_each_time(self):
         """Symptom: a target that goes down and up is taken back at each turn.
 
         Sequence: 1.5 s of failures, 1.5 s of good answers, again and again.
@@ -107,8 +107,8 @@
             service, target = failing(seed, "errors", 1.0)
             for turn in range(20):
                 target.share = float(not turn % 2)
-                service.play(1.5, RATE)
-            told = target.log.told("target.suspected")
+                service.run(1.5, RATE)
+            told = target.log.events("target.suspected")
             asked += [one["good_asked"] for one in told[1:]]
             assert len(told) <= 5
         assert not asked or max(asked) > min(asked) or min(asked) > 4
@@ -117,13 +117,13 @@
         """Twenty requests for each target, of which one fails all."""
         for seed in SEEDS:
             service, target = failing(seed, "errors", 1.0)
-            service.play(2.0, RATE)
-            assert service.aside() == [target]
+            service.run(2.0, RATE)
+            assert service.ejected() == [target]
 
 
-class TestWhoIsNotSuspected:
+class TestNoSuspicion:
     @pytest.mark.parametrize("base", [0.0, 0.01, 0.05])
-    def test_nobody_in_a_calm_service(self, base):
+    def test_none_in_normal_operation(self, base):
         """25 minutes, 150,000 answers and no suspicion.
 
         Even one in this time would cost a tenth of the targets for 5 s, 0.3 % of
@@ -132,14 +132,14 @@
         suspected = 0
         for seed in range(3):
             service = Service(seed)
-            service.play(500.0, RATE, base=base)
+            service.run(500.0, RATE, base=base)
             suspected += sum(
-                len(target.log.told("target.suspected")) for target in service.targets
+                len(target.log.events("target.suspected")) for target in service.targets
             )
         assert suspected == 0
 
     @pytest.mark.parametrize("fault", ["errors", "hang"])
-    def test_nobody_if_the_whole_service_fails(self, fault):
+    def test_none_if_the_whole_service_fails(self, fault):
         """Symptom: a fault of what all targets need takes them out one by one.
 
         Sequence: each fails 45 % of its requests. Cause: shares are compared
@@ -147,24 +147,24 @@
         """
         for seed in SEEDS:
             service = Service(seed)
-            service.play(5.0, RATE)
+            service.run(5.0, RATE)
             for target in service.targets:
                 target.fault, target.share = fault, 0.45
-            service.play(3.0, RATE)
-            service.play(12.0, RATE)
-            assert len(service.aside()) <= 2
+            service.run(3.0, RATE)
+            service.run(12.0, RATE)
+            assert len(service.ejected()) <= 2
 
-    def test_nobody_if_one_route_fails_everywhere(self):
+    def test_none_if_one_route_fails_everywhere(self):
         for seed in SEEDS:
             service = Service(seed)
-            service.play(5.0, RATE)
+            service.run(5.0, RATE)
             for target in service.targets:
                 target.kinds_failing = frozenset((2,))
-            service.play(20.0, RATE)
-            assert service.aside() == []
+            service.run(20.0, RATE)
+            assert service.ejected() == []
 
     def test_mistakes_of_clients_and_full_targets_are_no_failures(self):
-        health = Health(Lines(), Flows())
+        health = Health(RecordingLog(), Flows())
         for number in range(100):
             key = number.to_bytes(12, "big")
             health.begun(number, key, 1, GOAL, 1.3)
@@ -173,7 +173,7 @@
             health.answered(number, key, Answer.DONE)
         assert health.failed_share() == 0.0
 
-    def test_a_target_after_its_agent_stood_still(self):
+    def test_none_after_the_agent_stalled(self):
         """Symptom: each pause of an agent makes its target a suspect.
 
         Sequence: the agent's process stands for 2 s; as it goes on, its tick
@@ -181,7 +181,7 @@
         requests count as hung.
         """
         flows = Flows()
-        health = Health(Lines(), flows)
+        health = Health(RecordingLog(), flows)
         health.tick(0.0, Roster("floor"), "own")
         for number in range(10):
             flow = Flow(number.to_bytes(12, "big"), FlowState.OPEN, 0.0, "")
@@ -191,7 +191,7 @@
         assert health.failed_share() == 0.0
 
     def test_a_client_that_left_doesnt_make_its_request_hang(self):
-        health = Health(Lines(), Flows())
+        health = Health(RecordingLog(), Flows())
         health.tick(0.0, Roster("floor"), "own")
         health.begun(0.0, bytes(12), 1, GOAL, 1.0)
         for tick in range(100):
@@ -203,16 +203,16 @@
     def test_an_agent_that_starts_again_finds_it_again(self):
         for seed in SEEDS:
             service, target = failing(seed, "errors", 1.0)
-            service.play(3.0, RATE)
-            assert target in service.aside()
+            service.run(3.0, RATE)
+            assert target in service.ejected()
             target.restart()
-            service.play(3.0, RATE)
-            assert target in service.aside()
+            service.run(3.0, RATE)
+            assert target in service.ejected()
 
-    def test_a_new_target_isnt_held_for_the_former_one(self):
+    def test_a_new_target_is_trusted(self):
         service, target = failing(1, "errors", 1.0)
-        service.play(3.0, RATE)
-        assert target in service.aside()
+        service.run(3.0, RATE)
+        assert target in service.ejected()
         target.health.renew()
         assert target.health.trust(service.now) == 1.0
 
@@ -232,12 +232,12 @@
     return used
 
 
-class TestWhoMayBeUsed:
+class TestUsableMembers:
     def test_all_while_all_are_trusted(self):
         members = [member("a"), member("b")]
         assert placement.usable(members, random.Random(1)) is members
 
-    def test_one_set_aside_gets_a_trickle_while_others_have_room(self):
+    def test_an_ejected_one_gets_a_probe_share_while_others_have_capacity(self):
         used = uses([member("a"), member("b"), member("c", 0.08, 0.4)])
         assert 0 < used["c"] < 0.08 * 2000 / 3 * 2
 
@@ -257,11 +257,11 @@
         full = [member("a", busy=3.0), member("b", busy=4.0)]
         assert uses([*full, member("c", 0.01, 0.9)])["c"] < 100
 
-    def test_not_more_than_half_are_left_out(self):
+    def test_at_most_half_are_ejected(self):
         members = [member("a"), *(member(n, 0.01, 0.9) for n in "bcd")]
         assert uses(members)["b"] > 1900
 
-    def test_somebody_is_used_if_all_are_set_aside(self):
+    def test_some_are_used_if_all_are_ejected(self):
         members = [member(n, 0.01, 0.9, busy=3.0) for n in "ab"]
         assert placement.usable(members, random.Random(1))
 
@@ -283,7 +283,7 @@
             assert told.answer_time == pytest.approx(row.answer_time, rel=0.03)
 
     @pytest.mark.parametrize("body", [b"", b"x", b"abc", bytes(13)])
-    def test_that_are_torn_are_passed_over(self, body):
+    def test_truncated_ones_are_ignored(self, body):
         assert decode_health(body) is None
 
 
@@ -295,14 +295,14 @@
 
 
 class TestOneClientThatFails:
-    def test_its_target_is_not_set_aside(self):
+    def test_its_target_is_not_ejected(self):
         """Symptom: a target that serves everybody gets nothing new, again and again.
 
         Sequence: one client sends what can't be served, each second, in a flow that
         stays open; all others are answered. Cause: each of its failures counted, and
         no peer saw any.
         """
-        health = Health(Lines(), Flows())
+        health = Health(RecordingLog(), Flows())
         for number in range(60):
             health.begun(float(number), b"bad", 1, 1.0, 0.5)
             health.answered(number + 0.1, b"bad", Answer.FAILED)
@@ -310,7 +310,7 @@
         assert sum(counts.bad for counts in health._counts_by_tag.values()) <= 1.0
 
     def test_it_counts_again_once_it_was_served(self):
-        health = Health(Lines(), Flows())
+        health = Health(RecordingLog(), Flows())
         for answer in (Answer.FAILED, Answer.FAILED, Answer.DONE, Answer.FAILED):
             health.begun(0.0, b"flow", 1, 1.0, 0.5)
             health.answered(0.0, b"flow", answer)
--- a/packages/zinniahook-core/tests/test_packet_long_flows.py
+++ b/packages/zinniahook-core/tests/test_packet_long_flows.py
@@ -50,12 +50,12 @@
 class Fleet:
     """Targets, homes and users on one heap of events."""
 
-    def __init__(self, seed, by_work):
-        self.now, self.by_work = 0.0, by_work
+    def __init__(self, seed, by_forecast):
+        self.now, self.by_forecast = 0.0, by_forecast
         self.rng = random.Random(seed)
         self.ids = itertools.count(1)
         self.events = []
-        self.state = {}
+        self.target_by_flow = {}
         self.waits = []
         self.targets = [Target(number, -COLD) for number in range(TARGETS)]
         self.homes = [
@@ -101,7 +101,7 @@
             len(target.flows),
             max(0.0, target.warm_at - self.now),
             WORK,
-            sections if self.by_work else {},
+            sections if self.by_forecast else {},
         )
         home[target.address].take(status, self.now)
 
@@ -112,16 +112,16 @@
         for target in asked:
             self.tell(target, home)
         members = [home[target.address] for target in asked]
-        later = self.rng.choice(living).work.later(route) if self.by_work else None
+        later = self.rng.choice(living).work.later(route) if self.by_forecast else None
         chosen = choose(members, 1, 0.1, self.rng, later)
         target = next(t for t in living if t.address == chosen.address)
         key = next(self.ids).to_bytes(6, "big") + route
         flow = target.flows.add(Flow(key, FlowState.OPEN, self.now, ""))
-        self.state[key] = target
+        self.target_by_flow[key] = target
         self.ask(flow, target)
 
     def ask(self, flow, target):
-        if self.state.get(flow.key) is not target:
+        if self.target_by_flow.get(flow.key) is not target:
             return
         target.flows.asked(self.now, flow)
         done = target.serve(self.now)
@@ -129,25 +129,25 @@
         self.at(done - self.now, self.answered, flow, target)
 
     def answered(self, flow, target):
-        if self.state.get(flow.key) is not target:
+        if self.target_by_flow.get(flow.key) is not target:
             return
         target.flows.answered(self.now, flow)
         route = flow.key[6:]
         pause, asks = PAUSES[route]
-        rest = self.rng.expovariate(1 / pause)
+        pause_left = self.rng.expovariate(1 / pause)
         if self.rng.random() < 1 / asks:
             target.flows.drop(flow.key)
-            del self.state[flow.key]
-            self.at(rest, self.open, route)
+            del self.target_by_flow[flow.key]
+            self.at(pause_left, self.open, route)
         else:
-            self.at(rest, self.ask, flow, target)
+            self.at(pause_left, self.ask, flow, target)
 
     def lose(self, number):
         """End a target; its users come back within a tenth of a second."""
         target, self.targets[number] = self.targets[number], None
-        for key, owner in list(self.state.items()):
+        for key, owner in list(self.target_by_flow.items()):
             if owner is target:
-                del self.state[key]
+                del self.target_by_flow[key]
                 self.at(0.1 * self.rng.random(), self.open, key[6:])
 
     def start(self, number):
@@ -160,7 +160,7 @@
     def imbalance(self):
         """Return busiest/mean of the work that is to come."""
         loads = dict.fromkeys((t.address for t in self.targets), 0.0)
-        for key, target in self.state.items():
+        for key, target in self.target_by_flow.items():
             loads[target.address] += WORK / (PAUSES[key[6:]][0] + WORK)
         return max(loads.values()) / statistics.fmean(loads.values())
 
@@ -190,12 +190,12 @@
         fleet.start(number)
 
 
-def played(scene, by_work):
+def simulate(scenario, by_forecast):
     """Return the imbalance a minute after, and the 99th wait of the first 10 s."""
     ratios, waits = [], []
     for seed in SEEDS:
-        fleet = Fleet(seed, by_work)
-        scene(fleet)
+        fleet = Fleet(seed, by_forecast)
+        scenario(fleet)
         began = fleet.now
         fleet.run(50.0)
         samples = []
@@ -216,10 +216,10 @@
     their own moment.
     """
 
-    @pytest.mark.parametrize("scene", [loss, release, start])
-    def test_a_minute_after(self, scene):
-        before, waits_before = played(scene, by_work=False)
-        after, waits = played(scene, by_work=True)
+    @pytest.mark.parametrize("scenario", [loss, release, start])
+    def test_a_minute_after(self, scenario):
+        before, waits_before = simulate(scenario, by_forecast=False)
+        after, waits = simulate(scenario, by_forecast=True)
         assert statistics.fmean(after) < 1.10
         assert statistics.fmean(after) < statistics.fmean(before) - 0.04
         assert statistics.fmean(waits) < statistics.fmean(waits_before) + 0.05
--- a/packages/zinniahook-core/tests/test_packet_pace.py
+++ b/packages/zinniahook-core/tests/test_packet_pace.py
@@ -24,19 +24,19 @@
         assert most_in_a_second(offered) == MOST
         assert len(offered) > 0.8 * MOST * now / WINDOW_SECONDS
 
-    def test_a_service_that_tells_no_rate_has_no_limit(self):
+    def test_a_service_without_a_rate_has_no_limit(self):
         pace = Pacer(LIMIT)
         for number in range(100):
             pace.offered(number / 1000)
         assert pace.allows(0.2, 0.0)
 
-    def test_operators_that_tell_no_limit_have_none(self):
+    def test_without_a_configured_limit_there_is_none(self):
         pace = Pacer()
         for number in range(100):
             pace.offered(number / 1000)
         assert pace.allows(0.2, RATE)
 
-    def test_a_process_that_starts_waits_for_a_second(self):
+    def test_a_new_process_waits_for_one_window(self):
         """Symptom: a cold target gets twice what it bears.
 
         Sequence: its agent lets pass what a second holds, is killed and starts
--- a/packages/zinniahook-core/tests/test_packet_room.py
+++ b/packages/zinniahook-core/tests/test_packet_room.py
@@ -40,14 +40,14 @@
     return found
 
 
-def crowded(number, told_at=0.0, waiting=40):
+def full_member(number, told_at=0.0, waiting=40):
     return member(number, {FEED: Count(1.5, waiting), EDIT: Count(0.5, 2)}, told_at)
 
 
 def overloaded(at=0.0, members=8):
     """Return a room that has been overloaded for long enough, and its members."""
     room = ServiceLoad()
-    found = [crowded(number, at) for number in range(members)]
+    found = [full_member(number, at) for number in range(members)]
     assert room.review(at, found)
     for one in found:
         one.told_at = at + REJECT_AFTER_SECONDS
@@ -59,7 +59,7 @@
     """How slots are divided among kinds and data centres."""
 
     @pytest.mark.parametrize("seed", range(20))
-    def test_nobody_gets_more_than_wanted_and_nothing_is_left_over(self, seed):
+    def test_none_exceeds_its_demand_and_nothing_is_left_over(self, seed):
         rng = random.Random(seed)
         wants = [rng.uniform(0, 20) for _ in range(rng.randint(1, 9))]
         weights = [rng.choice([0.25, 0.5, 1.0]) for _ in wants]
@@ -72,7 +72,7 @@
         short = [i for i, g in enumerate(given) if g < wants[i] - 1e-9]
         assert all(rates[i] >= max(rates) - 1e-9 for i in short)
 
-    def test_a_small_want_is_met_in_full(self):
+    def test_a_small_demand_is_met_in_full(self):
         given = divide_slots({EDIT: 3.0, FEED: 90.0, FAR_FEED: 4.0}, 20.0)
         assert given == {EDIT: 3.0, FEED: 13.0, FAR_FEED: 4.0}
 
@@ -88,11 +88,11 @@
 class TestCounts:
     """What agents tell of their requests."""
 
-    def test_they_come_back_as_told(self):
+    def test_they_survive_encoding(self):
         counts = {FEED: Count(1.25, 7), EDIT: Count(0.0, 1)}
         assert decode_counts(encode_counts(counts)) == counts
 
-    def test_the_largest_ones_are_told(self):
+    def test_the_largest_ones_are_reported(self):
         counts = {TrafficClass(zone, 1): Count(0.0, zone) for zone in range(300)}
         body = encode_counts(counts)
         assert len(body) <= SECTION_LONGEST
@@ -100,7 +100,7 @@
         assert len(told) == MAX_ROWS
         assert TrafficClass(299, 1) in told
 
-    def test_torn_ones_tell_nothing(self):
+    def test_truncated_ones_are_ignored(self):
         body = encode_counts({FEED: Count(1.0, 1)})
         assert decode_counts(body[:-1]) == {}
 
@@ -108,19 +108,19 @@
 class TestSharing:
     """What a daemon works out of the members' counts."""
 
-    def test_daemons_that_see_the_same_come_to_the_same(self):
-        members = [crowded(number) for number in range(6)]
+    def test_daemons_with_the_same_counts_agree(self):
+        members = [full_member(number) for number in range(6)]
         other = allocate(0.0, reversed(members))
         assert allocate(0.0, members) == other
 
     def test_a_part_of_the_members_compares_as_the_whole(self):
-        members = [crowded(number) for number in range(6)]
+        members = [full_member(number) for number in range(6)]
         whole, part = allocate(0.0, members), allocate(0.0, members[:3])
         assert part.waits_by_class == pytest.approx(whole.waits_by_class)
         assert part.demand / part.capacity == whole.demand / whole.capacity
 
     def test_counts_two_seconds_old_hold_and_older_ones_do_not(self):
-        members = [crowded(number) for number in range(6)]
+        members = [full_member(number) for number in range(6)]
         assert allocate(MAX_COUNTS_AGE_SECONDS, members) is not None
         assert allocate(MAX_COUNTS_AGE_SECONDS + 0.1, members) is None
 
@@ -130,7 +130,7 @@
 
     def test_not_while_a_tenth_of_the_slots_may_be_free(self):
         room = ServiceLoad()
-        members = [crowded(number) for number in range(8)]
+        members = [full_member(number) for number in range(8)]
         assert not room.review(0.0, [*members, member(8), member(9)])
         assert room.since is None
         assert room.review(0.0, members)
@@ -148,19 +148,21 @@
             now = 0.2 * step
             empty = rng.sample(range(20), rng.choice([0, 1, 3, 5]))
             members = [
-                member(number, told_at=now) if number in empty else crowded(number, now)
+                member(number, told_at=now)
+                if number in empty
+                else full_member(number, now)
                 for number in range(20)
             ]
             changes += room.review(now, members)
         assert changes == 1
 
-    def test_a_daemon_that_is_cut_off_from_most_is_not_sure(self):
+    def test_a_daemon_cut_off_from_most_sees_no_overload(self):
         """Symptom: openings are rejected while two of three agents are idle.
 
         Sequence: a home is cut off from most agents, the few that it hears are
         full. Cause: it judged the service by them.
         """
-        heard = [crowded(number, told_at=10.0) for number in range(2)]
+        heard = [full_member(number, told_at=10.0) for number in range(2)]
         unheard = [member(number, told_at=0.0) for number in range(2, 12)]
         room = ServiceLoad()
         assert not room.review(10.0, [*heard, *unheard])
@@ -196,7 +198,7 @@
         found = []
         for waiting in range(1, 80):
             room = ServiceLoad()
-            members = [crowded(number, waiting=waiting) for number in range(8)]
+            members = [full_member(number, waiting=waiting) for number in range(8)]
             room.review(0.0, members)
             found.append(room.excess(REJECT_AFTER_SECONDS + 0.1, FEED, 0.4))
         steps = [late - early for early, late in itertools.pairwise(found)]
@@ -254,22 +256,22 @@
         assert ended
         assert not any(is_excess for _, is_excess in ended)
 
-    def test_an_agent_whose_counts_are_old_may_have_room(self):
-        members = [crowded(number) for number in range(8)]
+    def test_an_agent_whose_counts_are_old_may_have_capacity(self):
+        members = [full_member(number) for number in range(8)]
         assert all_wait(MAX_COUNTS_AGE_SECONDS, members)
         assert not all_wait(MAX_COUNTS_AGE_SECONDS + 0.1, members)
 
 
 class TestOddPriorities:
     @pytest.mark.parametrize("priority", [-1, 255, 300])
-    def test_counts_are_told(self, priority):
+    def test_counts_are_reported(self, priority):
         """A configuration with one ended every agent that had to tell of it."""
         told = encode_counts({TrafficClass(1, priority): Count(1.0, 2)})
         assert list(decode_counts(told)) == [
             TrafficClass(1, max(0, min(255, priority)))
         ]
 
-    def test_many_of_them_share(self):
+    def test_many_of_them_get_shares(self):
         """Weights that differ by more than a number holds divided by nothing."""
         rng = random.Random(1)
         for _ in range(200):
--- a/packages/zinniahook-core/tests/test_packet_work.py
+++ b/packages/zinniahook-core/tests/test_packet_work.py
@@ -34,12 +34,12 @@
     return number.to_bytes(6, "big") + route
 
 
-def member(number, promised=None, busy=0.0, warming=0.0, flows=0):
+def member(number, expected=None, busy=0.0, warming=0.0, flows=0):
     """Return a member whose open flows promise so many requests."""
     found = Member(f"10.0.0.{number}", ZONE, state=State.READY, slots=SLOTS)
     found.busy, found.warming, found.flows = busy, warming, flows
-    if promised is not None:
-        found.sections = {Section.WORK: encode_expected_busy(promised)}
+    if expected is not None:
+        found.sections = {Section.WORK: encode_expected_busy(expected)}
     return found
 
 
@@ -50,7 +50,7 @@
 class TestLearning:
     """Shares of life and later requests, as an agent sees its flows."""
 
-    def played(self, busy, request_count, count=20):
+    def simulate(self, busy, request_count, count=20):
         """Return what is learned of flows of which each is busy in turn."""
         flows = Flows()
         for number in range(count):
@@ -66,30 +66,30 @@
             work.tick(STARTED + sweep * SAMPLE_INTERVAL_SECONDS)
         return work
 
-    def test_share_and_promise(self):
-        work = self.played(busy=0.25, request_count=3)
+    def test_share_and_expected_requests(self):
+        work = self.simulate(busy=0.25, request_count=3)
         assert work.share(ROUTE) == pytest.approx(0.25, abs=0.03)
         assert work.expected_busy == pytest.approx(20 * 0.25, abs=0.6)
 
     def test_requests_to_come(self):
-        assert self.played(0.25, request_count=3).later(ROUTE) == pytest.approx(2.0)
-        assert self.played(0.25, request_count=50).later(ROUTE) == MAX_LATER_REQUESTS
+        assert self.simulate(0.25, request_count=3).later(ROUTE) == pytest.approx(2.0)
+        assert self.simulate(0.25, request_count=50).later(ROUTE) == MAX_LATER_REQUESTS
 
     def test_a_flow_for_each_request_brings_no_more(self):
-        assert self.played(1.0, request_count=1).later(ROUTE) == 0.0
+        assert self.simulate(1.0, request_count=1).later(ROUTE) == 0.0
 
     def test_unknown_routes_count_as_usual(self):
         work = Forecast(Flows())
         assert work.share(ROUTE) == DEFAULT_BUSY_SHARE
         assert work.later(ROUTE) == DEFAULT_LATER_REQUESTS
 
-    def test_flows_that_ended_promise_nothing(self):
+    def test_ended_flows_bring_nothing(self):
         """Symptom: a target that lost its flows gets no new ones.
 
         Sequence: all its flows close, they stay known for seconds. Cause: closed
         flows counted as open ones.
         """
-        work = self.played(busy=0.25, request_count=3)
+        work = self.simulate(busy=0.25, request_count=3)
         for flow in work._flows.by_key.values():
             flow.state = FlowState.CLOSED
         work.tick(STARTED + 100.0)
@@ -105,7 +105,7 @@
         flows.asked(STARTED + 2, flow)
         assert flow.request_count == 2
 
-    def test_it_is_told_in_two_bytes(self):
+    def test_it_is_encoded_in_two_bytes(self):
         assert decode_expected_busy(encode_expected_busy(1.25)) == 1.25
         assert len(encode_expected_busy(1e9)) == 2
         assert decode_expected_busy(b"1") is None
@@ -115,7 +115,7 @@
     """Shares that agents tell each other."""
 
     def learned(self, busy):
-        return TestLearning().played(busy, request_count=3)
+        return TestLearning().simulate(busy, request_count=3)
 
     def test_all_use_the_mean(self):
         """Symptom: targets with a third fewer flows than others get no more of them.
@@ -132,7 +132,7 @@
             assert work.share(ROUTE) == pytest.approx(0.2, abs=0.02)
             assert not work.is_due(STARTED + 0.5)
 
-    def test_who_knows_nothing_takes_what_others_know(self):
+    def test_a_new_agent_uses_the_others_shares(self):
         new = Forecast(Flows())
         new.pool(STARTED, [b"", self.learned(0.3).section(), new.section(), b"torn"])
         assert new.share(ROUTE) == pytest.approx(0.3, abs=0.03)
@@ -141,44 +141,44 @@
 class TestPlacing:
     """Which member opens a flow."""
 
-    def test_a_long_flow_goes_where_little_is_promised(self):
+    def test_a_long_flow_goes_where_little_is_expected(self):
         """Symptom: a minute after a loss some targets have twice the work of others.
 
         Sequence: flows come back at once, each goes to the target that is idle in
         that tenth of a second, and stays there. Cause: the load of now alone.
         """
-        members = [member(1, promised=3.0), member(2, promised=2.0, busy=1.0)]
+        members = [member(1, expected=3.0), member(2, expected=2.0, busy=1.0)]
         assert chosen(members, later=4.0) == "10.0.0.2"
         assert chosen(members, later=0.0) == "10.0.0.1"
 
-    def test_nobody_waits_for_that(self):
-        members = [member(1, promised=2.5), member(2, promised=2.0, busy=5.0)]
+    def test_no_request_waits_for_it(self):
+        members = [member(1, expected=2.5), member(2, expected=2.0, busy=5.0)]
         assert chosen(members, later=4.0) == "10.0.0.1"
 
-    def test_a_cold_one_is_not_preferred_for_its_empty_hands(self):
+    def test_a_cold_one_is_not_preferred_for_holding_no_flows(self):
         """Symptom: the flows of a replaced target all go to the newest one.
 
         Sequence: targets are replaced one after the other, each new one holds no
         flows, is slow for seconds, and gets every flow of the next one. Cause: no
         promises counted as room.
         """
-        old = [member(number, promised=2.0, busy=1.0) for number in range(3)]
-        cold = member(9, promised=0.0, warming=2.0)
+        old = [member(number, expected=2.0, busy=1.0) for number in range(3)]
+        cold = member(9, expected=0.0, warming=2.0)
         found = expected_loads([*old, cold], 4.0)
         assert found[cold.address].expected_busy == pytest.approx(1.5)
         taken = [chosen([*old, cold], 4.0, seed) for seed in range(20)]
         assert taken.count(cold.address) <= 10
 
-    def test_a_new_one_is_preferred_within_bounds(self):
-        old = [member(number, promised=6.0) for number in range(3)]
-        new = member(9, promised=0.0)
+    def test_a_new_one_is_preferred_within_limits(self):
+        old = [member(number, expected=6.0) for number in range(3)]
+        new = member(9, expected=0.0)
         found = expected_loads([*old, new], 4.0)
         assert found[new.address].expected_busy == pytest.approx(
             4.5 - MAX_ADVANTAGE * SLOTS
         )
         assert chosen([*old, new], 4.0) == new.address
 
-    def test_flows_count_where_nothing_tells(self):
+    def test_flows_count_where_nothing_is_reported(self):
         assert expected_busy(member(1, flows=50)) == 50 * DEFAULT_BUSY_SHARE
         members = [member(1, flows=90), member(2, flows=10)]
         assert chosen(members, later=None) == "10.0.0.2"
