--- a/packages/zinniahook-core/tests/health_fakes.py
+++ b/packages/zinniahook-core/tests/health_fakes.py
@@ -1,8 +1,8 @@
-"""A service of small fake targets, judged and placed by the code that decides.
+"""A service of small fake targets with the real health and placement code.
 
-Each target has slots and a queue; agents hear of each other every 0.2 s, and one
-home places what comes. No packets and no network: what is played is who gets an
-opening, what becomes of its request, and what the agents conclude.
+Each target has slots and a queue. Agents receive each other's statuses every 0.2 s, and
+one home places the openings. There are no packets and no network: the simulation covers
+where openings go, what becomes of their requests, and the agents' verdicts.
 """
 
 import heapq
@@ -48,7 +48,7 @@
 
 
 class FakeTarget:
-    """A target and its agent; ``fault`` tells how it fails a share of requests."""
+    """A target and its agent; ``fault`` is how it fails a share of its requests."""
 
     def __init__(self, address, rng, slots=3):
         self.address = address
@@ -64,7 +64,7 @@
         self.restart()
 
     def restart(self):
-        """Start the agent again: it has forgotten what it saw."""
+        """Restart the agent, which loses its state."""
         self.flows = Flows()
         self.health = Health(self.log, self.flows)
 
@@ -94,7 +94,7 @@
 class Service:
     """Targets, their callers, and the clock.
 
-    ``criteria`` names what placing goes by: "times" alone, "shares" of failures, or
+    ``criteria`` names what placement uses: "times" alone, "shares" of failures, or
     both.
     """
 
@@ -112,7 +112,7 @@
         self._tick_at = self._tell_at = 0.0
 
     def run(self, seconds, rate, kinds=(1, 2), base=0.0):
-        """Let callers come; return the shares of failed and of late requests."""
+        """Simulate callers; return the shares of failed and of late requests."""
         asked, failed, late = self.asked, self.failed, self.late
         until = self.now + seconds
         self._base = base
@@ -196,11 +196,11 @@
         heapq.heappush(self._ends, (done, number, finish))
 
     def ejected(self):
-        """Return the targets that are set aside."""
+        """Return the ejected targets."""
         return [t for t in self.targets if t.health.phase is Phase.ASIDE]
 
     def time_until(self, target, phase, longest, rate=100, step=0.1):
-        """Return the seconds until a target stands so, ``longest`` if it doesn't."""
+        """Return the seconds until a target is in a phase, at most ``longest``."""
         began = self.now
         while self.now - began < longest and target.health.phase is not phase:
             self.run(step, rate)
--- a/packages/zinniahook-core/tests/test_packet_capacity.py
+++ b/packages/zinniahook-core/tests/test_packet_capacity.py
@@ -1,4 +1,4 @@
-"""Slots and the cost of cold, learned from how long answers take."""
+"""Slots of a target and its slowdown while cold, learned from answer times."""
 
 import heapq
 import random
@@ -14,7 +14,7 @@
 
 
 class FakeTarget:
-    """A target with slots, fed as an agent feeds it: one above what it bears."""
+    """A target with slots that receives at most one request above its usable slots."""
 
     def __init__(self, seed, slots):
         self.rng = random.Random(seed)
@@ -64,10 +64,10 @@
 
     @pytest.mark.parametrize(("slots", "reported"), [(1, 3), (2, 4), (3, 6), (2, 8)])
     def test_too_many_reported(self, slots, reported):
-        """Symptom: requests queue inside a target while others are idle.
+        """Requests must not queue inside a target while others are idle.
 
-        Sequence: its heartbeat tells more slots than it works with. Cause: the
-        told number is believed whatever the times say.
+        This happens if a heartbeat reports more slots than the target has and the
+        reported number is used whatever the answer times show.
         """
         for seed in SEEDS:
             target = FakeTarget(seed, slots)
@@ -76,7 +76,7 @@
 
     @pytest.mark.parametrize(("slots", "reported"), [(3, 1), (4, 2), (6, 3)])
     def test_too_few_reported(self, slots, reported):
-        """Symptom: a target stands half idle while openings wait."""
+        """A target must not be half idle while openings wait."""
         for seed in SEEDS:
             target = FakeTarget(seed, slots)
             target.run(120.0, reported, load=0.6)
@@ -88,7 +88,7 @@
         assert target.capacity.slots(4) == 4
 
     def test_report_is_kept_without_unloaded_answers(self):
-        """What a request takes alone isn't known, so nothing can be compared."""
+        """Without the time of a single request there is nothing to compare with."""
         target = FakeTarget(1, 8)
         target.run(60.0, 3, load=1.5)
         assert target.capacity.slots(3) == 3
@@ -111,7 +111,7 @@
         assert target.capacity.slots(4) == 4
 
     def test_a_slower_target_keeps_its_slots(self):
-        """Symptom: a target that gets slower passes for one with fewer slots."""
+        """A target that becomes slower must not be assigned fewer slots."""
         target = FakeTarget(1, 3)
         target.run(60.0, 3)
         target.cold = 2.0
--- a/packages/zinniahook-core/tests/test_packet_health.py
+++ b/packages/zinniahook-core/tests/test_packet_health.py
@@ -1,7 +1,7 @@
-"""Targets judged by their answers: the deciding code on small fake services.
+"""Tests of targets' health, with the real health and placement code on fakes.
 
-One of ten targets fails from a moment on; several seeds each. Bounds come from
-what callers need, with room for chance: see docs/design/health.md for figures.
+One of ten targets begins to fail; each test uses several seeds. The bounds follow from
+what callers need, with a margin for chance: see docs/design/health.md for figures.
 """
 
 import random
@@ -45,11 +45,11 @@
 class TestTargetsThatFail:
     @pytest.mark.parametrize(("fault", "share"), FAULTS)
     def test_callers_see_less_than_half_of_it(self, fault, share):
-        """Symptom: a tenth of all requests fails while nine targets are well.
+        """A failing target must not make a tenth of all requests fail.
 
-        Sequence: one target answers requests with failures and its heartbeats
-        say ready. Cause: it is chosen by its load alone, and one that fails at
-        once has least of it.
+        One target answers requests with failures while its heartbeats say ready. Chosen
+        by load alone, it would get the most openings, because a target that fails
+        immediately has the least load.
         """
         before = after = 0.0
         for seed in SEEDS:
@@ -72,11 +72,11 @@
 
     @pytest.mark.parametrize("fault", ["hang", "mute"])
     def test_one_that_answers_nothing_costs_no_more_than_before(self, fault):
-        """Symptom: each probe of a target that hangs costs a caller its time.
+        """Probing a target that hangs must not cost callers more than before.
 
-        Sequence: it holds what it gets, so that its slots keep it from getting
-        more; set aside, it gets a trickle. Cause: a trickle that doesn't
-        shrink as nothing comes back.
+        The target keeps what it gets, and without ejection its busy slots keep it from
+        getting more. Ejected, it gets a probe share, which must shrink while nothing
+        comes back.
         """
         before = after = 0.0
         for seed in SEEDS:
@@ -97,10 +97,11 @@
         assert after < 1.5 * before + 0.001
 
     def test_intermittent_failures_require_more_probes_each_time(self):
-        """Symptom: a target that goes down and up is taken back at each turn.
+        """A target that fails intermittently must not return after each failure.
 
-        Sequence: 1.5 s of failures, 1.5 s of good answers, again and again.
-        Cause: each suspicion begins as if there had been none.
+        It alternates 1.5 s of failures with 1.5 s of good answers. Without memory of
+        earlier suspicions, each ejection would require as few good answers as the
+        first.
         """
         asked = []
         for seed in SEEDS:
@@ -114,7 +115,7 @@
         assert not asked or max(asked) > min(asked) or min(asked) > 4
 
     def test_a_few_answers_are_enough_if_all_fail(self):
-        """Twenty requests for each target, of which one fails all."""
+        """Each target gets twenty requests; one target fails all of them."""
         for seed in SEEDS:
             service, target = failing(seed, "errors", 1.0)
             service.run(2.0, RATE)
@@ -126,8 +127,8 @@
     def test_none_in_normal_operation(self, base):
         """25 minutes, 150,000 answers and no suspicion.
 
-        Even one in this time would cost a tenth of the targets for 5 s, 0.3 % of
-        the capacity; more often it would be felt.
+        Even one suspicion in this time would cost a tenth of the targets for 5 s, 0.3 %
+        of the capacity; more often it would be noticeable.
         """
         suspected = 0
         for seed in range(3):
@@ -140,10 +141,10 @@
 
     @pytest.mark.parametrize("fault", ["errors", "hang"])
     def test_none_if_the_whole_service_fails(self, fault):
-        """Symptom: a fault of what all targets need takes them out one by one.
+        """A fault of a shared dependency must not eject the targets one by one.
 
-        Sequence: each fails 45 % of its requests. Cause: shares are compared
-        with a constant and not with those of the peers.
+        Each target fails 45 % of its requests. Shares must be compared with those of
+        the peers and not with a constant.
         """
         for seed in SEEDS:
             service = Service(seed)
@@ -174,11 +175,11 @@
         assert health.failed_share() == 0.0
 
     def test_none_after_the_agent_stalled(self):
-        """Symptom: each pause of an agent makes its target a suspect.
+        """A pause of an agent must not make its target a suspect.
 
-        Sequence: the agent's process stands for 2 s; as it goes on, its tick
-        comes before it reads what the target answered meanwhile. Cause: those
-        requests count as hung.
+        The agent's process stops for 2 s. When it continues, its tick runs before it
+        reads the answers that arrived meanwhile, and their requests must not count as
+        hung.
         """
         flows = Flows()
         health = Health(RecordingLog(), flows)
@@ -246,8 +247,10 @@
         assert used["c"] == 0
 
     def test_one_that_fails_less_than_half_is_used_when_all_others_are_full(self):
-        """Symptom: requests wait in vain while targets stand idle that would
-        answer most of them. Cause: set aside whatever the others have left.
+        """Ejected targets must be used when all others are full.
+
+        Otherwise requests would wait in vain while idle targets would answer most of
+        them.
         """
         full = [member("a", busy=3.0), member("b", busy=4.0)]
         used = uses([*full, member("c", 0.08, 0.4)])
@@ -296,11 +299,11 @@
 
 class TestOneClientThatFails:
     def test_its_target_is_not_ejected(self):
-        """Symptom: a target that serves everybody gets nothing new, again and again.
+        """One client with failing requests must not get its target ejected.
 
-        Sequence: one client sends what can't be served, each second, in a flow that
-        stays open; all others are answered. Cause: each of its failures counted, and
-        no peer saw any.
+        The client sends a request that can't be served each second, in a flow that
+        stays open; all other clients are served. If each of its failures counted and no
+        peer saw any, a working target would repeatedly get no new flows.
         """
         health = Health(RecordingLog(), Flows())
         for number in range(60):
@@ -315,5 +318,5 @@
             health.begun(0.0, b"flow", 1, 1.0, 0.5)
             health.answered(0.0, b"flow", answer)
         counted = sum(counts.bad for counts in health._counts_by_tag.values())
-        # Older answers weigh a little less.
+        # Older answers have slightly less weight.
         assert 1.5 < counted <= 2.0
--- a/packages/zinniahook-core/tests/test_packet_long_flows.py
+++ b/packages/zinniahook-core/tests/test_packet_long_flows.py
@@ -1,9 +1,9 @@
-"""Where long flows stand a minute after targets were lost, replaced or all started.
+"""Balance of long flows a minute after targets are lost, replaced or all started.
 
-Ten targets of three slots, half busy. Feeds pause for 4 s and ask six times in a
-flow, edits pause for 1.5 s and ask twelve times; four homes place by statuses that
-are 0.2 s old. What counts is busiest/mean of the work that the open flows will
-bring, as their users know it, over the last ten of sixty seconds.
+Ten targets of three slots, half busy. Feeds pause for 4 s and send six requests in a
+flow, edits pause for 1.5 s and send twelve. Four homes place by statuses that are 0.2 s
+old. The result is busiest/mean of the work that the open flows will bring, as their
+users know it, over the last ten of sixty seconds.
 """
 
 import heapq
@@ -30,7 +30,7 @@
 
 
 class Target:
-    """A target, and what its agent knows."""
+    """A target and its agent's state."""
 
     def __init__(self, number, now):
         self.address = f"10.0.0.{number}"
@@ -143,7 +143,7 @@
             self.at(pause_left, self.ask, flow, target)
 
     def lose(self, number):
-        """End a target; its users come back within a tenth of a second."""
+        """End a target; its users return within a tenth of a second."""
         target, self.targets[number] = self.targets[number], None
         for key, owner in list(self.target_by_flow.items()):
             if owner is target:
@@ -158,7 +158,7 @@
             home[address].warming = COLD
 
     def imbalance(self):
-        """Return busiest/mean of the work that is to come."""
+        """Return busiest/mean of the expected work."""
         loads = dict.fromkeys((t.address for t in self.targets), 0.0)
         for key, target in self.target_by_flow.items():
             loads[target.address] += WORK / (PAUSES[key[6:]][0] + WORK)
@@ -191,7 +191,10 @@
 
 
 def simulate(scenario, by_forecast):
-    """Return the imbalance a minute after, and the 99th wait of the first 10 s."""
+    """Return the imbalance after a minute, and the 99th percentile of early waits.
+
+    The waits are those of the first 10 s.
+    """
     ratios, waits = [], []
     for seed in SEEDS:
         fleet = Fleet(seed, by_forecast)
@@ -209,11 +212,10 @@
 
 
 class TestBalanceOfLongFlows:
-    """Symptom: a minute after a loss one target has a third more work than the mean.
+    """A minute after a loss, no target may have a third more work than the mean.
 
-    Sequence: flows come back within a second, homes send each to the target that
-    looks idle, and the flows stay there. Cause: openings were placed by the load of
-    their own moment.
+    Flows return within a second, and homes send each to the target that looks idle,
+    where the flows stay. This happens if openings are placed by the present load alone.
     """
 
     @pytest.mark.parametrize("scenario", [loss, release, start])
--- a/packages/zinniahook-core/tests/test_packet_pace.py
+++ b/packages/zinniahook-core/tests/test_packet_pace.py
@@ -1,4 +1,4 @@
-"""How many openings a cold target may get in a second."""
+"""Limit on the openings that a cold target gets in a second."""
 
 import random
 
@@ -37,10 +37,10 @@
         assert pace.allows(0.2, RATE)
 
     def test_a_new_process_waits_for_one_window(self):
-        """Symptom: a cold target gets twice what it bears.
+        """A cold target must not get twice what it can serve.
 
-        Sequence: its agent lets pass what a second holds, is killed and starts
-        again. Cause: the new process counts from nothing.
+        Its agent passes what a second allows, is killed and starts again. The new
+        process must not count from zero immediately.
         """
         pace = Pacer(LIMIT)
         pace.start(10.0)
--- a/packages/zinniahook-core/tests/test_packet_room.py
+++ b/packages/zinniahook-core/tests/test_packet_room.py
@@ -1,4 +1,4 @@
-"""Shares of a service's room, and when openings are rejected for it."""
+"""Allocation of a service's slots, and rejection of openings in overload."""
 
 import itertools
 import random
@@ -30,7 +30,7 @@
 
 
 def member(number, counts=None, told_at=0.0, busy=3.0):
-    """Return a member that told of its requests, or has room if of none."""
+    """Return a member that reported its requests, or one with free slots."""
     found = Member(f"10.0.0.{number}", 1, state=State.READY, slots=SLOTS)
     found.told_at = told_at
     found.answer_time = 0.1
@@ -45,7 +45,7 @@
 
 
 def overloaded(at=0.0, members=8):
-    """Return a room that has been overloaded for long enough, and its members."""
+    """Return the load after a long enough overload, and its members."""
     room = ServiceLoad()
     found = [full_member(number, at) for number in range(members)]
     assert room.review(at, found)
@@ -56,7 +56,7 @@
 
 
 class TestShares:
-    """How slots are divided among kinds and data centres."""
+    """How slots are divided among priorities and data centres."""
 
     @pytest.mark.parametrize("seed", range(20))
     def test_none_exceeds_its_demand_and_nothing_is_left_over(self, seed):
@@ -67,7 +67,7 @@
         given = max_min(wants, weights, capacity)
         assert all(g <= w + 1e-9 for g, w in zip(given, wants, strict=True))
         assert sum(given) == pytest.approx(min(capacity, sum(wants)))
-        # Who has less than wanted has no less for its weight than any other.
+        # A class with less than its demand gets no less per weight than any other.
         rates = [g / w for g, w in zip(given, weights, strict=True)]
         short = [i for i, g in enumerate(given) if g < wants[i] - 1e-9]
         assert all(rates[i] >= max(rates) - 1e-9 for i in short)
@@ -86,7 +86,7 @@
 
 
 class TestCounts:
-    """What agents tell of their requests."""
+    """The counts of requests that agents report."""
 
     def test_they_survive_encoding(self):
         counts = {FEED: Count(1.25, 7), EDIT: Count(0.0, 1)}
@@ -106,7 +106,7 @@
 
 
 class TestSharing:
-    """What a daemon works out of the members' counts."""
+    """The allocation that a daemon computes from the members' counts."""
 
     def test_daemons_with_the_same_counts_agree(self):
         members = [full_member(number) for number in range(6)]
@@ -136,10 +136,11 @@
         assert room.review(0.0, members)
 
     def test_small_changes_do_not_turn_it_off_and_on(self):
-        """Symptom: overloaded and relieved by turns, ten times a second.
+        """Overload must not begin and end ten times a second.
 
-        Sequence: openings wait at nearly every agent, each status tells of
-        another one whose queue has just become empty. Cause: one bound for both.
+        Openings wait at nearly every agent, and each status reports another agent whose
+        queue has just become empty. With one threshold for both, each status would
+        switch.
         """
         room = ServiceLoad()
         rng = random.Random(3)
@@ -157,10 +158,10 @@
         assert changes == 1
 
     def test_a_daemon_cut_off_from_most_sees_no_overload(self):
-        """Symptom: openings are rejected while two of three agents are idle.
+        """Openings must not be rejected while two of three agents are idle.
 
-        Sequence: a home is cut off from most agents, the few that it hears are
-        full. Cause: it judged the service by them.
+        A home is cut off from most agents and the few that it hears are full. It must
+        not judge the service by them.
         """
         heard = [full_member(number, told_at=10.0) for number in range(2)]
         unheard = [member(number, told_at=0.0) for number in range(2, 12)]
@@ -180,7 +181,7 @@
 
 
 class TestExcess:
-    """Which share of the new openings can't be served."""
+    """The share of new openings that can't be served."""
 
     def test_only_of_the_kind_that_waits_too_long(self):
         room, _ = overloaded()
@@ -208,7 +209,7 @@
 
 
 class TestRejections:
-    """Openings that are held, and how that ends."""
+    """Openings that are held, and how their holding ends."""
 
     def held(self, room, takers, count=200):
         found = Rejections(room, random.Random(1), lambda *_: takers)
@@ -237,10 +238,10 @@
         assert all(is_excess for _, is_excess in first + rest)
 
     def test_none_while_a_slot_in_reach_is_free(self):
-        """Symptom: an opening is rejected while a target has a free slot.
+        """An opening must not be rejected while a target in reach has a free slot.
 
-        Sequence: the service is overloaded as a whole, one of the eight agents
-        that the flow belongs to is idle. Cause: judged by the whole alone.
+        The service is overloaded as a whole, but one of the eight agents that the flow
+        may go to is idle.
         """
         room, members = overloaded()
         free = member(9, told_at=REJECT_AFTER_SECONDS)
@@ -265,14 +266,16 @@
 class TestOddPriorities:
     @pytest.mark.parametrize("priority", [-1, 255, 300])
     def test_counts_are_reported(self, priority):
-        """A configuration with one ended every agent that had to tell of it."""
+        """Such a priority in a configuration must not end the agents that report it."""
         told = encode_counts({TrafficClass(1, priority): Count(1.0, 2)})
         assert list(decode_counts(told)) == [
             TrafficClass(1, max(0, min(255, priority)))
         ]
 
     def test_many_of_them_get_shares(self):
-        """Weights that differ by more than a number holds divided by nothing."""
+        """Weights that differ by more than a float can represent led to a division by
+        zero.
+        """
         rng = random.Random(1)
         for _ in range(200):
             wants = {
--- a/packages/zinniahook-core/tests/test_packet_work.py
+++ b/packages/zinniahook-core/tests/test_packet_work.py
@@ -1,4 +1,4 @@
-"""What open flows are going to ask, and how openings are placed by it."""
+"""Forecast of the requests of open flows, and placement by it."""
 
 import random
 
@@ -35,7 +35,7 @@
 
 
 def member(number, expected=None, busy=0.0, warming=0.0, flows=0):
-    """Return a member whose open flows promise so many requests."""
+    """Return a member that expects so many requests from its open flows."""
     found = Member(f"10.0.0.{number}", ZONE, state=State.READY, slots=SLOTS)
     found.busy, found.warming, found.flows = busy, warming, flows
     if expected is not None:
@@ -48,10 +48,10 @@
 
 
 class TestLearning:
-    """Shares of life and later requests, as an agent sees its flows."""
+    """Busy shares and later requests, as an agent samples its flows."""
 
     def simulate(self, busy, request_count, count=20):
-        """Return what is learned of flows of which each is busy in turn."""
+        """Return a forecast for flows that are busy in turn."""
         flows = Flows()
         for number in range(count):
             flow = Flow(
@@ -84,10 +84,10 @@
         assert work.later(ROUTE) == DEFAULT_LATER_REQUESTS
 
     def test_ended_flows_bring_nothing(self):
-        """Symptom: a target that lost its flows gets no new ones.
+        """A target that lost its flows must get new ones.
 
-        Sequence: all its flows close, they stay known for seconds. Cause: closed
-        flows counted as open ones.
+        All its flows close but stay known for seconds. Closed flows must not count as
+        open.
         """
         work = self.simulate(busy=0.25, request_count=3)
         for flow in work._flows.by_key.values():
@@ -112,17 +112,17 @@
 
 
 class TestPooling:
-    """Shares that agents tell each other."""
+    """Shares that agents exchange."""
 
     def learned(self, busy):
         return TestLearning().simulate(busy, request_count=3)
 
     def test_all_use_the_mean(self):
-        """Symptom: targets with a third fewer flows than others get no more of them.
+        """Targets with a third fewer flows than others must get more of them.
 
-        Sequence: the few flows of one agent ask more than usual for a while, it
-        says that it is promised as much as the others. Cause: each agent took its
-        own flows for usual ones.
+        The few flows of one agent are busier than usual for a while. If each agent
+        considered its own flows typical, this one would report as much expected work as
+        the others.
         """
         one, other = self.learned(0.1), self.learned(0.3)
         told = [one.section(), other.section()]
@@ -142,10 +142,10 @@
     """Which member opens a flow."""
 
     def test_a_long_flow_goes_where_little_is_expected(self):
-        """Symptom: a minute after a loss some targets have twice the work of others.
+        """A minute after a loss, no target may have twice the work of others.
 
-        Sequence: flows come back at once, each goes to the target that is idle in
-        that tenth of a second, and stays there. Cause: the load of now alone.
+        Flows return at once, and each goes to the target that is idle in that tenth of
+        a second and stays there. The present load alone isn't enough.
         """
         members = [member(1, expected=3.0), member(2, expected=2.0, busy=1.0)]
         assert chosen(members, later=4.0) == "10.0.0.2"
@@ -156,11 +156,11 @@
         assert chosen(members, later=4.0) == "10.0.0.1"
 
     def test_a_cold_one_is_not_preferred_for_holding_no_flows(self):
-        """Symptom: the flows of a replaced target all go to the newest one.
+        """The flows of a replaced target must not all go to the newest one.
 
-        Sequence: targets are replaced one after the other, each new one holds no
-        flows, is slow for seconds, and gets every flow of the next one. Cause: no
-        promises counted as room.
+        Targets are replaced one after the other. Each new one holds no flows and is
+        slow for seconds; it would get every flow of the next one if no expected
+        requests counted as free capacity.
         """
         old = [member(number, expected=2.0, busy=1.0) for number in range(3)]
         cold = member(9, expected=0.0, warming=2.0)
