--- a/packages/zinniahook-core/src/zinniahook_core/packets/agent.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/agent.py
@@ -1,27 +1,27 @@
-"""The agent: owns the flows of the target beside it.
+"""The agent, which owns the flows of the target on its machine.
 
-Every packet to the target and every packet from it passes here, so the agent
-sees which flows the target took. It has the last word: what it doesn't own,
-it hands to the flow's home.
+Every packet to and from the target passes through the agent, so the agent knows which
+flows the target has accepted. It makes the final decision on a packet and passes what
+it doesn't own to the flow's home.
 """
 
 from __future__ import annotations
 
 import random
 
-from .endings import Endings
 from .features import Features
-from .flows import Flow, Flows, Standing
+from .flows import Flow, Flows, FlowState
 from .homes import Home
 from .members import Roster
 from .membership import Membership
 from .models import Codec, Flag, Heartbeat, Links, Log, Packet, route_key
 from .node import Node
-from .openings import Openings, standing
-from .pace import ColdLimit, Pace
-from .queueing import Queue
+from .openings import Openings, initial_state
+from .pacing import ColdLimit, Pacer
+from .queueing import RequestQueue
 from .registry import Registry
 from .requests import Requests
+from .resets import Resets
 from .searches import Acceptance
 from .target import Target
 from .trials import Trials
@@ -29,10 +29,9 @@
 
 __all__ = ["Agent"]
 
-EXPIRE_EVERY = 0.2
-EXPIRED_AT_ONCE = 800
-"""Flows looked at each time: 4,000 a second; an agent has 3,200 at the size
-designed for."""
+EXPIRY_INTERVAL_SECONDS = 0.2
+FLOWS_PER_EXPIRY = 800
+"""Flows checked each time: 4,000 a second, for 3,200 flows at the designed size."""
 
 
 class Agent(Node):
@@ -41,11 +40,11 @@
     Parameters
     ----------
     target : Target
-        What is known of the target.
+        State of the target.
     incarnation : int
-        Number of this process, higher than that of the one before.
+        Number of this process, higher than that of the previous process.
     cold_limit : ColdLimit, optional
-        What a cold target may get in a second; without, any number.
+        Limit on openings to a cold target; unlimited by default.
 
     The other parameters are those of `Node`.
     """
@@ -66,26 +65,28 @@
         super().__init__(address, data_centre, codec, links, log, rng, features)
         self.target = target
         self.flows = Flows()
-        target.watch(features, log, self.flows)
-        self.endings = Endings(self, target, self.flows)
+        target.enable_measurement(features, log, self.flows)
+        self.resets = Resets(self, target, self.flows)
         self._expire_at = float("-inf")
         self.membership = Membership(self, target, self.flows, incarnation)
         self.requests = Requests(self, target, self.flows)
         self.trials = Trials(
             self.flows, target, links, self._found, self.membership.send_status
         )
-        self._pace = Pace(cold_limit)
-        self.queue = Queue(self, target, self.flows, self.membership, self.requests)
+        self._pacer = Pacer(cold_limit)
+        self.queue = RequestQueue(
+            self, target, self.flows, self.membership, self.requests
+        )
         self.openings = Openings(
-            self, target, self.flows, self.membership, self._pace, self.queue
+            self, target, self.flows, self.membership, self._pacer, self.queue
         )
         self.membership.openings_waiting = self.openings.waiting
         self._make_home()
 
     def start(self, now: float) -> None:
-        """Begin; flows may be older than this process for a while."""
+        """Start; for a while, flows may be older than this process."""
         self.target.start(now)
-        self._pace.start(now)
+        self._pacer.start(now)
         self.trials.start(now)
         self.freshness.wait(now)
 
@@ -102,80 +103,83 @@
         centre: str,
         order: int | None = None,
     ) -> None:
-        """Take an agent that announced itself in the store.
+        """Add an agent that announced itself in the store.
 
-        ``order`` tells which agents announced themselves before.
+        ``order`` gives the order of the announcements.
         """
         if service == self.target.service:
             self.membership.learn_member(now, address, zone_tag(centre), order)
 
     def _evacuations_changed(self, now: float) -> None:
         self.roster.closed = self.evacuations.tags
-        self.target.doubt(now)
+        self.target.suspect_cold(now)
         super()._evacuations_changed(now)
         self.openings.tick(now)
         self.membership.tick(now)
 
     def neighbours(self, now: float) -> list[str]:
-        """Return the peers, then the entries that send here."""
+        """Return the peers, then the entries that send to this agent."""
         peers = [name for name in self.roster.present(now) if name != self.address]
         return [*peers, *self.membership.entries]
 
     def leave(self, now: float) -> None:
-        """Take no openings from now on and say so at once."""
+        """Stop accepting openings and announce it immediately."""
         self.membership.leaving = True
         self.home.hand_over()
         self.log.event("leaving", flows=len(self.flows), busy=self.flows.busy)
         self.queue.tick(now)
         self.membership.tick(now)
 
-    def beat(self, now: float, beat: Heartbeat) -> bool:
-        """Take a heartbeat of the target; return False if it can't be one.
+    def heartbeat(self, now: float, heartbeat: Heartbeat) -> bool:
+        """Apply a heartbeat of the target; return False if it is rejected.
 
-        What goes wrong without the check: another writer names a service that
-        isn't any, and this agent leaves its own.
+        Without this check, another writer could name a service that doesn't exist, and
+        this agent would leave its own.
         """
         former = self.target.service
-        if former and beat.service != former and not self._is_named(beat.service):
-            self.log.event("heartbeat.foreign", target=beat.target, of=beat.service)
+        if (
+            former
+            and heartbeat.service != former
+            and not self._is_named(heartbeat.service)
+        ):
+            self.log.event(
+                "heartbeat.foreign", target=heartbeat.target, of=heartbeat.service
+            )
             return False
-        replaced = self.target.beat(now, beat)
+        replaced = self.target.heartbeat(now, heartbeat)
         if replaced:
             until = self.target.former_until
             self.flows.forget_work()
-            ended = self.endings.end_all("target.replaced", until)
+            ended = self.resets.end_all("target.replaced", until)
             self.registry.announce_ended(now, ended)
             self.queue.admit(now)
-        if beat.service != former:
-            self._change_service(beat.service)
+        if heartbeat.service != former:
+            self._change_service(heartbeat.service)
         self.membership.tick(now)
         return True
 
     def _is_named(self, service: str) -> bool:
-        """Tell whether the configuration in force leads to a service."""
+        """Return whether the configuration in force routes to a service."""
         return any(service in r.names for r in self.routes.by_address.values())
 
-    def left(self, now: float, target: str, born: int | None = None) -> None:
+    def note_ended(self, now: float, target: str, born: int | None = None) -> None:
         """Note that the target has ended."""
-        self.target.left(target, born)
+        self.target.note_ended(target, born)
         self.home.hand_over()
         self.membership.tick(now)
 
-    def absent(self, now: float) -> None:
-        """Note that no target runs on this instance, if none was ever seen."""
-        self.target.absent()
+    def note_absent(self, now: float) -> None:
+        """Note that no target runs on this instance, if none has been seen."""
+        self.target.note_absent()
         self.membership.tick(now)
 
-    def appeared(self, now: float) -> None:
-        """Note that a process runs where none did."""
-        self.target.appeared()
+    def note_appeared(self, now: float) -> None:
+        """Note that a process now runs where none did."""
+        self.target.note_appeared()
         self.membership.tick(now)
 
-    def farewell(self, now: float) -> None:
-        """Tell the others for the last time, as this process ends.
-
-        The flows of a target that has ended go with it.
-        """
+    def announce_end(self, now: float) -> None:
+        """Announce the end of this process, and of an ended target's flows."""
         if self.target.gone:
             self.registry.announce_ended(now, list(self.flows.by_key.values()))
         self.membership.announce_end(now)
@@ -203,27 +207,27 @@
             self.registry.receive(now, sender, head, body)
 
     def tick(self, now: float) -> None:
-        """Do what time demands; call it about twenty times a second."""
+        """Do all periodic work; call this about twenty times a second."""
         self.formers.tick(now)
         self.openings.tick(now)
         if self.target.is_dead(now) and len(self.flows):
-            ended = self.endings.end_all("target.silent", now)
+            ended = self.resets.end_all("target.silent", now)
             self.registry.announce_ended(now, ended)
         self.queue.tick(now)
         self.trials.tick(now)
         self.home.tick(now)
         self.membership.waiting = len(self.openings.waiting) + len(self.queue)
-        self.membership.held_back = self.openings.is_held_back(now)
+        self.membership.held_back = self.openings.is_throttled(now)
         self.membership.tick(now)
         if self.roster.is_due(now):
-            self._review(now)
+            self._review_roster(now)
         self.registry.tick(now)
         if now >= self._expire_at:
-            self._expire_at = now + EXPIRE_EVERY
-            self.flows.expire(now, self.routes.idle_timeout, EXPIRED_AT_ONCE)
+            self._expire_at = now + EXPIRY_INTERVAL_SECONDS
+            self.flows.expire(now, self.routes.idle_timeout, FLOWS_PER_EXPIRY)
 
-    def _review(self, now: float) -> None:
-        """Look over who is present; flows may have other homes now."""
+    def _review_roster(self, now: float) -> None:
+        """Refresh the roster; register flows again if their homes have changed."""
         changes = self.roster.refresh(now)
         if changes.arrived or changes.departed:
             self.log.event("roster", **changes.log_fields())
@@ -231,7 +235,7 @@
             self.registry.register_all()
 
     def _change_service(self, service: str) -> None:
-        """Serve another service: nothing known of the former one holds."""
+        """Switch to another service and discard all state of the former service."""
         self.log.event("service.changed", service=service)
         self.membership.restart()
         self._make_home()
@@ -262,7 +266,7 @@
             self._opening(now, sender, head, packet)
             return
         flow = self.flows.get(packet.flow)
-        if flow is not None and flow.standing is Standing.TRIED:
+        if flow is not None and flow.state is FlowState.TRIED:
             self._wait_for_trial(now, head, packet)
             return
         if flow is not None and flow.matches(packet.acknowledged):
@@ -270,13 +274,13 @@
             if head.marks & Mark.SEARCH:
                 self._answer_search(now, sender, flow)
         else:
-            self._stray(now, sender, head, packet)
+            self._misrouted(now, sender, head, packet)
 
     def _wait_for_trial(self, now: float, head: Head, packet: Packet) -> None:
         """Handle a packet of a flow that is on trial here.
 
-        One packet is enough to find out; more would only reach a target that
-        may not be theirs. As the home, this agent goes on asking the others.
+        One packet is enough for a trial; more packets would only reach a target that
+        may not hold the flow. As the home, this agent keeps asking the others.
         """
         if head.marks & (Mark.SEARCH | Mark.POINTED):
             self.log.count("packets.waiting_for_trial")
@@ -284,15 +288,15 @@
             self.home.locate(now, head, packet)
 
     def _is_routed(self, now: float, sender: str, head: Head, packet: Packet) -> bool:
-        """Check that the packet may go to this service.
+        """Return whether the packet may go to this service.
 
-        The higher version of the two daemons decides. What goes wrong
-        without: an address is used again and a ticket reaches the ledger's
-        target, or an entry with an old configuration brings back a route. An
-        agent that has just started and has none takes what entries let pass.
+        The daemon with the higher configuration version decides. Without this check, a
+        ticket reaches the ledger's target when an address is reused, or an entry with
+        an old configuration restores a route. A new agent without a configuration
+        accepts what entries forward.
         """
         if head.service != tag(self.target.service):
-            self.openings.give_back(now, sender, head, packet, Reason.WRONG_SERVICE)
+            self.openings.send_back(now, sender, head, packet, Reason.WRONG_SERVICE)
             return False
         if not self.routes.version or head.version > self.routes.version:
             return True
@@ -304,7 +308,7 @@
             self.log.event(
                 "reset.no_route", flow=packet.flow, version=self.routes.version
             )
-            self.endings.reset(packet.flow, packet.acknowledged)
+            self.resets.reset(packet.flow, packet.acknowledged)
             return False
         if packet.is_opening and not route.opens_at(self.target.service):
             self.log.event("drop.stale_route", flow=packet.flow, version=head.version)
@@ -317,39 +321,39 @@
             return
         reason = self.openings.take(now, sender, head, packet)
         if reason is not Reason.NONE:
-            self.openings.give_back(now, sender, head, packet, reason)
+            self.openings.send_back(now, sender, head, packet, reason)
 
     def _deliver(self, now: float, head: Head, packet: Packet, flow: Flow) -> None:
         self.queue.deliver(now, flow, packet)
-        flow.seen = now
+        flow.last_seen = now
         flow.acknowledged = packet.acknowledged
         if packet.flags & Flag.CLOSING:
             flow.client_closed = True
-        if flow.standing is Standing.OFFERED:
-            self._opened(now, flow)
+        if flow.state is FlowState.OFFERED:
+            self._note_opened(now, flow)
         if flow.entry != head.entry or not head.marks & Mark.HINTED:
             flow.entry = head.entry
             self.registry.announce_owner(now, head.entry, [flow.key])
 
     def _answer_search(self, now: float, asker: str, flow: Flow) -> None:
-        """Tell who searches for a flow, and its homes, that it is owned here.
+        """Report to a searching agent and to the flow's homes that it is owned here.
 
-        The asker may be none of its homes here. What goes wrong without
-        telling it: it goes on asking, and other targets get the packet.
+        The asker may not be one of its homes here. If it weren't notified, it would
+        continue to search, and other targets would receive the packet.
         """
         if asker and asker != self.address:
             self.registry.announce_owner(now, asker, [flow.key])
         self.registry.register(now, flow, force=True)
 
-    def _opened(self, now: float, flow: Flow) -> None:
-        flow.standing = Standing.OPEN
+    def _note_opened(self, now: float, flow: Flow) -> None:
+        flow.state = FlowState.OPEN
         flow.opening = b""
         self.openings.answered(flow)
-        self.log.event("flow.opened", flow=flow.key, opening=flow.client_first)
+        self.log.event("flow.opened", flow=flow.key, opening=flow.client_isn)
         self.registry.register(now, flow)
 
-    def _stray(self, now: float, sender: str, head: Head, packet: Packet) -> None:
-        """Handle a packet of a flow that isn't known to be owned here."""
+    def _misrouted(self, now: float, sender: str, head: Head, packet: Packet) -> None:
+        """Handle a packet of a flow that this agent isn't known to own."""
         asked = head.marks & (Mark.SEARCH | Mark.POINTED)
         if not asked:
             self.home.locate(now, head, packet)
@@ -365,38 +369,37 @@
     # Packets of the target
 
     def from_target(self, now: float, raw: bytes) -> None:
-        """Handle what the target sent."""
+        """Handle a packet that the target sent."""
         packet = self.codec.from_target(raw)
         if packet is None:
             self.log.count("packets.malformed")
             return
         if packet.flags & Flag.RETURNED:
             self.target.heard(now)
-            self._bounced(now, packet)
+            self._returned(now, packet)
             return
         flow = self.flows.get(packet.flow)
         reset = bool(packet.flags & Flag.RESET)
-        if reset and flow is not None and flow.standing is Standing.TRIED:
+        if reset and flow is not None and flow.state is FlowState.TRIED:
             self._reset_on_trial(now, flow)
             return
         if packet.flags & Flag.OPENING or packet.length:
-            self.target.spoke(now)
+            self.target.note_working(now)
         else:
-            # Resets and acknowledgements also come where no target works any
-            # more. What goes wrong if they count: an instance whose target has
-            # ended comes back for a moment, is taken for one that holds flows,
-            # and nobody ends a flow for seconds after it has gone.
+            # Resets and acknowledgements also arrive when no target works any more. If
+            # they counted, an instance whose target has ended would reappear for a
+            # moment as a holder of flows, and no agent would end a flow for seconds
+            # after it has gone.
             self.target.heard(now)
         self.links.to_client(packet.flow, raw)
         self._answered(now, packet)
 
     def _reset_on_trial(self, now: float, flow: Flow) -> None:
-        """Take a reset of a flow on trial as "not mine", and keep it.
+        """Treat a reset of a flow on trial as a denial, and don't pass it on.
 
-        What goes wrong without: a target that is just starting, or has done
-        with an earlier flow from the same port, resets what it doesn't hold
-        instead of returning it, and the client loses its flow at the target
-        that does.
+        A target that is just starting, or that has finished an earlier flow from the
+        same port, resets a flow it doesn't hold instead of returning it. Passed on, the
+        reset would end the client's flow at the target that holds it.
         """
         self.target.heard(now)
         self.log.event("trial.reset", flow=flow.key, asker=flow.asker)
@@ -411,48 +414,48 @@
     def _answered(self, now: float, packet: Packet) -> None:
         flow = self.flows.get(packet.flow)
         if flow is None:
-            # This process is younger than the flow, or has given its opening up.
-            flow = Flow(packet.flow, standing(packet), now, "", since=now)
+            # This process is younger than the flow, or has abandoned its opening.
+            flow = Flow(packet.flow, initial_state(packet), now, "", accepted_at=now)
             self.flows.add(flow)
             self.registry.register(now, flow)
-        flow.seen = now
+        flow.last_seen = now
         if packet.flags & Flag.OPENING:
             self._accepted(now, flow, packet)
             return
         if packet.length:
             self.home.volumes.add(flow, packet.length)
-        if flow.standing is Standing.TRIED:
+        if flow.state is FlowState.TRIED:
             self.trials.succeeded(now, flow)
         self.queue.acknowledged(flow, packet)
         ends = packet.flags & (Flag.RESET | Flag.CLOSING)
         freed = self._note_answer(now, flow, packet)
         if ends:
-            flow.standing = Standing.CLOSED
+            flow.state = FlowState.CLOSED
             flow.client_closed |= bool(packet.flags & Flag.RESET)
             self.queue.ended(now, flow)
         if freed:
             self.openings.admit(now)
 
     def _note_answer(self, now: float, flow: Flow, packet: Packet) -> bool:
-        """Note what the target answers; return whether a request was in progress."""
+        """Note an answer of the target; return whether a request was in progress."""
         if packet.flags & Flag.RESET:
-            return self.requests.broken_off(now, flow)
+            return self.requests.aborted(now, flow)
         if not packet.length and not packet.flags & Flag.CLOSING:
             return False
         if self.queue.note_sent(flow, packet):
             return False
-        # The end of a short answer may come before its data.
+        # The end of a short answer may arrive before its data.
         return self.requests.answered(now, flow, packet)
 
     def _accepted(self, now: float, flow: Flow, packet: Packet) -> None:
-        flow.first = packet.sequence
-        flow.since = min(flow.since, now)
+        flow.target_isn = packet.sequence
+        flow.accepted_at = min(flow.accepted_at, now)
         self.openings.answered(flow)
         if flow.entry:
-            # The client's next packet comes in a few milliseconds.
+            # The client's next packet arrives in a few milliseconds.
             self.registry.announce_owner(now, flow.entry, [flow.key])
 
-    def _bounced(self, now: float, packet: Packet) -> None:
+    def _returned(self, now: float, packet: Packet) -> None:
         cleared = self.codec.cleared(packet.raw)
         packet = packet._replace(raw=cleared)
         flow = self.flows.get(packet.flow)
@@ -461,23 +464,23 @@
             return
         if flow is None:
             return
-        if flow.standing is Standing.TRIED:
+        if flow.state is FlowState.TRIED:
             self._deny_trial(now, flow)
             return
         self.flows.drop(flow.key)
         if flow.is_proven:
-            self.endings.lost(flow, packet)
+            self.resets.lost(flow, packet)
             self.registry.announce_ended(now, [flow])
         else:
             self._disown(now, flow)
         self.queue.admit(now)
 
     def _disown(self, now: float, flow: Flow) -> None:
-        """Tell the homes that a flow isn't owned here after all.
+        """Report to the homes that a flow isn't owned here after all.
 
-        What goes wrong without: a target that hung kept the packets of a trial,
-        its agent took the flow for its own, and homes send every further packet
-        here although its owner lives.
+        If a target hung and kept the packets of a trial, its agent has claimed the
+        flow. Homes would send every further packet here although the flow's owner is
+        alive.
         """
         self.log.event("flow.disowned", flow=flow.key, homes=flow.homes)
         self.trials.denied(now, flow.key)
@@ -486,8 +489,8 @@
 
     def _found(self, now: float, flow: Flow) -> None:
         self.log.event("flow.found", flow=flow.key, asker=flow.asker)
-        # Also if this agent isn't its home: a search that was begun here would
-        # go on and bring the packet to other targets.
+        # Also if this agent isn't its home: otherwise a search started here would
+        # continue and send the packet to other targets.
         self.home.learn(now, self.address, [flow.key])
         if flow.entry:
             self.registry.announce_owner(now, flow.entry, [flow.key])
--- a/packages/zinniahook-core/src/zinniahook_core/packets/placements.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/attempts.py
@@ -1,15 +1,15 @@
-"""Where the copies of openings were sent."""
+"""Agents that the copies of openings were sent to."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-__all__ = ["Placement"]
+__all__ = ["Attempts"]
 
 
 @dataclass(slots=True)
-class Placement:
-    """Where the copies of one opening were sent, or that it was rejected."""
+class Attempts:
+    """Agents that the copies of one opening were sent to, or its rejection."""
 
     sequence: int
     at: float
--- a/packages/zinniahook-core/src/zinniahook_core/packets/flows.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/flows.py
@@ -7,51 +7,50 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-__all__ = ["Flow", "Flows", "Standing"]
+__all__ = ["Flow", "Flows", "FlowState"]
 
 SEQUENCE_SPAN = 1 << 32
-WINDOW = 1 << 24
-"""Bytes that a target may have sent in a flow: what a client acknowledges lies
-that close after the target's first number. Another target's random number
-passes by chance once in 256 times."""
+ACKNOWLEDGED_WINDOW_BYTES = 1 << 24
+"""Bytes that a target may have sent in a flow: a client's acknowledgement is at most
+that far after the target's initial number. The random number of another target
+matches by chance once in 256 times."""
 
-OPENING_WINDOW = 1 << 10
-"""The same until the client has chosen: a target sends nothing before, so the
-client acknowledges its first number alone. Another target's number passes once
-in four million times."""
+OPENING_WINDOW_BYTES = 1 << 10
+"""The same until the client has chosen a target: a target sends nothing before, so the
+client acknowledges only its initial number. Another target's number matches once in
+four million times."""
 
-IDLE_SLACK = 5.0
-CLOSED_KEPT = 3.0
-"""Seconds that a flow which both ends have closed stays known, for repeated last
-packets: a client repeats one after at most 1.6 s."""
+IDLE_SLACK_SECONDS = 5.0
+CLOSED_FLOW_SECONDS = 3.0
+"""Seconds that a flow closed by both ends stays known, for repeated last packets: a
+client repeats one after at most 1.6 s."""
 
-MEAN_TIME = 0.4
-"""Seconds over which the mean number of requests in progress fades: two
-statuses."""
+MEAN_FADE_SECONDS = 0.4
+"""Seconds over which the mean number of requests in progress fades: two statuses."""
 
-ABANDONED_AFTER = 3.0
-"""Seconds after which a request without an answer no longer counts as work in
-progress: its client has given up, or its answer got lost."""
+ABANDONED_SECONDS = 3.0
+"""Seconds after which a request without an answer no longer counts as work in progress:
+its client has given up, or its answer was lost."""
 
-UNUSED_AFTER = 0.3
-"""The same for an opening that its client didn't use: another target was
-faster. Two trips to the client take 16 ms at most."""
+UNUSED_OPENING_SECONDS = 0.3
+"""The same for an opening that its client didn't use because another target was faster.
+Two round trips to the client take 16 ms at most."""
 
-HALF_OPEN_KEPT = 3.0
-"""Seconds for an opening: a client gives up after 1.4 s."""
+HALF_OPEN_SECONDS = 3.0
+"""Seconds that an unanswered opening is kept: a client gives up after 1.4 s."""
 
 
-class Standing(enum.Enum):
-    """How sure an agent is that its target holds a flow."""
+class FlowState(enum.Enum):
+    """How certain an agent is that its target holds a flow."""
 
     OFFERED = "offered"
-    """An opening was given to the target; the client hasn't chosen it yet."""
+    """An opening was sent to the target; the client hasn't chosen this target yet."""
 
     OPEN = "open"
     """A packet of the client acknowledged the target's own number."""
 
     TRIED = "tried"
-    """A packet was given to the target to see whether it returns it."""
+    """A packet was sent to the target to see whether the target returns it."""
 
     CLOSED = "closed"
 
@@ -60,76 +59,103 @@
 class Flow:
     """One flow.
 
-    ``first`` is the target's first number, None if it wasn't seen, and
-    ``client_first`` the client's. ``zone`` is the tag of the client's data
-    centre, ``asker`` who sent the flow here, ``homes`` who was told of it,
-    ``sent`` how many bytes the target sent in it, ``since`` when the target
-    took it, ``client_closed`` whether the client has closed it or was reset,
-    ``asks`` how many requests were seen in it, ``level`` how many were in progress
-    as the last one began, ``begun_at`` when its first data came, ``watched`` whether
-    that data still has no answer. ``working`` tells whether the target has got a
-    request that it hasn't answered, ``asked_to`` up to which number it has got data
-    and ``answered_to`` up to which it has sent some; all three only where requests
-    wait for slots.
+    Attributes
+    ----------
+    last_seen : float
+        When its last packet passed.
+    asker : str
+        The daemon that sent the flow here.
+    client_isn, target_isn : int or None
+        Initial sequence numbers of the client and of the target, None if not seen.
+    requested_at : float or None
+        When the request in progress began, None if none is.
+    homes : tuple of str
+        The agents that keep a pointer to this flow's owner.
+    zone : int
+        Tag of the client's data centre.
+    bytes_sent : int
+        Bytes that the target has sent.
+    accepted_at : float
+        When the target accepted it.
+    client_closed : bool
+        Whether the client has closed it or was reset.
+    request_count : int
+        Requests seen so far.
+    concurrency : int
+        Requests in progress at the target when the last one began.
+    request_begun_at : float
+        When the first data of the last request came.
+    awaits_answer : bool
+        Whether that data is still unanswered.
+    working : bool
+        Whether the target has received a request that it hasn't answered.
+    received_until, sent_until : int or None
+        Sequence numbers up to which the target has received and sent data.
+
+    The last three are kept only where requests wait for slots.
     """
 
     key: bytes
-    standing: Standing
-    seen: float
+    state: FlowState
+    last_seen: float
     entry: str
     asker: str = ""
-    client_first: int | None = None
-    first: int | None = None
+    client_isn: int | None = None
+    target_isn: int | None = None
     opening: bytes = b""
     acknowledged: int = 0
-    asked_at: float | None = None
+    requested_at: float | None = None
     homes: tuple[str, ...] = ()
     request: str = ""
     zone: int = 0
-    sent: int = 0
-    since: float = float("inf")
+    bytes_sent: int = 0
+    accepted_at: float = float("inf")
     client_closed: bool = False
-    asks: int = 0
-    level: int = 0
-    begun_at: float = 0.0
-    watched: bool = False
+    request_count: int = 0
+    concurrency: int = 0
+    request_begun_at: float = 0.0
+    awaits_answer: bool = False
     working: bool = False
-    asked_to: int | None = None
-    answered_to: int | None = None
+    received_until: int | None = None
+    sent_until: int | None = None
 
     @property
     def is_awaited(self) -> bool:
         """Whether its client may still send anything.
 
-        What goes wrong if one that its target has closed doesn't count: its client
-        closes it seconds later, nobody knows the flow any more, and the service
-        is searched for each copy of the closing.
+        A flow that only its target has closed counts: its client closes it seconds
+        later. If the flow were unknown by then, the service would be searched for each
+        copy of the closing.
         """
-        if self.standing is Standing.CLOSED:
+        if self.state is FlowState.CLOSED:
             return not self.client_closed
-        return self.standing is Standing.OPEN
+        return self.state is FlowState.OPEN
 
     @property
     def is_proven(self) -> bool:
-        """Whether this process has seen the target open it and the client choose."""
-        settled = self.standing in (Standing.OPEN, Standing.CLOSED)
-        return settled and self.first is not None
+        """Whether this process has seen the target open it and the client choose it."""
+        settled = self.state in (FlowState.OPEN, FlowState.CLOSED)
+        return settled and self.target_isn is not None
 
     def matches(self, acknowledged: int) -> bool:
-        """Tell whether a client's packet can belong to this target's flow.
+        """Return whether a client's packet can belong to this target's flow.
 
-        What goes wrong without: two targets answered copies of one opening,
-        the client chose the other one, and this one swallows its packets, or
-        returns them and passes for one that has lost the flow: a reset ends it.
+        Two targets may have answered copies of one opening. If the client chose the
+        other one, this target would swallow its packets, or return them and seem to
+        have lost the flow, which would then be reset.
         """
-        if self.first is None:
-            return self.standing is not Standing.OFFERED
-        window = OPENING_WINDOW if self.standing is Standing.OFFERED else WINDOW
-        return (acknowledged - self.first) % SEQUENCE_SPAN <= window
+        if self.target_isn is None:
+            return self.state is not FlowState.OFFERED
+        window = (
+            OPENING_WINDOW_BYTES
+            if self.state is FlowState.OFFERED
+            else ACKNOWLEDGED_WINDOW_BYTES
+        )
+        return (acknowledged - self.target_isn) % SEQUENCE_SPAN <= window
 
 
 class Gauge:
-    """A count and its mean over the last moments."""
+    """A count and its fading mean."""
 
     __slots__ = ("_at", "_mean", "value")
 
@@ -141,7 +167,7 @@
     def mean(self, now: float) -> float:
         """Return the mean, in which older values fade."""
         if now > self._at:
-            kept = math.exp((self._at - now) / MEAN_TIME)
+            kept = math.exp((self._at - now) / MEAN_FADE_SECONDS)
             self._mean = self.value + (self._mean - self.value) * kept
             self._at = now
         return self._mean
@@ -155,9 +181,9 @@
 class Flows:
     """The flows of one agent, by their keys.
 
-    ``busy`` counts flows with a request in progress, an opening that was offered
-    among them; ``working`` only those whose request the target has got, and only
-    where requests wait for slots.
+    ``busy`` counts flows with a request in progress, including offered openings;
+    ``working`` counts only those whose request the target has received, and only where
+    requests wait for slots.
     """
 
     def __init__(self) -> None:
@@ -175,11 +201,11 @@
         return self._busy.value
 
     def load(self, now: float) -> float:
-        """Return requests in progress, half of it as the recent mean.
+        """Return the load: the mean of the requests in progress now and recently.
 
-        What goes wrong with the count alone: openings come in a rhythm, a
-        status that is sent just before them always tells of an idle target,
-        and every home sends its openings there.
+        With the present count alone, openings that arrive periodically would cause a
+        status sent just before them to report an idle target each time, and every home
+        would send its openings there.
         """
         return (self._busy.value + self._busy.mean(now)) / 2
 
@@ -188,16 +214,16 @@
         return self.by_key.get(key)
 
     def add(self, flow: Flow) -> Flow:
-        """Add a flow in place of one with the same key."""
+        """Add a flow, replacing any with the same key."""
         self.drop(flow.key)
         self.by_key[flow.key] = flow
         return flow
 
     def drop(self, key: bytes) -> Flow | None:
-        """Forget a flow."""
+        """Remove a flow and return it."""
         flow = self.by_key.pop(key, None)
-        if flow is not None and flow.asked_at is not None:
-            self._busy.add(flow.seen, -1)
+        if flow is not None and flow.requested_at is not None:
+            self._busy.add(flow.last_seen, -1)
         if flow is not None:
             self._done(flow)
         return flow
@@ -205,38 +231,37 @@
     def asked(self, now: float, flow: Flow) -> None:
         """Note that the client sends a request, or is about to.
 
-        An opening counts already: its request follows in a few milliseconds,
-        and the target would look idle until then.
+        An opening counts already: its request follows in a few milliseconds, and the
+        target would look idle until then.
         """
-        if flow.asked_at is None:
+        if flow.requested_at is None:
             self._busy.add(now, 1)
-            flow.asks += 1
-        if flow.asked_at is None or flow.standing is Standing.OFFERED:
-            flow.asked_at = now
+            flow.request_count += 1
+        if flow.requested_at is None or flow.state is FlowState.OFFERED:
+            flow.requested_at = now
 
     def began(self, flow: Flow) -> None:
-        """Note that the target has got a request, and not just an opening."""
+        """Note that the target has received a request, not only an opening."""
         if not flow.working:
             flow.working = True
             self.working += 1
 
     def forget_work(self) -> None:
-        """Forget what the target worked on: another one has taken its place.
+        """Clear the work in progress of a target that was replaced.
 
-        What goes wrong without: requests wait for slots that the former one has
-        taken with it.
+        Otherwise requests would wait for slots that were lost with the former target.
         """
         for flow in self.by_key.values():
             self._done(flow)
 
     def forget_numbers(self) -> None:
-        """Forget what targets got and sent; it wasn't followed for a while.
+        """Clear the sequence numbers, which weren't tracked for a while.
 
-        What goes wrong without: a request seems to lack its first packet, and
-        waits for a client that has nothing to repeat.
+        Otherwise a request would seem to lack its first packet and would wait for a
+        client that has nothing to repeat.
         """
         for flow in self.by_key.values():
-            flow.asked_to = flow.answered_to = None
+            flow.received_until = flow.sent_until = None
 
     def _done(self, flow: Flow) -> None:
         if flow.working:
@@ -244,20 +269,20 @@
             self.working -= 1
 
     def answered(self, now: float, flow: Flow) -> float | None:
-        """Note that the target answers; return the time since the request."""
-        if flow.asked_at is None:
+        """Note that the target answers; return the seconds since the request."""
+        if flow.requested_at is None:
             return None
-        took = now - flow.asked_at
-        flow.asked_at = None
-        flow.watched = False
+        took = now - flow.requested_at
+        flow.requested_at = None
+        flow.awaits_answer = False
         self._busy.add(now, -1)
         self._done(flow)
         return took
 
-    def expire(self, now: float, idle: float, most: int) -> int:
-        """Forget up to ``most`` flows that ended; return how many."""
+    def expire(self, now: float, idle: float, limit: int) -> int:
+        """Remove ended flows among the next ``limit`` flows; return their number."""
         expired = 0
-        for _ in range(most):
+        for _ in range(limit):
             key = next(self._sweep, None)
             if key is None:
                 self._sweep = iter(list(self.by_key))
@@ -265,23 +290,25 @@
             flow = self.by_key.get(key)
             if flow is None:
                 continue
-            if flow.asked_at is not None and now - flow.asked_at > _stale(flow):
+            if flow.requested_at is not None and now - flow.requested_at > _stale(flow):
                 self.answered(now, flow)
-                # If its client goes on with it, it is work again.
-                flow.asked_to = None
-            if now - flow.seen > _kept(flow, idle):
+                # If its client continues it, it counts as work again.
+                flow.received_until = None
+            if now - flow.last_seen > _kept(flow, idle):
                 self.drop(key)
                 expired += 1
         return expired
 
 
 def _stale(flow: Flow) -> float:
-    return UNUSED_AFTER if flow.standing is Standing.OFFERED else ABANDONED_AFTER
+    return (
+        UNUSED_OPENING_SECONDS if flow.state is FlowState.OFFERED else ABANDONED_SECONDS
+    )
 
 
 def _kept(flow: Flow, idle: float) -> float:
-    if flow.standing is Standing.CLOSED and flow.client_closed:
-        return CLOSED_KEPT
-    if flow.standing is Standing.OFFERED:
-        return HALF_OPEN_KEPT
-    return idle + IDLE_SLACK
+    if flow.state is FlowState.CLOSED and flow.client_closed:
+        return CLOSED_FLOW_SECONDS
+    if flow.state is FlowState.OFFERED:
+        return HALF_OPEN_SECONDS
+    return idle + IDLE_SLACK_SECONDS
--- a/packages/zinniahook-core/src/zinniahook_core/packets/homes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/homes.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable, Sequence
 
 from . import placement, tunnel
+from .attempts import Attempts
 from .features import FeatureSwitch
 from .member import Member
 from .members import Roster
@@ -21,7 +22,6 @@
 from .rejections import Rejections
 from .searches import ENTRY_MARKS, Acceptance, Searches
 from .tunnel import Head, Kind, Mark, Reason
-from .work import Work
 
 __all__ = ["Home"]
 
@@ -70,7 +70,7 @@
         Tries a packet at this agent's own target, if it might own the flow.
     ask : callable
         Asks a peer for its status.
-    work : Work
+    work : Forecast
         The work that flows are expected to bring, by route.
     """
 
@@ -81,7 +81,7 @@
         open_here: Callable[[float, str, Head, Packet], Reason],
         search_here: Callable[[float, Head, Packet], Acceptance],
         ask: Callable[[float, str], None],
-        work: Work,
+        work: Forecast,
     ) -> None:
         self.node = node
         self.roster = roster
@@ -91,14 +91,14 @@
         self._load_polls = LoadPolls(node.address, node.rng, ask, self._loads_received)
         self.volumes = placement.Volumes()
         self._overload = Overload(node, roster)
-        self.room = self._overload.room
+        self.room = self._overload.load
         self._work = work
         self._rejections = Rejections(self.room, node.rng, self._first_takers)
         features = node.features
         self._expects_work = FeatureSwitch(features, features.expected_work)
         self._pointers: dict[bytes, str] = {}
         self._to_hand_over: list[bytes] = []
-        self._placements: dict[bytes, Placement] = {}
+        self._placements: dict[bytes, Attempts] = {}
 
     @property
     def pointers(self) -> int:
@@ -122,7 +122,7 @@
         self._searches.opened(packet.flow)
         attempt = self._placements.get(packet.flow)
         if attempt is None or attempt.sequence != packet.sequence:
-            attempt = Placement(packet.sequence, now)
+            attempt = Attempts(packet.sequence, now)
             self._placements[packet.flow] = attempt
             self._load_polls.forget(packet.flow)
             self._rejections.forget(packet.flow)
@@ -139,7 +139,7 @@
             return
         self._place_elsewhere(now, head, packet, attempt)
 
-    def _is_at_same_agent(self, now: float, attempt: Placement) -> bool:
+    def _is_at_same_agent(self, now: float, attempt: Attempts) -> bool:
         """Return whether a copy goes to the agent that already has the opening.
 
         An agent heard since may be queueing it, and a second one would serve it twice.
@@ -165,7 +165,7 @@
         chosen = self._choose(free, head, packet)
         if chosen is None:
             return False
-        attempt = Placement(packet.sequence, now, [chosen.address])
+        attempt = Attempts(packet.sequence, now, [chosen.address])
         self._placements[packet.flow] = attempt
         self._log_placed(packet, attempt, chosen, free)
         self._offer(now, head, packet, attempt, chosen.address)
@@ -175,7 +175,7 @@
         """Place an opening again after an agent has given it back."""
         attempt = self._placements.get(packet.flow)
         if attempt is None or attempt.sequence != packet.sequence:
-            attempt = Placement(packet.sequence, now, [sender])
+            attempt = Attempts(packet.sequence, now, [sender])
             self._placements[packet.flow] = attempt
         attempt.refused[sender] = head.reason
         if head.hops >= HOP_LIMIT:
@@ -184,14 +184,14 @@
         self._place_elsewhere(now, head, packet, attempt)
 
     def _place_elsewhere(
-        self, now: float, head: Head, packet: Packet, attempt: Placement
+        self, now: float, head: Head, packet: Packet, attempt: Attempts
     ) -> None:
         takers = self._takers(now, head, packet, attempt)
         if not self._load_polls.begin(now, head, packet, takers):
             self._place_among(now, head, packet, attempt, takers)
 
     def _takers(
-        self, now: float, head: Head, packet: Packet, attempt: Placement
+        self, now: float, head: Head, packet: Packet, attempt: Attempts
     ) -> list[Member]:
         flow, zone, tried = packet.flow, head.zone, {*attempt.tried, *attempt.refused}
         takers = self.roster.takers(now, flow, zone, tried)
@@ -212,7 +212,7 @@
         now: float,
         head: Head,
         packet: Packet,
-        attempt: Placement,
+        attempt: Attempts,
         takers: list[Member],
     ) -> None:
         if self._hold(now, head, packet, attempt):
@@ -224,7 +224,7 @@
         now: float,
         head: Head,
         packet: Packet,
-        attempt: Placement,
+        attempt: Attempts,
         takers: list[Member],
     ) -> None:
         takers = with_known_load(now, self.node.address, takers)
@@ -250,7 +250,7 @@
 
     # Overload
 
-    def _hold(self, now: float, head: Head, packet: Packet, attempt: Placement) -> bool:
+    def _hold(self, now: float, head: Head, packet: Packet, attempt: Attempts) -> bool:
         """Hold an opening while the service is overloaded; return whether it is held.
 
         It must never have been placed. A copy may follow an opening that another home
@@ -287,7 +287,7 @@
                 self._place_at_best(now, held.head, held.packet, attempt, takers)
 
     def _log_placed(
-        self, packet: Packet, attempt: Placement, chosen: Member, takers: list[Member]
+        self, packet: Packet, attempt: Attempts, chosen: Member, takers: list[Member]
     ) -> None:
         self.node.log.event(
             "flow.placed",
@@ -302,7 +302,7 @@
         )
 
     def _offer(
-        self, now: float, head: Head, packet: Packet, attempt: Placement, address: str
+        self, now: float, head: Head, packet: Packet, attempt: Attempts, address: str
     ) -> None:
         if address != self.node.address:
             self.node.send(
@@ -321,7 +321,7 @@
             attempt.refused[address] = reason
             self._place_elsewhere(now, head, packet, attempt)
 
-    def _give_up(self, now: float, packet: Packet, attempt: Placement) -> None:
+    def _give_up(self, now: float, packet: Packet, attempt: Attempts) -> None:
         """Reset an opening at once if it certainly can't be served.
 
         That is so if every agent tried was full, or all are evacuated. One that
@@ -339,7 +339,7 @@
             reset = self.node.codec.reset(packet.flow, packet.acknowledged)
             self.node.links.to_client(packet.flow, reset)
 
-    def _outcome(self, now: float, packet: Packet, attempt: Placement) -> str:
+    def _outcome(self, now: float, packet: Packet, attempt: Attempts) -> str:
         """Return the log event of an opening that no agent accepts."""
         reasons = set(attempt.refused.values())
         if Reason.FULL in reasons and reasons <= LASTING_REASONS:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/member.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/member.py
@@ -24,7 +24,7 @@
 
 EJECTED_BELOW_SHARE = 0.1
 """Share of the usual openings below which a target counts as ejected. It lies between
-`health.TRICKLE` and `health.FIRST_SHARE`."""
+`health.PROBE_SHARE` and `health.RAMP_START_SHARE`."""
 
 EJECTED_FAILURES_LIMIT = 0.5
 """Share of failures up to which an ejected target is still used while no other target
--- a/packages/zinniahook-core/src/zinniahook_core/packets/membership.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/membership.py
@@ -3,20 +3,20 @@
 from __future__ import annotations
 
 from . import tunnel
+from .allocation import RequestCounter
+from .backlog import Backlog
 from .features import FeatureSwitch
 from .flows import Flows
-from .health import PEERS_ASKED
+from .forecasts import Forecast
+from .health import CONSULTED_PEERS
 from .member import RosterRow
 from .members import HELLO_RETRY_SECONDS, Roster
 from .models import State
 from .node import Node
 from .reports import encode_cold, encode_health
-from .room import Census
 from .sections import Section
 from .target import Target
 from .tunnel import HelloRequest, Kind, Status, tag
-from .waiting import Waiting
-from .work import Work
 
 __all__ = ["Membership"]
 
@@ -93,9 +93,9 @@
         features = node.features
         self.shares_capacity = FeatureSwitch(features, bool(features.shared_room))
         self.expects_work = FeatureSwitch(features, features.expected_work)
-        self.work = Work(flows)
-        self.openings_waiting = Waiting()
-        self._census = Census(flows)
+        self.work = Forecast(flows)
+        self.openings_waiting = Backlog()
+        self._census = RequestCounter(flows)
 
     @property
     def entries(self) -> list[str]:
@@ -181,7 +181,7 @@
     def _ask_random_peers(self, now: float) -> None:
         """Ask a few random peers for their status, to check a suspicion."""
         peers = [a for a in self.roster.present(now) if a != self._node.address]
-        count = min(PEERS_ASKED, len(peers))
+        count = min(CONSULTED_PEERS, len(peers))
         for address in self._node.rng.sample(peers, count):
             self.ask(now, address)
 
@@ -360,7 +360,7 @@
         receives a status from each agent that it uses more than twice a second.
         """
         busy = self._flows.load(now) + self.waiting
-        if self._target.refuses(now) or self.held_back:
+        if self._target.refused_recently(now) or self.held_back:
             busy += self.slots
         status = Status(
             self._incarnation,
--- a/packages/zinniahook-core/src/zinniahook_core/packets/openings.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/openings.py
@@ -1,42 +1,42 @@
-"""Openings at the agent that was chosen for them: offered, waiting, refused."""
+"""Openings at the agent chosen for them: offered, waiting or refused."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
-from .flows import Flow, Flows, Standing
+from .backlog import EXTRA_OPENINGS, Backlog, Opening
+from .flows import Flow, Flows, FlowState
 from .membership import Membership
 from .models import Flag, Packet, State, Urgency, route_key
 from .node import Node
-from .outcomes import kind_of
-from .pace import Pace
-from .queueing import Queue
-from .target import ANSWER_TIMEOUT, Target
+from .outcomes import route_tag_of
+from .pacing import Pacer
+from .queueing import RequestQueue
+from .target import ANSWER_TIMEOUT_SECONDS, Target
 from .tunnel import Head, Kind, Reason, tag
-from .waiting import QUEUE_EXTRA, Opening, Waiting
 
-__all__ = ["Openings", "Placer", "standing"]
+__all__ = ["Openings", "Placer", "initial_state"]
 
-CHECKED_PER_TICK = 256
-MOVED_HOPS = 2
-"""Daemons that an opening may have passed to be moved: its entry and its home."""
+MAX_CHECKS_PER_TICK = 256
+MAX_MOVE_HOPS = 2
+"""Daemons that an opening may have passed and still be moved: its entry and home."""
 
-STAYING_LOOKED_AT = 8
-"""Waiting openings without a free peer that are looked at in a tick."""
+MAX_UNMOVED_PER_TICK = 8
+"""Waiting openings without a free peer that are checked in one tick."""
 
 
-STAYS = frozenset((Reason.LEAVING, Reason.EVACUATED))
-"""Reasons for which an agent takes nothing new, but keeps what it has."""
+RETAINING_REASONS = frozenset((Reason.LEAVING, Reason.EVACUATED))
+"""Reasons for which an agent accepts no new flows but keeps its existing ones."""
 
 
 class Placer(Protocol):
-    """The home of this agent, which places openings that it can't take."""
+    """The home of this agent, which places openings that the agent can't accept."""
 
     def refused(self, now: float, sender: str, head: Head, packet: Packet) -> None:
-        """Place an opening again that an agent gave back."""
+        """Place an opening again that an agent returned."""
 
     def move(self, now: float, head: Head, packet: Packet) -> bool:
-        """Hand an opening that waits to a peer with a free slot, if there is one."""
+        """Move a waiting opening to a peer with a free slot, if there is one."""
 
 
 class Openings:
@@ -47,14 +47,14 @@
     node : Node
         The agent; sends and logs.
     target : Target
-        What is known of the target.
+        State of the target.
     flows : Flows
-        Offered flows stand there too.
+        Flows of the agent, including offered ones.
     membership : Membership
-        Tells whether this agent takes openings.
-    pace : Pace
-        Limits what a cold target gets.
-    queue : Queue
+        Tells whether this agent accepts openings.
+    pacer : Pacer
+        Limits the openings that a cold target receives.
+    queue : RequestQueue
         Requests of open flows that wait for the same slots.
     """
 
@@ -66,31 +66,31 @@
         target: Target,
         flows: Flows,
         membership: Membership,
-        pace: Pace,
-        queue: Queue,
+        pacer: Pacer,
+        queue: RequestQueue,
     ) -> None:
-        self.waiting = Waiting()
+        self.waiting = Backlog()
         self._node = node
         self._target = target
         self._flows = flows
         self._membership = membership
-        self._pace = pace
+        self._pacer = pacer
         self._queue = queue
         self._offered_at: dict[bytes, float] = {}
 
     def take(self, now: float, home: str, head: Head, packet: Packet) -> Reason:
-        """Offer an opening to the target, or let it wait; return why not.
+        """Offer an opening to the target or queue it; return why it is refused.
 
-        It waits, too, while this agent may lack an order to evacuate its data
-        centre. It has the last word: the home may know less.
+        It also waits while this agent may lack an order to evacuate its data centre.
+        The agent makes the final decision, as the home may know less.
         """
         flow = self._flows.get(packet.flow)
         known = flow is not None and _is_copy(flow, packet)
-        reason = self._refusal(now)
-        # A copy of an opening that the target has answered is no new work. What
-        # goes wrong if it goes elsewhere: the flow stands at two targets.
-        answered = known and flow is not None and flow.first is not None
-        if reason is not Reason.NONE and not (reason in STAYS and answered):
+        reason = self._refusal_reason(now)
+        # A copy of an opening that the target has answered is no new work. Sent
+        # elsewhere, it would open the same flow at two targets.
+        answered = known and flow is not None and flow.target_isn is not None
+        if reason is not Reason.NONE and not (reason in RETAINING_REASONS and answered):
             return reason
         if flow is None or not known:
             if not self._may_offer(now):
@@ -98,34 +98,34 @@
                 self.waiting.add(now, home, head, packet, urgency)
                 return Reason.NONE
             flow = self._add(now, head, packet)
-        flow.client_first = packet.sequence
+        flow.client_isn = packet.sequence
         flow.asker = home
         flow.entry = head.entry
         flow.opening = packet.raw
-        if flow.first is None:
+        if flow.target_isn is None:
             self._offered_at[packet.flow] = now
-        self._target.given(now)
+        self._target.note_given(now)
         self._node.links.to_target(packet.raw)
         return Reason.NONE
 
     def answered(self, flow: Flow) -> None:
-        """Note that the target answered an opening, or a client used it."""
+        """Note that the target answered an opening, or that a client used it."""
         self._offered_at.pop(flow.key, None)
 
     def returned(self, now: float, packet: Packet) -> None:
         """Handle an opening that the target returned."""
         flow = self._flows.get(packet.flow)
-        if flow is None or flow.standing is not Standing.OFFERED:
+        if flow is None or flow.state is not FlowState.OFFERED:
             return
         self._flows.drop(flow.key)
         self._offered_at.pop(flow.key, None)
         self._target.refused(now)
-        self._judge(now, flow)
+        self._record_refusal(now, flow)
         if flow.asker:
             self._refuse_flow(now, flow, packet, Reason.FULL)
 
     def admit(self, now: float) -> None:
-        """Give the target what waits while it has room, requests first."""
+        """Send waiting requests, then openings, while the target has capacity."""
         self._queue.admit(now)
         while self._may_offer(now):
             opening = self._next(now)
@@ -136,7 +136,7 @@
                 self._refuse_waiting(now, opening, reason)
 
     def tick(self, now: float) -> None:
-        """Hand on what can't be taken, and end what waited too long."""
+        """Return openings that can't be accepted and drop those that are too old."""
         self._check_offered(now)
         for opening in self.waiting.expire(now):
             self._node.log.event(
@@ -144,7 +144,7 @@
             )
         if not len(self.waiting):
             return
-        reason = self._refusal(now)
+        reason = self._refusal_reason(now)
         if reason is not Reason.NONE:
             for opening in self.waiting.clear():
                 self._refuse_waiting(now, opening, reason)
@@ -152,8 +152,8 @@
         self.admit(now)
         self._move(now)
 
-    def _refusal(self, now: float) -> Reason:
-        """Return why no opening is taken, if so."""
+    def _refusal_reason(self, now: float) -> Reason:
+        """Return why no opening is accepted, `Reason.NONE` if there is no reason."""
         if self._membership.is_evacuated:
             return Reason.EVACUATED
         state = self._membership.state(now)
@@ -163,50 +163,50 @@
             return Reason.SILENT
         return Reason.NONE
 
-    def is_held_back(self, now: float) -> bool:
-        """Tell whether a cold target must get nothing for now."""
+    def is_throttled(self, now: float) -> bool:
+        """Return whether the cold limit holds openings back for now."""
         if not self._target.may_be_cold(now):
             return False
         rate = self._node.routes.cold_rates.get(self._target.service, 0.0)
-        return not self._pace.allows(now, rate)
+        return not self._pacer.allows(now, rate)
 
     def _may_offer(self, now: float) -> bool:
-        """Tell whether the target may get an opening now."""
+        """Return whether the target may receive an opening now."""
         certain = self._node.evacuations.is_certain(now)
-        return self._has_room and certain and not self.is_held_back(now)
+        return self._has_capacity and certain and not self.is_throttled(now)
 
     @property
-    def _has_room(self) -> bool:
-        return self._flows.busy < self._membership.slots + QUEUE_EXTRA
+    def _has_capacity(self) -> bool:
+        return self._flows.busy < self._membership.slots + EXTRA_OPENINGS
 
     def _add(self, now: float, head: Head, packet: Packet) -> Flow:
         flow = Flow(
             packet.flow,
-            Standing.OFFERED,
+            FlowState.OFFERED,
             now,
             head.entry,
-            client_first=packet.sequence,
+            client_isn=packet.sequence,
             zone=head.zone,
         )
         self._flows.add(flow)
         self._flows.asked(now, flow)
-        self._pace.offered(now)
+        self._pacer.offered(now)
         return flow
 
     def _move(self, now: float) -> None:
-        """Hand waiting openings to peers that have free slots.
+        """Move waiting openings to peers that have free slots.
 
-        One that has been moved stays. What goes wrong without: in overload each
-        opening is handed on again and again, and with each datagram that gets
-        lost a client's try is lost.
+        An opening is moved only once. Otherwise, in overload each opening would be
+        moved again and again, and each lost datagram would cost a client one of its
+        tries.
         """
         stay: list[Opening] = []
-        while len(stay) < STAYING_LOOKED_AT:
+        while len(stay) < MAX_UNMOVED_PER_TICK:
             opening = self._next(now)
             if opening is None:
                 break
             head, packet = opening.head, opening.packet
-            if head.hops >= MOVED_HOPS or not self.home.move(now, head, packet):
+            if head.hops >= MAX_MOVE_HOPS or not self.home.move(now, head, packet):
                 stay.append(opening)
         for opening in stay:
             self.waiting.put(opening)
@@ -215,26 +215,26 @@
         return self.waiting.take(now, self._target.answer_time)
 
     def _check_offered(self, now: float) -> None:
-        """Hand openings on that the target leaves without an answer."""
-        for key, offered_at in list(self._offered_at.items())[:CHECKED_PER_TICK]:
-            if now - offered_at < ANSWER_TIMEOUT:
+        """Place openings elsewhere that the target hasn't answered in time."""
+        for key, offered_at in list(self._offered_at.items())[:MAX_CHECKS_PER_TICK]:
+            if now - offered_at < ANSWER_TIMEOUT_SECONDS:
                 break
             del self._offered_at[key]
             flow = self._flows.get(key)
-            if flow is None or flow.first is not None:
+            if flow is None or flow.target_isn is not None:
                 continue
             self._flows.drop(key)
             self._target.unanswered(now, offered_at)
-            self._judge(now, flow)
+            self._record_refusal(now, flow)
             packet = self._node.codec.from_client(flow.opening)
             if packet is not None:
                 self._refuse_flow(now, flow, packet, Reason.SILENT)
 
-    def _judge(self, now: float, flow: Flow) -> None:
-        """Hold an opening that the target didn't take against it, if it has room."""
+    def _record_refusal(self, now: float, flow: Flow) -> None:
+        """Count a refused opening in the target's health, if it had capacity for it."""
         if self._target.health is not None:
             load = (self._flows.busy + 1) / self._membership.slots
-            self._target.health.refused(now, kind_of(flow.key), load)
+            self._target.health.refused(now, route_tag_of(flow.key), load)
 
     def _refuse_flow(
         self, now: float, flow: Flow, packet: Packet, reason: Reason
@@ -261,12 +261,12 @@
         if home == self._node.address:
             self.home.refused(now, home, head._replace(reason=reason), packet)
         else:
-            self.give_back(now, home, head, packet, reason)
+            self.send_back(now, home, head, packet, reason)
 
-    def give_back(
+    def send_back(
         self, now: float, address: str, head: Head, packet: Packet, reason: Reason
     ) -> None:
-        """Send a packet back to who sent it here."""
+        """Return a packet to the daemon that sent it here."""
         self._node.log.event(
             "returned", flow=packet.flow, to=address, reason=reason.name
         )
@@ -283,23 +283,23 @@
 
 
 def _is_copy(flow: Flow, packet: Packet) -> bool:
-    """Tell whether an opening is one that the target has got already.
+    """Return whether an opening is a copy of one that the target already has.
 
-    Also if this agent has given it up meanwhile and the target answers it now:
-    whose number that is was never seen. What goes wrong without: the copy passes
-    for another opening, the target's number is forgotten, and the client's first
-    data finds no owner.
+    This also holds if this agent has abandoned it in the meantime and the target
+    answers it now, in which case the client's number was never seen. Without this, the
+    copy would count as another opening, the target's number would be forgotten, and the
+    client's first data would find no owner.
     """
-    if flow.client_first is None:
-        return flow.standing is Standing.OFFERED
-    return flow.client_first == packet.sequence
+    if flow.client_isn is None:
+        return flow.state is FlowState.OFFERED
+    return flow.client_isn == packet.sequence
 
 
-def standing(packet: Packet) -> Standing:
-    """Return how sure it is that a target holds a flow of which it sends a packet.
+def initial_state(packet: Packet) -> FlowState:
+    """Return the state of an unknown flow, given a packet the target sent in it.
 
-    What goes wrong if the answer to an opening counts as an open flow: its client
-    may have chosen another target, and this one swallows its packets.
+    If the answer to an opening counted as an open flow, this target would swallow the
+    packets of a client that may have chosen another target.
     """
     opens = packet.flags & Flag.OPENING
-    return Standing.OFFERED if opens else Standing.OPEN
+    return FlowState.OFFERED if opens else FlowState.OPEN
--- a/packages/zinniahook-core/src/zinniahook_core/packets/placement.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/placement.py
@@ -1,10 +1,10 @@
-"""Which agent opens a flow.
+"""Choice of the agent that opens a flow.
 
-Loads: a calm day at 40 to 60 % of the slots, a target that is slow or cold,
-several that come back at the same moment. The home compares all ready members
-by the requests that each has in progress for its slots. What it placed itself
-since a member's last status counts too, or it would send every opening of
-0.2 s to the member that was idle at the last status.
+This handles normal operation at 40 to 60 % of the slots, a slow or cold target, and
+several targets that return at the same moment. The home compares all ready members by
+their requests in progress per slot. Openings that it has placed since a member's last
+status count too. Otherwise it would send all openings of 0.2 s to the member that was
+idle at the last status.
 """
 
 from __future__ import annotations
@@ -14,59 +14,59 @@
 from typing import NamedTuple
 
 from .flows import Flow
+from .forecasts import DEFAULT_BUSY_SHARE, decode_expected_busy
 from .member import Member
 from .models import route_key
 from .sections import Section
-from .work import USUAL_SHARE, decode_promise
 
 __all__ = ["Volumes", "choose", "cost", "usable"]
 
 REMOTE_COST = 0.5
-"""What another data centre costs for a flow of `USUAL_VOLUME`, in the unit of
-`cost`: half of the slots busy. Up to there a request waits for nobody."""
+"""Cost of another data centre for a flow of `TYPICAL_VOLUME_BYTES`, in the unit of
+`cost`: half of the slots busy. Up to that load no request has to wait."""
 
-USUAL_VOLUME = 40_000.0
-"""Bytes of an export, and of a stream in 20 answers of 2,000."""
+TYPICAL_VOLUME_BYTES = 40_000.0
+"""Bytes of an export, or of a stream with 20 answers of 2,000 bytes."""
 
-REMOTE_LEAST = 0.1
-REMOTE_MOST = 1.0
+MIN_REMOTE_COST = 0.1
+MAX_REMOTE_COST = 1.0
 VOLUME_WEIGHT = 0.02
 """Weight of a packet in the mean volume of a route's flows."""
 
-VOLUMES_LIMIT = 8192
+MAX_ROUTES = 8192
 
 WARMING_FACTOR = 1.6
-"""How much longer a target works while it warms up."""
+"""How many times longer a target works while it warms up."""
 
-ADVANTAGE = 0.25
-"""Requests a slot by which a target that was promised less work than the others
-is preferred at most. What goes wrong without: targets are replaced one after the
-other, and the flows of each come back as a wave that goes to the newest alone."""
+MAX_ADVANTAGE = 0.25
+"""Maximum preference, in requests per slot, for a target with less expected work than
+the others. Otherwise, when targets are replaced one after the other, the flows of
+each would return in a wave that goes to the newest target only."""
 
 JITTER = 0.1
-"""Spreads homes that see the same loads; below the cost of one slot of four."""
+"""Spreads the choices of homes that see the same loads; below the cost of one slot of
+four."""
 
-EXPECTED_JITTER = 0.02
-"""The same among promises, which change slowly: a tenth would hide who was
-promised a fifth more than the others."""
+FORECAST_JITTER = 0.02
+"""The same for expected loads, which change slowly: with a tenth, the jitter would hide
+a target whose expected load is a fifth above the others'."""
 
 SLOW_FACTOR = 2.0
-"""How much longer than usual the answers of a slow target take; loads of
-different clients alone differ by less than two."""
+"""Ratio to the usual answer time from which a target is slow; through their different
+clients alone, targets differ by less than a factor of two."""
 
-HANDED_SHARE = 1.0
-"""Requests in progress that a placed opening counts as, until the next
-status."""
+PLACED_WEIGHT = 1.0
+"""Requests in progress that a placed opening counts as, until the next status."""
 
-ASIDE_SHARE_MOST = 0.5
-"""Share of the targets for a flow that may be set aside. If more fail, it is no
-longer one of them that is bad, and the rest couldn't bear it."""
+MAX_EJECTED_SHARE = 0.5
+"""Maximum share of a flow's targets that may be ejected. If more of them fail, the
+fault isn't that of single targets, and the rest couldn't carry the load."""
 
 
 class Volumes:
     """How much the target sends in a flow, by route.
 
-    What a flow sends is what its distance costs: a ticket of 600 bytes may go
+    The volume of a flow determines the cost of distance: a ticket of 600 bytes may go
     to the other data centre for a shorter queue, an export may not.
     """
 
@@ -75,63 +75,62 @@
 
     def add(self, flow: Flow, length: int) -> None:
         """Count a packet of a flow."""
-        flow.sent += length
+        flow.bytes_sent += length
         route = route_key(flow.key)
         mean = self._means.get(route)
         if mean is None:
-            if len(self._means) < VOLUMES_LIMIT:
-                self._means[route] = float(flow.sent)
+            if len(self._means) < MAX_ROUTES:
+                self._means[route] = float(flow.bytes_sent)
             return
-        self._means[route] = mean + VOLUME_WEIGHT * (flow.sent - mean)
+        self._means[route] = mean + VOLUME_WEIGHT * (flow.bytes_sent - mean)
 
     def remote_cost(self, key: bytes) -> float:
-        """Return what another data centre costs for a new flow."""
-        mean = self._means.get(route_key(key), USUAL_VOLUME)
-        share = mean / USUAL_VOLUME * REMOTE_COST
-        return min(REMOTE_MOST, max(REMOTE_LEAST, share))
+        """Return the cost of another data centre for a new flow."""
+        mean = self._means.get(route_key(key), TYPICAL_VOLUME_BYTES)
+        share = mean / TYPICAL_VOLUME_BYTES * REMOTE_COST
+        return min(MAX_REMOTE_COST, max(MIN_REMOTE_COST, share))
 
 
-class Expected(NamedTuple):
-    """The work to come: requests after the first, and what a member is promised."""
+class ExpectedLoad(NamedTuple):
+    """Expected load: requests after the first, and the expected busy requests."""
 
     later: float
-    promise: float
+    expected_busy: float
 
     def mean(self, busy: float, slots: int) -> float:
         """Return the load that the requests of a flow meet on average.
 
-        The first one meets that of now, the others what the flows that are open
-        will bring. Where the first one must wait, it waits for whoever is above
-        the slots. What goes wrong with the load of now alone: it changes in each
-        tenth of a second, and which target it favours says nothing of the minute
-        that a flow lasts.
+        The first request meets the present load, the later ones the load that the open
+        flows are expected to bring. Requests above the slots delay the first request.
+        With the present load alone, the choice would depend on a value that changes
+        every tenth of a second and says nothing about the minute that a flow lasts.
         """
         ahead = max(0.0, busy + 1 - slots)
-        return (busy + self.later * (self.promise + ahead)) / (1 + self.later)
+        return (busy + self.later * (self.expected_busy + ahead)) / (1 + self.later)
 
 
-def promise(member: Member) -> float:
-    """Return the requests in progress that a member's open flows are to bring."""
-    told = decode_promise(member.sections.get(Section.WORK, b""))
-    return member.flows * USUAL_SHARE if told is None else told
+def expected_busy(member: Member) -> float:
+    """Return the requests in progress expected from a member's open flows."""
+    reported = decode_expected_busy(member.sections.get(Section.WORK, b""))
+    return member.flows * DEFAULT_BUSY_SHARE if reported is None else reported
 
 
-def promises(members: Sequence[Member], later: float) -> dict[str, Expected]:
-    """Return what members are promised, for a flow that ``later`` requests follow.
+def expected_loads(members: Sequence[Member], later: float) -> dict[str, ExpectedLoad]:
+    """Return each member's expected load, for a flow with ``later`` more requests.
 
-    One that was promised less than the others counts as promised `ADVANTAGE` less
-    at most, and as the others while it is cold.
+    A member with a lower expected load than the others counts as at most
+    `MAX_ADVANTAGE` below them, and as equal to them while it is cold.
     """
-    found = [promise(member) for member in members]
+    loads = [expected_busy(member) for member in members]
     slots = sum(member.slots for member in members)
-    usual = sum(found) / max(1, slots)
-    least = [
-        usual * m.slots if m.warming > 0 else (usual - ADVANTAGE) * m.slots
+    usual = sum(loads) / max(1, slots)
+    minimums = [
+        usual * m.slots if m.warming > 0 else (usual - MAX_ADVANTAGE) * m.slots
         for m in members
     ]
     return {
-        member.address: Expected(later, max(one, low))
-        for member, one, low in zip(members, found, least, strict=True)
+        member.address: ExpectedLoad(later, max(load, minimum))
+        for member, load, minimum in zip(members, loads, minimums, strict=True)
     }
 
 
@@ -140,17 +139,17 @@
     zone: int,
     usual: float,
     remote: float,
-    expected: Expected | None = None,
+    expected: ExpectedLoad | None = None,
 ) -> float:
-    """Return how unfavourable a member is for an opening.
+    """Return the cost of placing an opening at a member.
 
-    ``zone`` is the tag of the client's data centre, ``usual`` the
-    usual time until an answer begins, ``remote`` what another zone costs,
-    ``expected`` the work to come, None if nothing tells.
+    ``zone`` is the tag of the client's data centre, ``usual`` the usual time until an
+    answer begins, ``remote`` the cost of another data centre, ``expected`` the expected
+    load, None if unknown.
     """
-    busy = member.busy + member.placed * HANDED_SHARE
+    busy = member.busy + member.placed * PLACED_WEIGHT
     if expected is None:
-        busy += member.flows * USUAL_SHARE
+        busy += member.flows * DEFAULT_BUSY_SHARE
     else:
         busy = expected.mean(busy, member.slots)
     load = busy / max(1, member.slots)
@@ -171,16 +170,16 @@
 ) -> Member | None:
     """Return the member that should open a flow, None if there is none.
 
-    ``later`` is how many requests follow the first one of the flow, None if
-    flows aren't placed by what they bring.
+    ``later`` is how many requests follow the first one of the flow, None if flows
+    aren't placed by their expected requests.
     """
     if not members:
         return None
     times = sorted(member.answer_time for member in members)
     usual = times[(len(times) - 1) // 2]
-    expected = promises(members, later) if later is not None else {}
-    # If no request follows the first, promises count for nothing: see `mean`.
-    jitter = EXPECTED_JITTER if later else JITTER
+    expected = expected_loads(members, later) if later is not None else {}
+    # If no request follows the first, expected loads have no weight: see `mean`.
+    jitter = FORECAST_JITTER if later else JITTER
     chosen = min(
         members,
         key=lambda member: (
@@ -193,37 +192,38 @@
 
 
 def usable(members: Sequence[Member], rng: random.Random) -> Sequence[Member]:
-    """Return those that an opening may go to, as their answers are trusted.
+    """Return the members that an opening may go to, given the trust in their answers.
 
-    Those set aside get a trickle and no more while others have free slots. What
-    goes wrong without the last: the rest can't bear the load, every request is
-    late, and targets that would answer half of them stand idle.
+    Ejected members get only their probe share while others have free slots. They get
+    more when no other has one: otherwise the rest couldn't carry the load, every
+    request would be late, and targets that would answer half of them would be idle.
     """
     if all(member.trust >= 1 for member in members):
         return members
-    aside = [member for member in members if member.is_ejected]
-    tried = _tried(aside, len(members), rng)
-    if tried is not None:
-        return [tried]
-    aside.sort(key=lambda member: member.health.failing if member.health else 0.0)
-    too_many = max(0, len(aside) - int(ASIDE_SHARE_MOST * len(members)))
+    ejected = [member for member in members if member.is_ejected]
+    probed = _draw_probed(ejected, len(members), rng)
+    if probed is not None:
+        return [probed]
+    ejected.sort(key=lambda member: member.health.failing if member.health else 0.0)
+    excess = max(0, len(ejected) - int(MAX_EJECTED_SHARE * len(members)))
     others = [member for member in members if not member.is_ejected]
     used = [m for m in others if m.trust >= 1 or rng.random() < m.trust]
-    used += aside[:too_many]
+    used += ejected[:excess]
     if any(member.has_free_slot for member in used):
         return used
     returning = [m for m in others if m not in used]
-    spare = [m for m in aside[too_many:] if m.has_free_slot and not m.fails_mostly]
+    spare = [m for m in ejected[excess:] if m.has_free_slot and not m.fails_mostly]
     return [*used, *returning, *spare] or members
 
 
-def _tried(aside: list[Member], size: int, rng: random.Random) -> Member | None:
-    """Draw whether an opening goes to a target that was set aside, and to which.
+def _draw_probed(ejected: list[Member], size: int, rng: random.Random) -> Member | None:
+    """Draw the ejected member that a probe goes to, None for no probe.
 
-    One that works on something is left alone until that is done: it may hang.
+    A member with a request in progress gets no other probe until that is done, as it
+    may hang.
     """
     drawn = rng.random() * size
-    for member in aside:
+    for member in ejected:
         drawn -= member.trust
         if drawn < 0:
             return member if member.busy + member.placed < 1 else None
--- a/packages/zinniahook-core/src/zinniahook_core/packets/questions.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/questions.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from .flows import SEQUENCE_SPAN, WINDOW
+from .flows import ACKNOWLEDGED_WINDOW_BYTES, SEQUENCE_SPAN
 from .models import Packet
 from .tunnel import Mark
 
@@ -168,4 +168,4 @@
 def _is_same_flow(answers: _Answers, packet: Packet) -> bool:
     """Return whether a packet isn't of a later flow from the same port."""
     ahead = (packet.acknowledged - answers.acknowledged) % SEQUENCE_SPAN
-    return min(ahead, SEQUENCE_SPAN - ahead) <= WINDOW
+    return min(ahead, SEQUENCE_SPAN - ahead) <= ACKNOWLEDGED_WINDOW_BYTES
--- a/packages/zinniahook-core/src/zinniahook_core/packets/trials.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/trials.py
@@ -1,8 +1,8 @@
-"""Finds out which flows a target holds that is older than its agent.
+"""Trials that find out which flows a target older than its agent holds.
 
-An agent that was restarted alone knows nothing of its target's flows. It gives
-one packet of an unknown flow to the target: one that isn't held there comes
-back at once, and everything else is the target's own.
+An agent that was restarted alone knows nothing of its target's flows. It sends one
+packet of an unknown flow to the target. If the target doesn't hold the flow, it returns
+the packet at once; otherwise the flow belongs to the target.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from .flows import Flow, Flows, Standing
+from .flows import Flow, Flows, FlowState
 from .models import Links, Packet
 from .searches import Acceptance
 from .target import Target
@@ -18,38 +18,38 @@
 
 __all__ = ["Trials"]
 
-TRIAL_TIME = 0.05
-"""Seconds in which a target returns a packet that isn't its own; it takes
+TRIAL_SECONDS = 0.05
+"""Seconds in which a target returns a packet of a flow that it doesn't hold; it takes
 under 1 ms. If the target has sent anything since, the flow counts as owned."""
 
-TRIAL_LONGEST = 1.5
-"""Seconds after which a trial ends without a verdict: longer than a heartbeat,
-which a target that lives sends even if nobody asks it."""
+MAX_TRIAL_SECONDS = 1.5
+"""Seconds after which a trial ends without a result: longer than the interval of
+heartbeats, which a live target sends even if it receives nothing."""
 
-REPEATED_WITHIN = 0.4
-"""Seconds after which a target doesn't get a packet again: its client has repeated it
-meanwhile, or has its answer, and the target may be another one that has just started.
-Who still searches asks again."""
+MAX_REPEAT_SECONDS = 0.4
+"""Seconds after which a target isn't sent a packet again: its client has repeated it by
+then, or has its answer, and the target may be a different one that has just started.
+An agent that still searches asks again."""
 
-DENIAL_KEPT = 4.0
-"""Seconds for which a returned flow isn't tried again: twice the time after
-which a flow counts as broken if only other targets get its packets."""
+DENIAL_SECONDS = 4.0
+"""Seconds for which a returned flow isn't tried again: twice the time after which a
+flow counts as broken if only other targets get its packets."""
 
-DENIALS_LIMIT = 16384
-CHECKED_PER_TICK = 256
+MAX_DENIALS = 16384
+MAX_CHECKS_PER_TICK = 256
 
-LONGEST_FLOW = 60.0
+MAX_FLOW_SECONDS = 60.0
 """Seconds after which no flow can be older than this process."""
 
 
 class _Trial(NamedTuple):
-    """A packet that was given to the target to see whether it returns it."""
+    """A packet that was sent to the target to see whether the target returns it."""
 
     begun: float
     given_at: float
     raw: bytes
     repeated: bool = False
-    told: bool = False
+    asker_notified: bool = False
 
 
 class Trials:
@@ -58,11 +58,11 @@
     Parameters
     ----------
     flows : Flows
-        Flows on trial stand there too.
+        Flows of the agent, including those on trial.
     target : Target
-        What is known of the target.
+        State of the target.
     links : Links
-        Gives packets to it.
+        Sends packets to the target.
     found : callable
         Called with the time and a flow that turned out to be owned.
     pending : callable
@@ -87,29 +87,27 @@
         self._denied_until: dict[bytes, float] = {}
 
     def start(self, now: float) -> None:
-        """Begin; flows may be older than this process for a while."""
+        """Start; for a while, flows may be older than this process."""
         self._started = now
 
     def begin(
         self, now: float, head: Head, packet: Packet, asker: str = ""
     ) -> Acceptance:
-        """Try a packet, if its flow may be older than this agent.
+        """Try a packet if its flow may be older than this agent.
 
-        One that is on trial already is open. What goes wrong without: another
-        agent has asked for the flow, this one searches for it as its home,
-        hears everybody else deny it, and resets a flow of its own target.
+        A flow already on trial is undecided. Otherwise, when another agent has asked
+        for the flow and this agent searches for it as its home, all other agents would
+        deny it, and this agent would reset a flow of its own target.
         """
         key = packet.flow
         known = self._flows.get(key)
         if known is not None:
-            return (
-                Acceptance.OPEN if known.standing is Standing.TRIED else Acceptance.NO
-            )
+            return Acceptance.OPEN if known.state is FlowState.TRIED else Acceptance.NO
         if not self._may_hold_unknown(now):
             return Acceptance.NO
         if now < self._denied_until.get(key, 0.0):
             return Acceptance.NO
-        flow = Flow(key, Standing.TRIED, now, head.entry, asker)
+        flow = Flow(key, FlowState.TRIED, now, head.entry, asker)
         flow.acknowledged = packet.acknowledged
         self._flows.add(flow)
         self._by_flow[key] = _Trial(now, now, packet.raw)
@@ -117,75 +115,76 @@
         return Acceptance.OPEN
 
     def denied(self, now: float, key: bytes) -> None:
-        """Note that the target returned a packet; try none for a while.
+        """Note that the target returned a packet; don't try its flow for a while.
 
-        What goes wrong without: the agent of the flow's target restarts too
-        and can't answer yet, the client repeats its packet, and other targets
-        get each copy of it.
+        Otherwise, if the agent of the flow's target restarts too and can't answer yet,
+        the client would repeat its packet, and other targets would get each copy of it.
         """
         self._by_flow.pop(key, None)
         denied = self._denied_until
-        denied[key] = now + DENIAL_KEPT
-        while len(denied) > DENIALS_LIMIT:
+        denied[key] = now + DENIAL_SECONDS
+        while len(denied) > MAX_DENIALS:
             del denied[next(iter(denied))]
 
     def succeeded(self, now: float, flow: Flow) -> None:
         """Note that the target holds a flow."""
-        flow.standing = Standing.OPEN
-        flow.since = now
+        flow.state = FlowState.OPEN
+        flow.accepted_at = now
         self._by_flow.pop(flow.key, None)
         self._found(now, flow)
 
     def tick(self, now: float) -> None:
         """End trials whose packets the target has kept.
 
-        What goes wrong if silence alone counts: the target is dead, its agent
-        claims every flow it is asked for, and resets flows of others later.
+        Silence alone doesn't count. Otherwise the agent of a dead target would claim
+        every flow that it is asked for, and later reset flows of others.
         """
-        some = list(self._by_flow.items())[:CHECKED_PER_TICK]
-        self._tell_askers(now, some)
-        for key, trial in some:
-            if now - trial.given_at < TRIAL_TIME:
+        trials = list(self._by_flow.items())[:MAX_CHECKS_PER_TICK]
+        self._notify_askers(now, trials)
+        for key, trial in trials:
+            if now - trial.given_at < TRIAL_SECONDS:
                 continue
             flow = self._flows.get(key)
-            if flow is None or flow.standing is not Standing.TRIED:
+            if flow is None or flow.state is not FlowState.TRIED:
                 del self._by_flow[key]
             elif (
                 self._target.heard_since(trial.given_at)
-                and now - trial.given_at <= REPEATED_WITHIN
+                and now - trial.given_at <= MAX_REPEAT_SECONDS
             ):
-                self._judge(now, flow, trial)
-            elif now - trial.begun > TRIAL_LONGEST or self._target.heard_since(
+                self._decide(now, flow, trial)
+            elif now - trial.begun > MAX_TRIAL_SECONDS or self._target.heard_since(
                 trial.given_at
             ):
                 del self._by_flow[key]
                 self._flows.drop(key)
 
-    def _tell_askers(self, now: float, some: list[tuple[bytes, _Trial]]) -> None:
-        """Show who searches that this agent runs and has yet to answer."""
+    def _notify_askers(self, now: float, trials: list[tuple[bytes, _Trial]]) -> None:
+        """Notify askers that this agent is running and will answer later."""
         askers: dict[str, None] = {}
-        for key, trial in some:
+        for key, trial in trials:
             flow = self._flows.get(key)
-            if not trial.told and flow is not None and flow.asker:
-                self._by_flow[key] = trial._replace(told=True)
+            if not trial.asker_notified and flow is not None and flow.asker:
+                self._by_flow[key] = trial._replace(asker_notified=True)
                 askers[flow.asker] = None
         for asker in askers:
             self._pending(now, asker)
 
-    def _judge(self, now: float, flow: Flow, trial: _Trial) -> None:
-        """Claim a flow whose packet a living target has kept twice.
+    def _decide(self, now: float, flow: Flow, trial: _Trial) -> None:
+        """Claim a flow whose packet a live target has kept twice.
 
-        What goes wrong with once: the target was dead as it got the packet,
-        another one has started since, and its first sign of life passes for
-        that of a target that kept the packet.
+        Once isn't enough. If the target was dead when it was sent the packet and
+        another one has started since, the first packet of the new target would seem to
+        come from a target that kept the packet.
         """
         if trial.repeated:
             self.succeeded(now, flow)
             return
-        self._by_flow[flow.key] = trial._replace(given_at=now, repeated=True, told=True)
+        self._by_flow[flow.key] = trial._replace(
+            given_at=now, repeated=True, asker_notified=True
+        )
         self._links.to_target(trial.raw)
 
     def _may_hold_unknown(self, now: float) -> bool:
-        if self._started is None or now - self._started > LONGEST_FLOW:
+        if self._started is None or now - self._started > MAX_FLOW_SECONDS:
             return False
         return self._target.may_be_older
--- a/packages/zinniahook-core/tests/test_packet_long_flows.py
+++ b/packages/zinniahook-core/tests/test_packet_long_flows.py
@@ -1,9 +1,9 @@
-"""Where long flows stand a minute after targets were lost, replaced or all started.
+"""Balance of long flows a minute after targets are lost, replaced or all started.
 
-Ten targets of three slots, half busy. Feeds pause for 4 s and ask six times in a
-flow, edits pause for 1.5 s and ask twelve times; four homes place by statuses that
-are 0.2 s old. What counts is busiest/mean of the work that the open flows will
-bring, as their users know it, over the last ten of sixty seconds.
+Ten targets of three slots, half busy. Feeds pause for 4 s and send six requests in a
+flow, edits pause for 1.5 s and send twelve. Four homes place by statuses that are 0.2 s
+old. The result is busiest/mean of the work that the open flows will bring, as their
+users know it, over the last ten of sixty seconds.
 """
 
 import heapq
@@ -13,13 +13,13 @@
 
 import pytest
 from zinniahook_core.packets import State
-from zinniahook_core.packets.flows import Flow, Flows, Standing
+from zinniahook_core.packets.flows import Flow, Flows, FlowState
+from zinniahook_core.packets.forecasts import Forecast
+from zinniahook_core.packets.inquiries import CHOICES
 from zinniahook_core.packets.member import Member
 from zinniahook_core.packets.placement import choose
-from zinniahook_core.packets.polls import KNOWN_LOADS
 from zinniahook_core.packets.sections import Section
 from zinniahook_core.packets.tunnel import Status
-from zinniahook_core.packets.work import Work
 
 TARGETS, SLOTS, HOMES = 10, 3, 4
 WORK, COLD_WORK, COLD = 0.1, 0.16, 2.0
@@ -30,13 +30,13 @@
 
 
 class Target:
-    """A target, and what its agent knows."""
+    """A target and its agent's state."""
 
     def __init__(self, number, now):
         self.address = f"10.0.0.{number}"
         self.free_at = [now] * SLOTS
         self.flows = Flows()
-        self.work = Work(self.flows)
+        self.work = Forecast(self.flows)
         self.warm_at = now + COLD
 
     def serve(self, now):
@@ -50,12 +50,12 @@
 class Fleet:
     """Targets, homes and users on one heap of events."""
 
-    def __init__(self, seed, by_work):
-        self.now, self.by_work = 0.0, by_work
+    def __init__(self, seed, by_forecast):
+        self.now, self.by_forecast = 0.0, by_forecast
         self.rng = random.Random(seed)
         self.ids = itertools.count(1)
         self.events = []
-        self.standing = {}
+        self.target_by_flow = {}
         self.waits = []
         self.targets = [Target(number, -COLD) for number in range(TARGETS)]
         self.homes = [
@@ -101,7 +101,7 @@
             len(target.flows),
             max(0.0, target.warm_at - self.now),
             WORK,
-            sections if self.by_work else {},
+            sections if self.by_forecast else {},
         )
         home[target.address].update(status, self.now)
 
@@ -112,16 +112,16 @@
         for target in asked:
             self.tell(target, home)
         members = [home[target.address] for target in asked]
-        later = self.rng.choice(living).work.later(route) if self.by_work else None
+        later = self.rng.choice(living).work.later(route) if self.by_forecast else None
         chosen = choose(members, 1, 0.1, self.rng, later)
         target = next(t for t in living if t.address == chosen.address)
         key = next(self.ids).to_bytes(6, "big") + route
-        flow = target.flows.add(Flow(key, Standing.OPEN, self.now, ""))
-        self.standing[key] = target
+        flow = target.flows.add(Flow(key, FlowState.OPEN, self.now, ""))
+        self.target_by_flow[key] = target
         self.ask(flow, target)
 
     def ask(self, flow, target):
-        if self.standing.get(flow.key) is not target:
+        if self.target_by_flow.get(flow.key) is not target:
             return
         target.flows.asked(self.now, flow)
         done = target.serve(self.now)
@@ -129,25 +129,25 @@
         self.at(done - self.now, self.answered, flow, target)
 
     def answered(self, flow, target):
-        if self.standing.get(flow.key) is not target:
+        if self.target_by_flow.get(flow.key) is not target:
             return
         target.flows.answered(self.now, flow)
         route = flow.key[6:]
         pause, asks = PAUSES[route]
-        rest = self.rng.expovariate(1 / pause)
+        pause_left = self.rng.expovariate(1 / pause)
         if self.rng.random() < 1 / asks:
             target.flows.drop(flow.key)
-            del self.standing[flow.key]
-            self.at(rest, self.open, route)
+            del self.target_by_flow[flow.key]
+            self.at(pause_left, self.open, route)
         else:
-            self.at(rest, self.ask, flow, target)
+            self.at(pause_left, self.ask, flow, target)
 
     def lose(self, number):
-        """End a target; its users come back within a tenth of a second."""
+        """End a target; its users return within a tenth of a second."""
         target, self.targets[number] = self.targets[number], None
-        for key, owner in list(self.standing.items()):
+        for key, owner in list(self.target_by_flow.items()):
             if owner is target:
-                del self.standing[key]
+                del self.target_by_flow[key]
                 self.at(0.1 * self.rng.random(), self.open, key[6:])
 
     def start(self, number):
@@ -158,9 +158,9 @@
             home[address].warming = COLD
 
     def imbalance(self):
-        """Return busiest/mean of the work that is to come."""
+        """Return busiest/mean of the expected work."""
         loads = dict.fromkeys((t.address for t in self.targets), 0.0)
-        for key, target in self.standing.items():
+        for key, target in self.target_by_flow.items():
             loads[target.address] += WORK / (PAUSES[key[6:]][0] + WORK)
         return max(loads.values()) / statistics.fmean(loads.values())
 
@@ -190,12 +190,15 @@
         fleet.start(number)
 
 
-def played(scene, by_work):
-    """Return the imbalance a minute after, and the 99th wait of the first 10 s."""
+def simulate(scenario, by_forecast):
+    """Return the imbalance after a minute, and the 99th percentile of early waits.
+
+    The waits are those of the first 10 s.
+    """
     ratios, waits = [], []
     for seed in SEEDS:
-        fleet = Fleet(seed, by_work)
-        scene(fleet)
+        fleet = Fleet(seed, by_forecast)
+        scenario(fleet)
         began = fleet.now
         fleet.run(50.0)
         samples = []
@@ -209,17 +212,16 @@
 
 
 class TestBalanceOfLongFlows:
-    """Symptom: a minute after a loss one target has a third more work than the mean.
+    """A minute after a loss, no target may have a third more work than the mean.
 
-    Sequence: flows come back within a second, homes send each to the target that
-    looks idle, and the flows stay there. Cause: openings were placed by the load of
-    their own moment.
+    Flows return within a second, and homes send each to the target that looks idle,
+    where the flows stay. This happens if openings are placed by the present load alone.
     """
 
-    @pytest.mark.parametrize("scene", [loss, release, start])
-    def test_a_minute_after(self, scene):
-        before, waits_before = played(scene, by_work=False)
-        after, waits = played(scene, by_work=True)
+    @pytest.mark.parametrize("scenario", [loss, release, start])
+    def test_a_minute_after(self, scenario):
+        before, waits_before = simulate(scenario, by_forecast=False)
+        after, waits = simulate(scenario, by_forecast=True)
         assert statistics.fmean(after) < 1.10
         assert statistics.fmean(after) < statistics.fmean(before) - 0.04
         assert statistics.fmean(waits) < statistics.fmean(waits_before) + 0.05
--- a/packages/zinniahook-core/tests/test_packet_pace.py
+++ b/packages/zinniahook-core/tests/test_packet_pace.py
@@ -1,8 +1,8 @@
-"""How many openings a cold target may get in a second."""
+"""Limit on the openings that a cold target gets in a second."""
 
 import random
 
-from zinniahook_core.packets.pace import WINDOW, ColdLimit, Pace
+from zinniahook_core.packets.pacing import WINDOW_SECONDS, ColdLimit, Pacer
 
 LIMIT = ColdLimit(1.5, 5)
 RATE = 4.0
@@ -15,34 +15,34 @@
 
 class TestPace:
     def test_any_second_holds_what_is_allowed(self):
-        rng, pace, offered, now = random.Random(3), Pace(LIMIT), [], 0.0
+        rng, pace, offered, now = random.Random(3), Pacer(LIMIT), [], 0.0
         for _ in range(3000):
             now += rng.expovariate(60.0)
             if pace.allows(now, RATE):
                 pace.offered(now)
                 offered.append(now)
         assert most_in_a_second(offered) == MOST
-        assert len(offered) > 0.8 * MOST * now / WINDOW
+        assert len(offered) > 0.8 * MOST * now / WINDOW_SECONDS
 
-    def test_a_service_that_tells_no_rate_has_no_limit(self):
-        pace = Pace(LIMIT)
+    def test_a_service_without_a_rate_has_no_limit(self):
+        pace = Pacer(LIMIT)
         for number in range(100):
             pace.offered(number / 1000)
         assert pace.allows(0.2, 0.0)
 
-    def test_operators_that_tell_no_limit_have_none(self):
-        pace = Pace()
+    def test_without_a_configured_limit_there_is_none(self):
+        pace = Pacer()
         for number in range(100):
             pace.offered(number / 1000)
         assert pace.allows(0.2, RATE)
 
-    def test_a_process_that_starts_waits_for_a_second(self):
-        """Symptom: a cold target gets twice what it bears.
+    def test_a_new_process_waits_for_one_window(self):
+        """A cold target must not get twice what it can serve.
 
-        Sequence: its agent lets pass what a second holds, is killed and starts
-        again. Cause: the new process counts from nothing.
+        Its agent passes what a second allows, is killed and starts again. The new
+        process must not count from zero immediately.
         """
-        pace = Pace(LIMIT)
+        pace = Pacer(LIMIT)
         pace.start(10.0)
-        assert not pace.allows(10.0 + WINDOW / 2, RATE)
-        assert pace.allows(10.0 + WINDOW, RATE)
+        assert not pace.allows(10.0 + WINDOW_SECONDS / 2, RATE)
+        assert pace.allows(10.0 + WINDOW_SECONDS, RATE)
--- a/packages/zinniahook-daemon/tests/test_packet_roles.py
+++ b/packages/zinniahook-daemon/tests/test_packet_roles.py
@@ -7,11 +7,7 @@
 from zinniahook_core.models import Address
 from zinniahook_core.packets import Heartbeat, State
 from zinniahook_daemon.packets.journal import Journal
-from zinniahook_daemon.packets.ports import (
-    Announced,
-    Settings,
-    StoreUnavailableError,
-)
+from zinniahook_daemon.packets.ports import Announced, Settings, StoreUnavailableError
 from zinniahook_daemon.packets.roles import AgentDaemon
 
 HOST = "127.0.0.1"
@@ -64,7 +60,7 @@
         address = Address(*listener.getsockname())
         listener.close()
         daemon = agent(address)
-        daemon.core.target.beat(0.0, Heartbeat("t-1", "tally", 4, False, 0.0, 3))
+        daemon.core.target.heartbeat(0.0, Heartbeat("t-1", "tally", 4, False, 0.0, 3))
         assert looked(daemon) is State.READY
 
 
