--- a/packages/zinniahook-daemon/src/zinniahook_daemon/agents.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/agents.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from zinniahook_core import effects as todo
+from zinniahook_core import effects
 from zinniahook_core.agents import AgentCore
 from zinniahook_core.codes import Code, Outcome, OutcomeKind
 from zinniahook_core.effects import AgentEffect
@@ -43,17 +43,17 @@
 
 __all__ = ["Agent", "serve"]
 
-TICK = 0.1
-PROBE = 1.0
+TICK_SECONDS = 0.1
+PROBE_INTERVAL_SECONDS = 1.0
 """Seconds between questions to the target's own health endpoint."""
 
-KEEP_ALIVE = 1.0
+KEEP_ALIVE_INTERVAL_SECONDS = 1.0
 """Seconds between looks for silent connections."""
 
-FINAL_GO_AWAY = 1.0
+FINAL_GO_AWAY_SECONDS = 1.0
 """Seconds from the GOAWAY that asks to the one that rejects."""
 
-CLOSING = 0.2
+CLOSING_SECONDS = 0.2
 """Seconds left to the last datagrams before the process ends."""
 
 Handler = Callable[["Agent", Any], None]
@@ -125,17 +125,17 @@
         self.traffic = Traffic(self)
         self._tasks: set[asyncio.Task[Any]] = set()
         self._events: deque[AgentEvent] = deque()
-        self._feeding = False
-        self._probing = False
+        self._is_feeding = False
+        self._is_probing = False
         node.on_configuration(self._configure)
         node.on_roster(self._learn_roster)
         node.on_relay(self._serve_relay)
         node.on_drain(self.drain)
         node.on_status(self._status)
         node.on_reload(self.traffic.reload)
-        node.every(TICK, self._tick)
-        node.every(PROBE, self._probe_soon)
-        node.every(KEEP_ALIVE, self.traffic.keep_alive)
+        node.every(TICK_SECONDS, self._tick)
+        node.every(PROBE_INTERVAL_SECONDS, self._start_probe)
+        node.every(KEEP_ALIVE_INTERVAL_SECONDS, self.traffic.keep_alive)
 
     # Events and effects
 
@@ -146,14 +146,14 @@
         the core never sees an order that didn't happen.
         """
         self._events.append(event)
-        if self._feeding:
+        if self._is_feeding:
             return
-        self._feeding = True
+        self._is_feeding = True
         try:
             while self._events:
                 self._decide(self._events.popleft())
         finally:
-            self._feeding = False
+            self._is_feeding = False
 
     def _decide(self, event: AgentEvent) -> None:
         try:
@@ -179,13 +179,13 @@
         self.leaving = True
         self.traffic.go_away(final=False)
         loop = asyncio.get_running_loop()
-        loop.call_later(FINAL_GO_AWAY, self.traffic.go_away, True)
+        loop.call_later(FINAL_GO_AWAY_SECONDS, self.traffic.go_away, True)
 
     async def close(self) -> None:
         """End what is left."""
         self.traffic.close()
         self.runs.cancel_all()
-        await asyncio.sleep(CLOSING)
+        await asyncio.sleep(CLOSING_SECONDS)
         self.runs.relays.close()
 
     def _execute(self, effect: AgentEffect) -> None:
@@ -198,7 +198,7 @@
     def _tick(self) -> None:
         self.feed(Tick())
         if self.core.state is AgentState.STARTING:
-            self._probe_soon()
+            self._start_probe()
         if self.leaving:
             self.traffic.close_idle()
 
@@ -218,7 +218,7 @@
         self.feed(RosterChanged(roster))
         self.roster = self.core.roster
         members = self.roster.by_name.values()
-        self.traffic.leave(
+        self.traffic.notify_leaving(
             {one.name for one in members if one.state is AgentState.LEAVING}
         )
         self.runs.relays.keep(
@@ -229,18 +229,18 @@
             }
         )
 
-    def _probe_soon(self) -> None:
-        if not self._probing:
-            self._probing = True
+    def _start_probe(self) -> None:
+        if not self._is_probing:
+            self._is_probing = True
             self.spawn(self._probe())
 
     async def _probe(self) -> None:
         try:
-            await self._ask_target()
+            await self._probe_target()
         finally:
-            self._probing = False
+            self._is_probing = False
 
-    async def _ask_target(self) -> None:
+    async def _probe_target(self) -> None:
         if self.service.protocol is Protocol.UDP:
             # A plain UDP target has no endpoint that could be asked.
             self.feed(TargetReported(not self.traffic.flows.refused, None, True))
@@ -265,8 +265,8 @@
 
     # The life of the agent
 
-    @_executes(todo.Restart)
-    def _restart(self, effect: todo.Restart) -> None:
+    @_executes(effects.Restart)
+    def _restart(self, effect: effects.Restart) -> None:
         # Peers may have taken over what this agent owned while it was paused.
         # Nothing from before may reach the core: exchanges are forgotten
         # first, so that the ends of their tasks and connections are not news.
@@ -277,36 +277,36 @@
             kind = OutcomeKind.UNKNOWN if exchange.started else OutcomeKind.NOT_RUN
             exchange.refuse(Outcome(kind, Code.FENCED, 1.0))
 
-    @_executes(todo.Drained)
-    def _end(self, effect: todo.Drained) -> None:
+    @_executes(effects.Drained)
+    def _finish_drain(self, effect: effects.Drained) -> None:
         self.drained.set()
 
-    @_executes(todo.WriteRoster)
-    def _write_roster(self, effect: todo.WriteRoster) -> None:
+    @_executes(effects.WriteRoster)
+    def _write_roster(self, effect: effects.WriteRoster) -> None:
         self.spawn(self._write(effect))
 
-    async def _write(self, effect: todo.WriteRoster) -> None:
+    async def _write(self, effect: effects.WriteRoster) -> None:
         self.feed(await self.node.write_roster(effect))
 
-    @_executes(todo.ReadRoster)
-    def _read_roster(self, effect: todo.ReadRoster) -> None:
+    @_executes(effects.ReadRoster)
+    def _read_roster(self, effect: effects.ReadRoster) -> None:
         self.spawn(self._read(effect))
 
-    async def _read(self, effect: todo.ReadRoster) -> None:
+    async def _read(self, effect: effects.ReadRoster) -> None:
         roster = await self.node.read_roster(effect.service)
         if roster is not None:
             self._learn_roster(roster)
 
-    @_executes(todo.Count)
-    def _count(self, effect: todo.Count) -> None:
+    @_executes(effects.Count)
+    def _count(self, effect: effects.Count) -> None:
         self.node.count(effect.name, effect.amount)
 
-    @_executes(todo.Log)
-    def _log(self, effect: todo.Log) -> None:
+    @_executes(effects.Log)
+    def _log(self, effect: effects.Log) -> None:
         self.node.log(effect.event, **dict(effect.fields))
 
-    @_executes(todo.Drop)
-    def _drop(self, effect: todo.Drop) -> None:
+    @_executes(effects.Drop)
+    def _drop(self, effect: effects.Drop) -> None:
         self.node.count("agent.dropped", code=effect.code.name)
 
     def closed(self, flow: bytes) -> None:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/connections.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/connections.py
@@ -20,12 +20,12 @@
 
 __all__ = ["Connections"]
 
-KEEP_ALIVE = 10.0
+KEEP_ALIVE_SECONDS = 10.0
 """Seconds of silence after which an open request makes the agent PING."""
 
-HANDSHAKE_TIMEOUT = 10.0
+HANDSHAKE_TIMEOUT_SECONDS = 10.0
 
-HANDSHAKES = 512
+MAX_HANDSHAKES = 512
 """Connections that may be in their handshake at a time."""
 
 
@@ -40,7 +40,7 @@
         Draws a connection id that names this agent.
     send : callable
         Sends a datagram of a connection to a caller's address.
-    begin : callable
+    make_session : callable
         Makes the session of a new connection.
     closed : callable
         Told of each connection that has ended.
@@ -57,7 +57,7 @@
         configuration: QuicConfiguration,
         issue: Callable[[], bytes],
         send: Callable[[ServerConnection, bytes, Address], None],
-        begin: Callable[[ServerConnection], Session],
+        make_session: Callable[[ServerConnection], Session],
         closed: Callable[[ServerConnection], None],
         unanswered: Callable[[ServerConnection], None],
     ) -> None:
@@ -67,7 +67,7 @@
         self.failures = 0
         self._issue_id = issue
         self._send = send
-        self._begin = begin
+        self._make_session = make_session
         self._closed = closed
         self._unanswered = unanswered
         self._loop = asyncio.get_running_loop()
@@ -105,14 +105,14 @@
         ServerConnection or None
             None if too many are in their handshake.
         """
-        if len(self._handshaking) >= HANDSHAKES:
+        if len(self._handshaking) >= MAX_HANDSHAKES:
             return None
         connection = ServerConnection(
             self.configuration, flow, self._issue, original, retry_source
         )
         connection.number = next(self._numbers)
         connection.opened_at = self._loop.time()
-        connection.session = self._begin(connection)
+        connection.session = self._make_session(connection)
         self.by_number[connection.number] = connection
         self._handshaking[connection.number] = connection
         # Until the handshake is over the caller may still use the id it drew.
@@ -133,7 +133,7 @@
         if not connection.is_switched:
             connection.entry = entry
         connection.caller = caller
-        connection.heard_at = now
+        connection.received_at = now
         try:
             connection.receive_datagram(payload, caller, now)
             self._deliver(connection)
@@ -174,13 +174,16 @@
         """
         now = self._loop.time()
         for connection in list(self._handshaking.values()):
-            if now - connection.opened_at > HANDSHAKE_TIMEOUT:
+            if now - connection.opened_at > HANDSHAKE_TIMEOUT_SECONDS:
                 self.drop(connection)
         for connection in self:
             if connection.handshaking:
                 continue
             connection.session.expire(now)
-            if now - connection.heard_at > KEEP_ALIVE and connection.session.busy:
+            if (
+                now - connection.received_at > KEEP_ALIVE_SECONDS
+                and connection.session.busy
+            ):
                 connection.send_ping(0)
                 self.touch(connection)
 
@@ -205,7 +208,7 @@
             if event is None:
                 return
             if isinstance(event, HandshakeCompleted):
-                self._settle(connection)
+                self._finish_handshake(connection)
             elif isinstance(event, ConnectionIdRetired):
                 self.by_id.pop(event.connection_id, None)
                 continue
@@ -213,7 +216,7 @@
                 continue
             connection.session.handle(event)
 
-    def _settle(self, connection: ServerConnection) -> None:
+    def _finish_handshake(self, connection: ServerConnection) -> None:
         connection.release_handshake()
         self._handshaking.pop(connection.number, None)
         if self.by_id.get(connection.flow) is connection:
@@ -243,13 +246,15 @@
 
     def _schedule(self, connection: ServerConnection) -> None:
         at = connection.get_timer()
-        if at is None or (connection.wake_at is not None and connection.wake_at <= at):
+        if at is None or (
+            connection.timer_at is not None and connection.timer_at <= at
+        ):
             return
-        connection.wake_at = at
+        connection.timer_at = at
         heapq.heappush(self._timers, (at, connection.number))
-        self._arm()
+        self._set_timer()
 
-    def _arm(self) -> None:
+    def _set_timer(self) -> None:
         if not self._timers:
             return
         at = self._timers[0][0]
@@ -257,7 +262,7 @@
             if self._timer.when() <= at:
                 return
             self._timer.cancel()
-        self._timer = self._loop.call_at(at, self._wake)
+        self._timer = self._loop.call_at(at, self._run_timers)
 
     def _time_out(self, connection: ServerConnection, now: float) -> None:
         before = connection.probes
@@ -267,18 +272,18 @@
             self._unanswered(connection)
         self.touch(connection)
 
-    def _wake(self) -> None:
+    def _run_timers(self) -> None:
         self._timer = None
         now = self._loop.time()
         while self._timers and self._timers[0][0] <= now:
             at, number = heapq.heappop(self._timers)
             connection = self.by_number.get(number)
             # An earlier timer has taken the place of this one.
-            if connection is None or connection.wake_at != at:
+            if connection is None or connection.timer_at != at:
                 continue
-            connection.wake_at = None
+            connection.timer_at = None
             if connection.get_timer() <= now:
                 self._time_out(connection, now)
             else:
                 self._schedule(connection)
-        self._arm()
+        self._set_timer()
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/entries.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/entries.py
@@ -32,20 +32,20 @@
 
 from .control import StatusFields
 from .node import Node
-from .sockets import BATCH, LARGEST, UdpSocket
+from .sockets import MAX_DATAGRAM_BYTES, MAX_READS_PER_WAKEUP, UdpSocket
 
 __all__ = ["Entry", "serve"]
 
 TO_AGENT = TunnelKind.TO_AGENT
 TO_CALLER = TunnelKind.TO_CALLER
 
-TICK = 0.1
+TICK_SECONDS = 0.1
 """Seconds between the ticks of the core."""
 
-BIND_RETRY = 5.0
+BIND_RETRY_SECONDS = 5.0
 """Seconds between attempts to bind an address that was taken."""
 
-LONGEST_PAYLOAD = 65_507 - OVERHEAD
+MAX_PAYLOAD_BYTES = 65_507 - OVERHEAD
 """Longest datagram taken from a caller, in bytes: what fits into the tunnel."""
 
 
@@ -87,16 +87,16 @@
     def _read(self) -> None:
         """Read what has come in, packets of open connections by a shortcut."""
         entry = self._entry
-        room = entry.payload_room
+        buffer = entry.payload_buffer
         receive_into = self._socket.recvfrom_into
-        shortcut = bool(self.prefix)
+        is_quic = bool(self.prefix)
         with contextlib.suppress(OSError):
-            for _ in range(BATCH):
-                size, source = receive_into(room)
-                if shortcut and size >= SHORT_HEADER and room[0] < LONG_HEADER:
+            for _ in range(MAX_READS_PER_WAKEUP):
+                size, source = receive_into(buffer)
+                if is_quic and size >= SHORT_HEADER and buffer[0] < LONG_HEADER:
                     entry.forward_established(self, size, source)
                 else:
-                    entry.forward(self, bytes(room[:size]), source)
+                    entry.forward(self, bytes(buffer[:size]), source)
 
 
 class Entry:
@@ -113,21 +113,21 @@
         self._core = EntryCore(random.Random(), node.roster)
         self._counters = node.metrics.counters_by_name
         self._sockets_by_number: dict[int, ServiceSocket] = {}
-        self._refused: set[int] = set()
+        self._unbound: set[int] = set()
         self._send = node.tunnel_sender
         self._tunnel: Tunnel
         self._generation = 0
         self._forwarded = 0
         # One datagram at a time: it is read behind the room for its tunnel
         # header, and sent from there without being copied.
-        self._room = memoryview(bytearray(OVERHEAD + LARGEST))
-        self.payload_room = self._room[OVERHEAD:]
+        self._buffer = memoryview(bytearray(OVERHEAD + MAX_DATAGRAM_BYTES))
+        self.payload_buffer = self._buffer[OVERHEAD:]
         node.on_tunnel(self._answer)
         node.on_configuration(self._configure)
         node.on_roster(self._learn_roster)
         node.on_status(self._status)
-        node.every(TICK, self._tick)
-        node.every(BIND_RETRY, self._retry_binding)
+        node.every(TICK_SECONDS, self._tick)
+        node.every(BIND_RETRY_SECONDS, self._retry_binding)
 
     def addresses(self) -> dict[str, str]:
         """Return the bound address of each service by its name."""
@@ -138,7 +138,7 @@
 
     def forward(self, socket: ServiceSocket, payload: bytes, source: tuple) -> None:
         """Route a caller's datagram; the packet path."""
-        if len(payload) > LONGEST_PAYLOAD:
+        if len(payload) > MAX_PAYLOAD_BYTES:
             self._drop(Code.DATAGRAM_TOO_LONG)
             return
         caller = make_address(source[:2])
@@ -157,16 +157,16 @@
         self, socket: ServiceSocket, size: int, source: tuple
     ) -> None:
         """Route a short-header packet that stands in the payload room."""
-        if size > LONGEST_PAYLOAD:
+        if size > MAX_PAYLOAD_BYTES:
             self._drop(Code.DATAGRAM_TOO_LONG)
             return
-        connection_id = self.payload_room[1:SHORT_HEADER].tobytes()
+        connection_id = self.payload_buffer[1:SHORT_HEADER].tobytes()
         agent = self._core.route_established(socket.service, connection_id)
         if isinstance(agent, Code):
             self._drop(agent)
             return
-        self._room[:OVERHEAD] = self._tunnel.wrapper(socket.prefix, source[:2])
-        self._to_agent(self._room[: OVERHEAD + size], agent)
+        self._buffer[:OVERHEAD] = self._tunnel.wrapper(socket.prefix, source[:2])
+        self._to_agent(self._buffer[: OVERHEAD + size], agent)
 
     def _to_agent(self, data: bytes | memoryview, agent: Address) -> None:
         if self._send(data, agent):
@@ -242,7 +242,7 @@
             else:
                 socket.service = service
                 socket.prefix = self.prefix(service)
-        self._refused &= set(services_by_number)
+        self._unbound &= set(services_by_number)
         for number, service in services_by_number.items():
             if number not in self._sockets_by_number:
                 self._bind(service)
@@ -256,25 +256,25 @@
         try:
             socket = ServiceSocket(self, service, self._bind_address(service))
         except OSError as error:
-            if service.number not in self._refused:
+            if service.number not in self._unbound:
                 self._node.log(
                     "service-not-bound",
                     service=service.name,
                     address=str(self._bind_address(service)),
                     reason=error.strerror or str(error),
                 )
-            self._refused.add(service.number)
+            self._unbound.add(service.number)
             self._node.count("entry.not_bound")
             return
-        self._refused.discard(service.number)
+        self._unbound.discard(service.number)
         self._sockets_by_number[service.number] = socket
 
     def _retry_binding(self) -> None:
         configuration = self._node.configuration
-        if not self._refused or configuration is None:
+        if not self._unbound or configuration is None:
             return
         for service in configuration.services_by_name.values():
-            if service.number in self._refused:
+            if service.number in self._unbound:
                 self._bind(service)
 
     def _learn_roster(self, roster: Roster) -> None:
@@ -298,8 +298,8 @@
     def _status(self) -> StatusFields:
         """Return what `Control.Status` adds for an entry."""
         reasons = []
-        if self._refused:
-            reasons.append(f"{len(self._refused)} service addresses not bound")
+        if self._unbound:
+            reasons.append(f"{len(self._unbound)} service addresses not bound")
         for socket in self._sockets_by_number.values():
             name = socket.service.name
             if suspended := self._core.suspended(name):
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/exchanges.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/exchanges.py
@@ -27,7 +27,7 @@
     "Exchange",
     "Head",
     "Headers",
-    "answer_of",
+    "outcome_answer",
     "classify",
     "decode_answer",
     "encode_answer",
@@ -35,10 +35,10 @@
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-KEPT_ANSWER = 32 * 1024
+MAX_KEPT_ANSWER_BYTES = 32 * 1024
 """Bytes of body up to which an answer is kept for a second copy."""
 
-KEY_LENGTH = 128
+MAX_KEY_BYTES = 128
 """Longest Idempotency-Key."""
 
 BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
@@ -123,7 +123,7 @@
     return Answer(head.status, headers, data[4 + size :])
 
 
-def answer_of(outcome: Outcome) -> Answer:
+def outcome_answer(outcome: Outcome) -> Answer:
     """Return the answer that tells a caller of an outcome."""
     status = STATUS_BY_CODE.get(outcome.code) or STATUS_BY_KIND[outcome.kind]
     headers = [
@@ -167,7 +167,7 @@
         self.taken = 0
         self.ended = False
         self.aborted = False
-        self._taken = taken
+        self._on_taken = taken
         self._pieces: deque[bytes] = deque()
         self._more: asyncio.Future[None] | None = None
 
@@ -197,7 +197,7 @@
                 piece = self._pieces.popleft()
                 self.taken += len(piece)
                 yield piece
-                self._taken(len(piece))
+                self._on_taken(len(piece))
             if self.aborted:
                 raise BodyAborted
             if self.ended:
@@ -283,7 +283,7 @@
         if self._kept is not None:
             # Also when the caller is gone: it may come back for its answer.
             self._kept += data
-            if len(self._kept) > KEPT_ANSWER:
+            if len(self._kept) > MAX_KEPT_ANSWER_BYTES:
                 self._kept = None
         if self.finished or not data:
             return None
@@ -314,7 +314,7 @@
             self.fail()
             return
         self._kept = None
-        self.replay(answer_of(outcome))
+        self.replay(outcome_answer(outcome))
 
     # How the answer goes out, and how the body comes in
 
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/heads.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/heads.py
@@ -7,11 +7,11 @@
 
 from zinniahook_core.codes import Code
 
-from .exchanges import KEY_LENGTH, Head
+from .exchanges import MAX_KEY_BYTES, Head
 
-__all__ = ["BODY_SIZE", "fault", "read_head"]
+__all__ = ["MAX_BODY_BYTES", "refusal_code", "read_head"]
 
-BODY_SIZE = 1 << 30
+MAX_BODY_BYTES = 1 << 30
 """Largest body of a request, in bytes."""
 
 METHOD = re.compile(r"[A-Z]{1,32}")
@@ -43,10 +43,10 @@
     return Head(method, path, headers)
 
 
-def fault(head: Head) -> Code | None:
+def refusal_code(head: Head) -> Code | None:
     """Return why a request is refused for its form, if it is."""
-    if len(head.get(b"idempotency-key")) > KEY_LENGTH:
+    if len(head.get(b"idempotency-key")) > MAX_KEY_BYTES:
         return Code.KEY_TOO_LONG
-    if (head.number(b"content-length") or 0) > BODY_SIZE:
+    if (head.number(b"content-length") or 0) > MAX_BODY_BYTES:
         return Code.BODY_TOO_LARGE
     return None
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/http3.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/http3.py
@@ -25,31 +25,31 @@
 )
 from zinniahook_core.codes import Code, Outcome, OutcomeKind
 
-from .exchanges import BODY_METHODS, Exchange, Head, Headers, answer_of
-from .heads import BODY_SIZE, fault, read_head
+from .exchanges import BODY_METHODS, Exchange, Head, Headers, outcome_answer
+from .heads import MAX_BODY_BYTES, read_head, refusal_code
 from .quic import ServerConnection
 
-__all__ = ["CallerExchange", "Http3Session", "Owner"]
+__all__ = ["CallerExchange", "Http3Session", "RequestHandler"]
 
-HEADER_SIZE = 16 * 1024
+MAX_HEADER_BYTES = 16 * 1024
 """Largest header block of a request, in bytes as sent."""
 
-HIGH_WATER = 256 * 1024
+HIGH_WATER_BYTES = 256 * 1024
 """Unacknowledged bytes of an answer at which its source has to wait."""
 
-LOW_WATER = HIGH_WATER // 2
+LOW_WATER_BYTES = HIGH_WATER_BYTES // 2
 
-BODY_AHEAD = 64 * 1024
+READY_BODY_BYTES = 64 * 1024
 """Bytes of a body up to which a request waits for the whole of it."""
 
-BODY_TIMEOUT = 60.0
+BODY_TIMEOUT_SECONDS = 60.0
 """Seconds that a caller has to send that much."""
 
-LAST_STREAM = (1 << 62) - 4
+LAST_STREAM_ID = (1 << 62) - 4
 """Largest id of a request stream: a GOAWAY that rejects nothing yet."""
 
 
-class Owner(Protocol):
+class RequestHandler(Protocol):
     """What a session needs of its agent."""
 
     def classify(self, path: str) -> str:
@@ -124,7 +124,7 @@
         """
         if self.head.method not in BODY_METHODS or self.head.get(b"expect"):
             return True
-        return self.body.ended or self.body.size >= BODY_AHEAD
+        return self.body.ended or self.body.size >= READY_BODY_BYTES
 
     def send_head(self, status: int, headers: Headers) -> None:
         """Send the head of the answer."""
@@ -134,7 +134,7 @@
     def send_piece(self, data: bytes) -> asyncio.Future[None] | None:
         """Send a piece; return a future if the caller is behind."""
         self.session.send_data(self.stream_id, data, end=False)
-        if self.session.connection.unsent(self.stream_id) < HIGH_WATER:
+        if self.session.connection.unsent(self.stream_id) < HIGH_WATER_BYTES:
             return None
         self.drained = asyncio.get_running_loop().create_future()
         self.session.waiting[self.stream_id] = self
@@ -168,7 +168,7 @@
     ----------
     connection : ServerConnection
         What they arrive on.
-    owner : Owner
+    handler : RequestHandler
         The agent.
     touch : callable
         Called after something was given to the connection to send.
@@ -177,21 +177,21 @@
     def __init__(
         self,
         connection: ServerConnection,
-        owner: Owner,
+        handler: RequestHandler,
         touch: Callable[[ServerConnection], None],
     ) -> None:
         self.connection = connection
         self.by_stream: dict[int, CallerExchange] = {}
         self.waiting: dict[int, CallerExchange] = {}
         self.gone = False
-        self._asked = False
-        self._owed: bool | None = None
-        self._owner = owner
+        self._has_asked = False
+        self._pending_go_away: bool | None = None
+        self._handler = handler
         self._touch = touch
         self._http: _Http3 | None = None
-        self._rejected_from = LAST_STREAM + 4
+        self._rejected_from = LAST_STREAM_ID + 4
         self._next_stream = 0
-        self._deaf: set[int] = set()
+        self._ignored_streams: set[int] = set()
 
     @property
     def busy(self) -> bool:
@@ -202,8 +202,8 @@
         """Take an event of the connection."""
         if isinstance(event, HandshakeCompleted):
             self._http = _Http3(self.connection)
-            if self._owed is not None:
-                self.go_away(self._owed)
+            if self._pending_go_away is not None:
+                self.go_away(self._pending_go_away)
             return
         if self._http is None:
             return
@@ -215,16 +215,16 @@
     def flushed(self) -> None:
         """Let sources go on whose callers have caught up."""
         for stream_id, exchange in list(self.waiting.items()):
-            if self.connection.unsent(stream_id) <= LOW_WATER:
+            if self.connection.unsent(stream_id) <= LOW_WATER_BYTES:
                 del self.waiting[stream_id]
                 exchange.release()
 
     def expire(self, now: float) -> None:
         """Refuse requests whose bodies don't come."""
         for exchange in list(self.by_stream.values()):
-            late = now - exchange.arrived_at > BODY_TIMEOUT
+            late = now - exchange.arrived_at > BODY_TIMEOUT_SECONDS
             if late and not exchange.is_announced:
-                self._owner.refused(Code.DEADLINE_EXPIRED)
+                self._handler.refused(Code.DEADLINE_EXPIRED)
                 exchange.refuse(Outcome(OutcomeKind.NOT_RUN, Code.DEADLINE_EXPIRED))
 
     def ended(self) -> None:
@@ -243,23 +243,23 @@
         if self._http is None:
             # A caller in the middle of its handshake would never hear of it,
             # and its feed would hold the leaving agent up.
-            self._owed = final
+            self._pending_go_away = final
             return
-        self._asked = True
+        self._has_asked = True
         if final:
             self.gone = True
             self._rejected_from = self._next_stream
-        self._http.go_away(self._next_stream if final else LAST_STREAM)
+        self._http.go_away(self._next_stream if final else LAST_STREAM_ID)
         self._touch(self.connection)
 
-    def leave(self, peers: Collection[str]) -> None:
+    def notify_leaving(self, peers: Collection[str]) -> None:
         """Ask the caller for a new connection if a request runs at ``peers``.
 
         What goes wrong: a peer that leaves waits for the feeds that it runs
         for callers of this agent, and those callers hear nothing of it.
         """
         running = (exchange.relayed_to for exchange in self.by_stream.values())
-        if not self._asked and any(peer in peers for peer in running):
+        if not self._has_asked and any(peer in peers for peer in running):
             self.go_away(final=False)
 
     # What exchanges send
@@ -303,20 +303,20 @@
 
     def _data(self, event: StreamDataReceived) -> None:
         stream_id = event.stream_id
-        if stream_id in self._deaf:
+        if stream_id in self._ignored_streams:
             if event.end_stream:
-                self._deaf.discard(stream_id)
+                self._ignored_streams.discard(stream_id)
             return
         if stream_is_request_response(stream_id):
             if stream_id >= self._rejected_from:
-                self._owner.refused(Code.LEAVING)
+                self._handler.refused(Code.LEAVING)
                 self._abort(stream_id, ErrorCode.H3_REQUEST_REJECTED)
                 return
             self._next_stream = max(self._next_stream, stream_id + 4)
         for http_event in self._http.handle_event(event):
             self._http_event(http_event)
         # A frame without end would be held as it grows.
-        if self._http is None or self._http.buffered(stream_id) <= HEADER_SIZE:
+        if self._http is None or self._http.buffered(stream_id) <= MAX_HEADER_BYTES:
             return
         if self._http.awaits_head(stream_id):
             self._refuse(stream_id, Code.HEADER_TOO_LARGE)
@@ -338,10 +338,10 @@
         head = read_head(event.headers)
         if head is None:
             self._abort(event.stream_id, ErrorCode.H3_MESSAGE_ERROR)
-            self._owner.refused(Code.DATAGRAM_MALFORMED)
+            self._handler.refused(Code.DATAGRAM_MALFORMED)
             return
-        kind = self._owner.classify(head.path)
-        code = fault(head)
+        kind = self._handler.classify(head.path)
+        code = refusal_code(head)
         if code is not None:
             self._refuse(event.stream_id, code)
             return
@@ -356,16 +356,16 @@
     def _announce(self, exchange: CallerExchange) -> None:
         if exchange.is_ready and not exchange.is_announced:
             exchange.is_announced = True
-            self._owner.arrived(exchange)
+            self._handler.arrived(exchange)
 
     def _body(self, event: DataReceived) -> None:
         exchange = self.by_stream.get(event.stream_id)
         if exchange is None:
             return
-        if exchange.body.size + len(event.data) > BODY_SIZE:
+        if exchange.body.size + len(event.data) > MAX_BODY_BYTES:
             exchange.refuse(Outcome(OutcomeKind.UNKNOWN, Code.BODY_TOO_LARGE))
             exchange.body.abort()
-            self._owner.cancelled(exchange)
+            self._handler.cancelled(exchange)
             return
         self.connection.unread_by_stream[event.stream_id] += len(event.data)
         exchange.body.feed(event.data, event.stream_ended)
@@ -373,7 +373,7 @@
 
     def _reset(self, event: StreamReset | StopSendingReceived) -> None:
         self._http.handle_event(event)
-        self._deaf.discard(event.stream_id)
+        self._ignored_streams.discard(event.stream_id)
         exchange = self.by_stream.get(event.stream_id)
         if exchange is None:
             return
@@ -385,11 +385,11 @@
         self.done(exchange)
         exchange.body.abort()
         if exchange.is_announced:
-            self._owner.cancelled(exchange)
+            self._handler.cancelled(exchange)
 
     def _refuse(self, stream_id: int, code: Code) -> None:
-        self._owner.refused(code)
-        answer = answer_of(Outcome(OutcomeKind.NOT_RUN, code))
+        self._handler.refused(code)
+        answer = outcome_answer(Outcome(OutcomeKind.NOT_RUN, code))
         pairs = [(b":status", b"%d" % answer.status), *answer.headers]
         self._http.send_headers(stream_id, pairs)
         self._http.send_data(stream_id, answer.body, end_stream=True)
@@ -406,4 +406,4 @@
         """Take no more of a stream's data."""
         self._http.forget(stream_id)
         if self.connection.stop_receiving(stream_id, error_code):
-            self._deaf.add(stream_id)
+            self._ignored_streams.add(stream_id)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/node.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/node.py
@@ -105,12 +105,12 @@
         try:
             self._socket = UdpSocket(self.tunnel_address, self._receive)
         except OSError as error:
-            raise _unbound("tunnel", self.tunnel_address, error) from None
+            raise _bind_error("tunnel", self.tunnel_address, error) from None
         self.tunnel_address = self._socket.address
         try:
             self.control_address = await self.control.start()
         except OSError as error:
-            raise _unbound("control", self.control_address, error) from None
+            raise _bind_error("control", self.control_address, error) from None
         self.distribution.start()
         if self.settings.role is Role.ENTRY:
             self.announcement = Announcement(self)
@@ -292,6 +292,6 @@
         return timer
 
 
-def _unbound(name: str, address: Address, error: OSError) -> ZinniahookError:
+def _bind_error(name: str, address: Address, error: OSError) -> ZinniahookError:
     reason = error.strerror or str(error)
     return ZinniahookError(f"{name}.address {address}: {reason}", Code.SETTINGS_ADDRESS)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/openings.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/openings.py
@@ -23,13 +23,13 @@
 
 __all__ = ["Opening", "Openings", "RetryTokens"]
 
-INITIAL_SIZE = 1200
+MIN_INITIAL_BYTES = 1200
 """Least size of a datagram that may open a connection."""
 
-RETRY_FROM = 64
+RETRY_HANDSHAKES = 64
 """Handshakes in progress from which a caller has to show its address first."""
 
-TOKEN_KEY_SIZE = 16
+TOKEN_KEY_BYTES = 16
 
 
 class Opening(NamedTuple):
@@ -58,7 +58,7 @@
 
     def __init__(self, key: Key) -> None:
         secret = hashlib.blake2b(
-            b"retry", key=key.secret, digest_size=TOKEN_KEY_SIZE
+            b"retry", key=key.secret, digest_size=TOKEN_KEY_BYTES
         ).digest()
         self._aead = AESGCM(secret)
 
@@ -108,7 +108,7 @@
         Opening or Code
             A code if it opens nothing, now or ever.
         """
-        if len(payload) < INITIAL_SIZE:
+        if len(payload) < MIN_INITIAL_BYTES:
             return Code.CONNECTION_ID_UNKNOWN
         try:
             buffer = Buffer(data=payload)
@@ -121,8 +121,8 @@
         if header.packet_type is not QuicPacketType.INITIAL:
             return Code.CONNECTION_ID_UNKNOWN
         if header.token:
-            return self._returned(header, caller)
-        if handshakes >= RETRY_FROM and not handed and self.tokens is not None:
+            return self._check_token(header, caller)
+        if handshakes >= RETRY_HANDSHAKES and not handed and self.tokens is not None:
             self._retry(header, caller)
             return Code.FLOW_LIMIT
         return Opening(header.destination_cid, header.destination_cid)
@@ -159,7 +159,7 @@
         )
         self._answer(answer, caller)
 
-    def _returned(self, header: QuicHeader, caller: Address) -> Opening | Code:
+    def _check_token(self, header: QuicHeader, caller: Address) -> Opening | Code:
         if self.tokens is None:
             return Code.NOT_READY
         try:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/origin.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/origin.py
@@ -31,17 +31,17 @@
 
 __all__ = ["Origin"]
 
-EVERYTHING = "/zinniahook/"
+ALL_KEYS_PREFIX = "/zinniahook/"
 """Prefix of every key; an entry watches it with one watch."""
 
-SILENCE_LIMIT = 5.0
+FIRST_READ_SECONDS = 5.0
 """Seconds that the first read of a watch may take."""
 
-HEARD_INTERVAL = 0.5
+AGE_INTERVAL_SECONDS = 0.5
 """Seconds between looks at when the watches last heard of the store."""
 
-CATCH_UP = 0.5
-CATCH_UP_LIMIT = 8.0
+MIN_CATCH_UP_SECONDS = 0.5
+MAX_CATCH_UP_SECONDS = 8.0
 """Seconds between attempts to read what a generation still lacks, doubled after
 each that fails."""
 
@@ -89,7 +89,7 @@
         """Return what to watch: for an agent little, for an entry all."""
         services = self._distribution.generations.services
         if services is None:
-            return [EVERYTHING]
+            return [ALL_KEYS_PREFIX]
         return [documents.POINTER_KEY, *map(documents.roster_key, sorted(services))]
 
     async def _note_age(
@@ -99,18 +99,18 @@
         while True:
             heard = min(watch.heard for watch in watches)
             # Before its first answer a watch says that it never heard.
-            if heard > 0 or time.monotonic() - started > SILENCE_LIMIT:
+            if heard > 0 or time.monotonic() - started > FIRST_READ_SECONDS:
                 self._distribution.heard(time.monotonic() - heard, depth=1)
             for reader in readers:
                 if reader.done():
                     reader.result()
-            await asyncio.sleep(HEARD_INTERVAL)
+            await asyncio.sleep(AGE_INTERVAL_SECONDS)
 
     async def _read(self, watch: Watch) -> None:
         async with contextlib.aclosing(watch):
             async for change in watch:
                 try:
-                    await self._take(change)
+                    await self._apply_change(change)
                 except ZinniahookError as error:
                     # One value that can't be read, or a read that failed:
                     # what is in force stays so until `_catch_up` succeeds.
@@ -124,19 +124,19 @@
         one that lags behind for hours with the store up; and a peer's newer
         generation wouldn't wake it, as it holds the pointer already.
         """
-        pause = CATCH_UP
+        pause = MIN_CATCH_UP_SECONDS
         while True:
             await asyncio.sleep(pause * random.uniform(0.5, 1.5))
-            if self._is_whole():
-                pause = CATCH_UP
+            if self._is_complete():
+                pause = MIN_CATCH_UP_SECONDS
                 continue
             try:
                 await self._complete()
             except ZinniahookError as error:
                 self._distribution.unusable(documents.POINTER_KEY, error)
-                pause = min(CATCH_UP_LIMIT, pause * 2)
+                pause = min(MAX_CATCH_UP_SECONDS, pause * 2)
 
-    def _is_whole(self) -> bool:
+    def _is_complete(self) -> bool:
         """Whether all that the pointer names is held, and what is due in force."""
         generations = self._distribution.generations
         configuration = self._distribution.configuration
@@ -145,11 +145,11 @@
             generations.missing(generation) != [] for generation in generations.named()
         )
 
-    async def _take(self, change: Change) -> None:
+    async def _apply_change(self, change: Change) -> None:
         key, value = change.key, change.value
         generations = self._distribution.generations
         if key.startswith(documents.ROSTER_PREFIX):
-            self._take_roster(change)
+            self._apply_roster(change)
         elif value is None:
             return
         elif key == documents.POINTER_KEY:
@@ -160,7 +160,7 @@
         elif key.startswith(documents.CONFIGURATION_PREFIX):
             generations.add_values({key.rpartition("/")[2]: value})
 
-    def _take_roster(self, change: Change) -> None:
+    def _apply_roster(self, change: Change) -> None:
         service = change.key.removeprefix(documents.ROSTER_PREFIX)
         if not self._distribution.wants(service):
             return
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/daemon.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/daemon.py
@@ -21,28 +21,28 @@
 from ..sockets import UdpSocket
 from . import exposition, web
 from .differences import DifferenceError
-from .documents import Documents, question
+from .documents import Documents, encode_request
 from .journal import Journal
 from .ports import Settings, Store, StoreUnavailableError
 from .watcher import Backoff, Watcher
 
 __all__ = ["Daemon"]
 
-TICK = 0.05
+TICK_SECONDS = 0.05
 """Seconds between ticks: half of the shortest time-out of the cores."""
 
-FETCH_TIMEOUT = 0.5
-FETCH_PATIENCE = 0.15
+FETCH_TIMEOUT_SECONDS = 0.5
+FETCH_INTERVAL_SECONDS = 0.15
 """Seconds until another daemon is asked for a configuration too. What goes wrong
 if all are asked: a change shows in the datagrams of a hundred peers within
 milliseconds, and each of them gives the same document."""
 
-LOOKUP_EVERY = 1.0
+LOOKUP_INTERVAL_SECONDS = 1.0
 """Seconds between two reads of a service's agents while packets for it come
 and none is known; clients repeat an opening for 1.4 s."""
 
 METRICS_PATH = "/metrics"
-METRICS_TYPE = "text/plain; version=0.0.4"
+METRICS_CONTENT_TYPE = "text/plain; version=0.0.4"
 FETCH_PATH = "/configuration"
 FORMERS_PATH = "/formers"
 
@@ -85,7 +85,7 @@
         self._tasks: set[asyncio.Task] = set()
         self._fetching_since: dict[str, float] = {}
         self._documents = Documents()
-        self._looked_up: dict[str, float] = {}
+        self._looked_up_at: dict[str, float] = {}
         self._position = 0
 
     # For subclasses
@@ -102,14 +102,14 @@
         """Wait until the process may end."""
         raise NotImplementedError
 
-    def is_informed(self, answered: bool) -> bool:
+    def knows_peers(self, answered: bool) -> bool:
         """Tell whether this daemon knows enough of the others.
 
         ``answered`` tells whether the store has just listed them.
         """
         raise NotImplementedError
 
-    def has_written_before(self, era: int) -> bool:
+    def needs_renewal(self, era: int) -> bool:
         """Tell whether this daemon wrote something in an earlier era alone.
 
         What goes wrong without: it starts around a restore, writes in the era that
@@ -117,7 +117,7 @@
         """
         return False
 
-    def to_renew(self) -> list[str]:
+    def renewed_items(self) -> list[str]:
         """Return what this daemon writes again once the store was restored."""
         return []
 
@@ -139,21 +139,21 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        self._inner = self.udp(
+        self._peer_socket = self.udp(
             Address(settings.address, settings.inner_port), self._from_peer
         )
         self.serve(
             Address(settings.address, settings.inner_port),
             [
-                web.Route("GET", re.compile(FETCH_PATH), self._document),
-                web.Route("GET", re.compile(FORMERS_PATH), self._former_services),
+                web.Route("GET", re.compile(FETCH_PATH), self._serve_configuration),
+                web.Route("GET", re.compile(FORMERS_PATH), self._serve_formers),
             ],
         )
         self._serve_metrics()
         self.open()
         self.start(self._tick())
         self.start(Watcher(self.core, self.store, self.journal).run())
-        self.start(self._learn())
+        self.start(self._discover_peers())
         await self.stopping.wait()
         self.journal.event("stopping")
         await self.drain()
@@ -170,10 +170,10 @@
     def start(self, work: Any) -> None:
         """Run a coroutine beside the others; its failure ends the process."""
         task = asyncio.ensure_future(work)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_ended)
         self._tasks.add(task)
 
-    def _ended(self, task: asyncio.Task) -> None:
+    def _task_ended(self, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self.journal.event("failed", error=repr(task.exception()))
@@ -190,11 +190,11 @@
         """Serve HTTP at an address."""
         self._sockets.append(web.Server(address, routes))
 
-    def _document(self, match: re.Match[str], body: bytes) -> web.Answer:
+    def _serve_configuration(self, match: re.Match[str], body: bytes) -> web.Answer:
         """Give the configuration in force to another daemon."""
         return self._documents.answer(self.core.routes, body)
 
-    def _former_services(self, match: re.Match[str], body: bytes) -> web.Answer:
+    def _serve_formers(self, match: re.Match[str], body: bytes) -> web.Answer:
         """Tell another daemon which services routes led to, if that is known."""
         known = self.core.formers
         if not known.is_complete:
@@ -218,7 +218,7 @@
 
     def _metrics(self, match: re.Match[str], body: bytes) -> web.Answer:
         text = exposition.render(self.journal, self.gauges(time.monotonic()))
-        return web.Answer(web.OK, text, METRICS_TYPE)
+        return web.Answer(web.OK, text, METRICS_CONTENT_TYPE)
 
     def gauges(self, now: float) -> dict[str, float]:
         """Return what is measured at the moment of a scrape."""
@@ -233,12 +233,12 @@
 
     async def _tick(self) -> None:
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_SECONDS)
             self.core.tick(time.monotonic())
             self._documents.keep(self.core.routes)
-            self._note_restore()
+            self._check_restore()
 
-    def _note_restore(self) -> None:
+    def _check_restore(self) -> None:
         """Act on a new era of the store, whoever told of it."""
         former, self._position = self._position, self.core.evacuations.position
         era, revision = era_of(self._position), revision_of(self._position)
@@ -251,14 +251,14 @@
                 former_era=era_of(former),
                 revision=revision,
                 former_revision=revision_of(former),
-                renewed=self.to_renew(),
+                renewed=self.renewed_items(),
                 code=int(Code.STORE_RESTORED),
             )
-        elif not self.has_written_before(era):
+        elif not self.needs_renewal(era):
             return
         self.start(self.renew(era, revision))
 
-    async def _learn(self) -> None:
+    async def _discover_peers(self) -> None:
         """Learn of the others from the store, or from seeds without it."""
         backoff = Backoff(self.rng)
         while True:
@@ -266,14 +266,14 @@
                 if seed != self.settings.address:
                     self.core.hello(time.monotonic(), seed, Wish.MEMBERS)
             answered = await self._look_up(self.settings.service or None)
-            if self.is_informed(answered):
+            if self.knows_peers(answered):
                 return
             await backoff.wait()
 
     async def _look_up(self, service: str | None) -> bool:
         """Read agents from the store; return whether it answered."""
         try:
-            known = await self.store.announced(service)
+            known = await self.store.announced_agents(service)
         except StoreUnavailableError as error:
             self.journal.event("lookup.failed", service=service, error=str(error))
             return False
@@ -286,7 +286,7 @@
 
     def to_peer(self, address: str, data: bytes) -> None:
         """Send a datagram to another daemon."""
-        self._inner.send(data, (address, self._peer_port))
+        self._peer_socket.send(data, (address, self._peer_port))
 
     def to_client(self, flow: bytes, raw: bytes) -> None:
         """Send a packet to a client."""
@@ -296,28 +296,35 @@
     def lookup(self, service: str) -> None:
         """Ask the store for the agents of a service, now and then."""
         now = time.monotonic()
-        if now - self._looked_up.get(service, float("-inf")) >= LOOKUP_EVERY:
-            self._looked_up[service] = now
+        if (
+            now - self._looked_up_at.get(service, float("-inf"))
+            >= LOOKUP_INTERVAL_SECONDS
+        ):
+            self._looked_up_at[service] = now
             self.start(self._look_up(service))
 
     def fetch(self, address: str) -> None:
         """Get the newer configuration of another daemon."""
         now = time.monotonic()
         latest = max(self._fetching_since.values(), default=float("-inf"))
-        if address in self._fetching_since or now - latest < FETCH_PATIENCE:
+        if address in self._fetching_since or now - latest < FETCH_INTERVAL_SECONDS:
             return
         self._fetching_since[address] = now
         self.start(self._fetch(address))
 
     async def _fetch(self, address: str) -> None:
-        client = web.Client(Address(address, self._peer_port), FETCH_TIMEOUT)
+        client = web.Client(Address(address, self._peer_port), FETCH_TIMEOUT_SECONDS)
         try:
             document = await self._fetch_document(client, address)
             if document:
                 routes = self.store.routes(document)
                 # After the document: what its teller knew then is in it.
-                told = await client.call("GET", FORMERS_PATH)
-                rows = formers.decode_rows(told.body) if told.status == web.OK else None
+                answer = await client.call("GET", FORMERS_PATH)
+                rows = (
+                    formers.decode_rows(answer.body)
+                    if answer.status == web.OK
+                    else None
+                )
                 self.core.configure(time.monotonic(), routes, rows)
         except (web.ClientError, ZinniahookError) as error:
             self.journal.event("fetch.failed", peer=address, error=str(error))
@@ -333,7 +340,7 @@
         differences that it can't use.
         """
         own = self.core.routes
-        answer = await client.call("GET", FETCH_PATH, question(own))
+        answer = await client.call("GET", FETCH_PATH, encode_request(own))
         if answer.status != web.OK:
             return b""
         try:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/differences.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/differences.py
@@ -18,17 +18,17 @@
 
 __all__ = ["DifferenceError", "apply", "difference", "digest"]
 
-PIECE = re.compile(rb"[^}]*\}|[^}]+\Z")
-RUN = struct.Struct("!BII")
+PIECE_PATTERN = re.compile(rb"[^}]*\}|[^}]+\Z")
+RUN_HEADER = struct.Struct("!BII")
 COPY = 0
 """A run of pieces of the former version: number of the first, and how many."""
 
 INSERT = 1
 """Bytes of the new version: how many, and 0; the bytes follow."""
 
-COMPRESSION = 1
-DIGEST_SIZE = 16
-LARGEST = 64 << 20
+COMPRESSION_LEVEL = 1
+DIGEST_BYTES = 16
+MAX_DOCUMENT_BYTES = 64 << 20
 """Bytes of a document, whatever a difference says of it."""
 
 
@@ -46,33 +46,35 @@
 def difference(former: bytes, document: bytes) -> bytes:
     """Return what makes ``document`` out of ``former``."""
     numbers_by_piece: dict[bytes, int] = {}
-    pieces = PIECE.findall(former)
+    pieces = PIECE_PATTERN.findall(former)
     for number, piece in enumerate(pieces):
         numbers_by_piece.setdefault(piece, number)
     parts = [digest(former), digest(document)]
-    parts += _runs(pieces, numbers_by_piece, PIECE.findall(document))
-    return zlib.compress(b"".join(parts), COMPRESSION)
+    parts += _encode_runs(pieces, numbers_by_piece, PIECE_PATTERN.findall(document))
+    return zlib.compress(b"".join(parts), COMPRESSION_LEVEL)
 
 
-def _runs(
+def _encode_runs(
     former: list[bytes], numbers_by_piece: dict[bytes, int], pieces: list[bytes]
 ) -> Iterator[bytes]:
     """Return the runs of a difference, each as long as it can be."""
     at = 0
     while at < len(pieces):
         first = numbers_by_piece.get(pieces[at])
-        begun = at
+        start = at
         if first is None:
             while at < len(pieces) and pieces[at] not in numbers_by_piece:
                 at += 1
-            inserted = b"".join(pieces[begun:at])
-            yield RUN.pack(INSERT, len(inserted), 0) + inserted
+            inserted = b"".join(pieces[start:at])
+            yield RUN_HEADER.pack(INSERT, len(inserted), 0) + inserted
             continue
-        at += _alike(former, first, pieces, at)
-        yield RUN.pack(COPY, first, at - begun)
+        at += _matching_pieces(former, first, pieces, at)
+        yield RUN_HEADER.pack(COPY, first, at - start)
 
 
-def _alike(former: list[bytes], first: int, pieces: list[bytes], at: int) -> int:
+def _matching_pieces(
+    former: list[bytes], first: int, pieces: list[bytes], at: int
+) -> int:
     """Return how many pieces from ``at`` on are those of ``former`` from ``first``."""
     most = min(len(former) - first, len(pieces) - at)
     for length in range(most):
@@ -89,24 +91,24 @@
     DifferenceError
         If it isn't whole, or belongs to another version.
     """
-    data = _unpacked(packed)
-    if data[:DIGEST_SIZE] != digest(former):
+    data = _decompress(packed)
+    if data[:DIGEST_BYTES] != digest(former):
         raise DifferenceError("difference: made for another version")
-    wanted = data[DIGEST_SIZE : 2 * DIGEST_SIZE]
-    document = _joined(PIECE.findall(former), data)
+    wanted = data[DIGEST_BYTES : 2 * DIGEST_BYTES]
+    document = _apply_runs(PIECE_PATTERN.findall(former), data)
     if digest(document) != wanted:
         raise DifferenceError("difference: damaged")
     return document
 
 
-def _joined(former: list[bytes], data: bytes) -> bytes:
+def _apply_runs(former: list[bytes], data: bytes) -> bytes:
     parts: list[bytes] = []
-    at, size = 2 * DIGEST_SIZE, 0
+    at, size = 2 * DIGEST_BYTES, 0
     while at < len(data):
-        if len(data) - at < RUN.size:
+        if len(data) - at < RUN_HEADER.size:
             raise DifferenceError("difference: cut off")
-        kind, first, count = RUN.unpack_from(data, at)
-        at += RUN.size
+        kind, first, count = RUN_HEADER.unpack_from(data, at)
+        at += RUN_HEADER.size
         if kind == COPY and first + count <= len(former):
             parts.append(b"".join(former[first : first + count]))
         elif kind == INSERT and not count and at + first <= len(data):
@@ -115,17 +117,17 @@
         else:
             raise DifferenceError("difference: damaged")
         size += len(parts[-1])
-        if size > LARGEST:
+        if size > MAX_DOCUMENT_BYTES:
             raise DifferenceError("difference: makes too large a document")
     return b"".join(parts)
 
 
-def _unpacked(packed: bytes) -> bytes:
+def _decompress(packed: bytes) -> bytes:
     reader = zlib.decompressobj()
     try:
-        data = reader.decompress(packed, LARGEST)
+        data = reader.decompress(packed, MAX_DOCUMENT_BYTES)
     except zlib.error as error:
         raise DifferenceError(f"difference: {error}") from None
-    if not reader.eof or len(data) < 2 * DIGEST_SIZE:
+    if not reader.eof or len(data) < 2 * DIGEST_BYTES:
         raise DifferenceError("difference: cut off")
     return data
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/documents.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/documents.py
@@ -15,20 +15,20 @@
 
 from . import differences, web
 
-__all__ = ["Documents", "PackedDocumentError", "question"]
+__all__ = ["Documents", "PackedDocumentError", "encode_request"]
 
-KEPT = 3
+KEPT_VERSIONS = 3
 """Former versions kept to tell differences from, 0.54 MB each at 5,800 routes. A
 daemon asks within half a second of a change; one that lags behind by more
 versions gets the whole document."""
 
-COMPRESSION = 1
+COMPRESSION_LEVEL = 1
 """Level of zlib: 1 ms for 50 KB, an eighth of the bytes between data centres."""
 
-LARGEST_DOCUMENT = 64 << 20
+MAX_DOCUMENT_BYTES = 64 << 20
 
-WHOLE = "application/zlib"
-DIFFERENCE = "application/x-difference"
+DOCUMENT_TYPE = "application/zlib"
+DIFFERENCE_TYPE = "application/x-difference"
 
 
 class PackedDocumentError(ZinniahookError):
@@ -37,7 +37,7 @@
     code = Code.CONFIGURATION_INVALID
 
 
-def question(routes: Routes) -> bytes:
+def encode_request(routes: Routes) -> bytes:
     """Return how a daemon asks for what is newer than its own configuration."""
     if not routes.version:
         return b""
@@ -69,20 +69,20 @@
         self._differences_by_base.clear()
         self._documents_by_digest.pop(self._newest, None)
         self._documents_by_digest[self._newest] = routes.document
-        while len(self._documents_by_digest) > KEPT + 1:
+        while len(self._documents_by_digest) > KEPT_VERSIONS + 1:
             del self._documents_by_digest[next(iter(self._documents_by_digest))]
 
-    def answer(self, routes: Routes, asked: bytes) -> web.Answer:
+    def answer(self, routes: Routes, request: bytes) -> web.Answer:
         """Answer a daemon that asks for the configuration in force."""
         if not routes.version:
             return web.Answer(web.NOT_FOUND)
         self.keep(routes)
-        base = _base(asked)
+        base = _base_digest(request)
         if base != self._newest and base in self._documents_by_digest:
-            return web.Answer(web.OK, self._difference(base), DIFFERENCE)
+            return web.Answer(web.OK, self._difference(base), DIFFERENCE_TYPE)
         if not self._packed:
-            self._packed = zlib.compress(routes.document, COMPRESSION)
-        return web.Answer(web.OK, self._packed, WHOLE)
+            self._packed = zlib.compress(routes.document, COMPRESSION_LEVEL)
+        return web.Answer(web.OK, self._packed, DOCUMENT_TYPE)
 
     def _difference(self, base: str) -> bytes:
         known = self._differences_by_base.get(base)
@@ -103,25 +103,25 @@
             If it isn't whole, too large, or the difference to another version
             than the one in force here.
         """
-        if answer.content_type == DIFFERENCE:
+        if answer.content_type == DIFFERENCE_TYPE:
             return differences.apply(routes.document, answer.body)
-        return _unpacked(answer.body)
+        return _decompress(answer.body)
 
 
-def _base(asked: bytes) -> str:
+def _base_digest(request: bytes) -> str:
     """Return the digest of the version that a question names, "" if none."""
     try:
-        fields = json.loads(asked) if asked else {}
+        fields = json.loads(request) if request else {}
     except ValueError:
         return ""
     known = fields.get("digest") if isinstance(fields, dict) else None
     return known if isinstance(known, str) else ""
 
 
-def _unpacked(body: bytes) -> bytes:
+def _decompress(body: bytes) -> bytes:
     reader = zlib.decompressobj()
     try:
-        document = reader.decompress(body, LARGEST_DOCUMENT)
+        document = reader.decompress(body, MAX_DOCUMENT_BYTES)
     except zlib.error as error:
         raise PackedDocumentError(str(error)) from None
     if not reader.eof:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/eras.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/eras.py
@@ -12,8 +12,8 @@
 
 __all__ = ["Eras"]
 
-WHOLE_NUMBER = re.compile("[0-9]{1,6}")
-TOLD_LONGEST = 40
+ERA_PATTERN = re.compile("[0-9]{1,6}")
+MAX_LOGGED_CHARACTERS = 40
 """Characters of a malformed era in a log line."""
 
 
@@ -29,12 +29,12 @@
     def __init__(self, log: Log) -> None:
         self.latest = 0
         self._log = log
-        self._is_told = False
+        self._is_reported = False
 
-    def of(self, told: str | None, asked_in: int) -> int:
+    def resolve(self, reported: str | None, era_at_request: int) -> int:
         """Return the era of an answer.
 
-        ``told`` is what the answer says, None if nothing; ``asked_in`` is the
+        ``reported`` is what the answer says, None if nothing; ``era_at_request`` is the
         latest era that was known as the question was sent. An answer that tells
         none is of that one. What goes wrong otherwise: a late answer of the
         former era passes for one of the present.
@@ -44,28 +44,31 @@
         StoreEraError
             If the era is below one that was known before.
         """
-        era = self._read(told)
+        era = self._parse(reported)
         if era is None:
-            return asked_in
-        self._is_told = True
-        if era < asked_in:
+            return era_at_request
+        self._is_reported = True
+        if era < era_at_request:
             self._log.event(
-                "store.era_fell", era=era, known=asked_in, code=int(Code.STORE_ERA_FELL)
+                "store.era_fell",
+                era=era,
+                known=era_at_request,
+                code=int(Code.STORE_ERA_FELL),
             )
-            raise StoreEraError(f"store: era {era} after {asked_in}")
+            raise StoreEraError(f"store: era {era} after {era_at_request}")
         self.latest = max(self.latest, era)
         return era
 
-    def _read(self, told: str | None) -> int | None:
-        if told is None and not self._is_told:
+    def _parse(self, reported: str | None) -> int | None:
+        if reported is None and not self._is_reported:
             return None
-        if told is not None and WHOLE_NUMBER.fullmatch(told):
-            era = int(told)
+        if reported is not None and ERA_PATTERN.fullmatch(reported):
+            era = int(reported)
             if era < ERA_LIMIT:
                 return era
         self._log.event(
             "store.era_unknown",
-            told=None if told is None else told[:TOLD_LONGEST],
+            told=None if reported is None else reported[:MAX_LOGGED_CHARACTERS],
             known=self.latest,
             code=int(Code.STORE_ERA_UNKNOWN),
         )
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/exposition.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/exposition.py
@@ -9,7 +9,7 @@
 import itertools
 from collections.abc import Iterator, Mapping
 
-from .journal import BOUNDS, Journal
+from .journal import BUCKET_BOUNDS_SECONDS, Journal
 
 __all__ = ["render"]
 
@@ -38,7 +38,7 @@
     for (name, labels), histogram in journal.histograms_by_key.items():
         text = ",".join(f'{key}="{value}"' for key, value in labels)
         counts = itertools.accumulate(histogram.counts)
-        for bound, count in zip([*BOUNDS, "+Inf"], counts, strict=True):
+        for bound, count in zip([*BUCKET_BOUNDS_SECONDS, "+Inf"], counts, strict=True):
             yield f'{PREFIX}_{name}_bucket{{{text},le="{bound}"}} {count}'
         yield f"{PREFIX}_{name}_sum{{{text}}} {histogram.total:.4f}"
         yield f"{PREFIX}_{name}_count{{{text}}} {sum(histogram.counts)}"
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/journal.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/journal.py
@@ -15,20 +15,20 @@
 from collections import defaultdict
 from typing import Any
 
-__all__ = ["BOUNDS", "Histogram", "Journal"]
+__all__ = ["BUCKET_BOUNDS_SECONDS", "Histogram", "Journal"]
 
 LINES_PER_SECOND = 50.0
 """Lines of one kind a second; a kind that is told more often is counted."""
 
-BURST = 200.0
-LONGEST = 4000
+BURST_LINES = 200.0
+MAX_LINE_BYTES = 4000
 """Bytes of a line; a pipe takes up to 4,096 whole or not at all."""
 
-BOUNDS = (0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0)
+BUCKET_BOUNDS_SECONDS = (0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0)
 """Upper bounds of the histograms in seconds, closest around what callers
 expect of an answer (0.2 to 0.5 s)."""
 
-HISTOGRAMS_LIMIT = 256
+MAX_HISTOGRAMS = 256
 
 _logger = logging.getLogger("zinniahook")
 
@@ -42,20 +42,22 @@
 class _Budget:
     """A token bucket of one kind of line."""
 
-    __slots__ = ("at", "left", "omitted")
+    __slots__ = ("omitted", "refilled_at", "tokens")
 
     def __init__(self, now: float) -> None:
-        self.left = BURST
-        self.at = now
+        self.tokens = BURST_LINES
+        self.refilled_at = now
         self.omitted = 0
 
     def take(self, now: float) -> bool:
-        self.left = min(BURST, self.left + (now - self.at) * LINES_PER_SECOND)
-        self.at = now
-        if self.left < 1:
+        self.tokens = min(
+            BURST_LINES, self.tokens + (now - self.refilled_at) * LINES_PER_SECOND
+        )
+        self.refilled_at = now
+        if self.tokens < 1:
             self.omitted += 1
             return False
-        self.left -= 1
+        self.tokens -= 1
         return True
 
 
@@ -70,7 +72,7 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write one line, or count it as dropped."""
-        line = record.getMessage().encode()[:LONGEST] + b"\n"
+        line = record.getMessage().encode()[:MAX_LINE_BYTES] + b"\n"
         try:
             os.write(self._descriptor, line)
         except OSError:
@@ -83,12 +85,12 @@
     __slots__ = ("counts", "total")
 
     def __init__(self) -> None:
-        self.counts = [0] * (len(BOUNDS) + 1)
+        self.counts = [0] * (len(BUCKET_BOUNDS_SECONDS) + 1)
         self.total = 0.0
 
     def add(self, seconds: float) -> None:
         """Count one time."""
-        self.counts[bisect.bisect_left(BOUNDS, seconds)] += 1
+        self.counts[bisect.bisect_left(BUCKET_BOUNDS_SECONDS, seconds)] += 1
         self.total += seconds
 
 
@@ -128,7 +130,7 @@
         key = name, tuple(labels.items())
         histogram = self.histograms_by_key.get(key)
         if histogram is None:
-            if len(self.histograms_by_key) >= HISTOGRAMS_LIMIT:
+            if len(self.histograms_by_key) >= MAX_HISTOGRAMS:
                 self.counters_by_name["histograms.refused"] += 1
                 return
             histogram = self.histograms_by_key[key] = Histogram()
@@ -148,18 +150,18 @@
         if budget.omitted:
             line["omitted"] = budget.omitted
             budget.omitted = 0
-        line.update((key, _plain(value)) for key, value in fields.items())
+        line.update((key, _loggable(value)) for key, value in fields.items())
         _logger.info(_encode(line))
 
 
-def _plain(value: Any) -> Any:
+def _loggable(value: Any) -> Any:
     """Return a value as JSON can show it; a flow's key as its addresses."""
     if isinstance(value, bytes):
-        return _flow(value) if len(value) == 12 else value.hex()
+        return _format_flow(value) if len(value) == 12 else value.hex()
     return value
 
 
-def _flow(key: bytes) -> str:
+def _format_flow(key: bytes) -> str:
     client = ".".join(map(str, key[:4]))
     service = ".".join(map(str, key[6:10]))
     client_port = int.from_bytes(key[4:6], "big")
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/ports.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/ports.py
@@ -13,14 +13,14 @@
 from zinniahook_core.packets import ColdLimit, Features, Routes
 
 __all__ = [
-    "Announced",
-    "Evacuated",
-    "Kept",
+    "AgentRecord",
+    "EvacuationSnapshot",
+    "StoredValue",
     "Settings",
     "Store",
     "StoreEraError",
     "StoreUnavailableError",
-    "Written",
+    "WritePosition",
 ]
 
 
@@ -40,7 +40,7 @@
     code = Code.STORE_ERA_FELL
 
 
-class Announced(NamedTuple):
+class AgentRecord(NamedTuple):
     """An agent as it stands in the store.
 
     ``order`` is a number that grows with the moments at which agents first
@@ -53,7 +53,7 @@
     order: int = 0
 
 
-class Evacuated(NamedTuple):
+class EvacuationSnapshot(NamedTuple):
     """The data centres that were evacuated at a revision of the store.
 
     The revision is a number that grows with each change of anything there,
@@ -65,7 +65,7 @@
     era: int = 0
 
 
-class Written(NamedTuple):
+class WritePosition(NamedTuple):
     """Where a write lies in the store's history.
 
     Revisions of different eras tell nothing of each other.
@@ -75,7 +75,7 @@
     revision: int
 
 
-class Kept(NamedTuple):
+class StoredValue(NamedTuple):
     """A value that daemons keep in the store; revision 0 if it isn't there."""
 
     name: str
@@ -90,28 +90,28 @@
     async def configuration(self) -> tuple[Routes, int]:
         """Read the newest configuration, and the revision of the store."""
 
-    async def evacuated(self) -> Evacuated:
+    async def evacuation_snapshot(self) -> EvacuationSnapshot:
         """Return which data centres are evacuated, as one snapshot."""
 
-    async def announced(self, service: str | None) -> list[Announced]:
+    async def announced_agents(self, service: str | None) -> list[AgentRecord]:
         """Return the agents of a service, or some of any."""
 
-    async def announce(self, agent: Announced) -> Written:
+    async def announce(self, agent: AgentRecord) -> WritePosition:
         """Add an agent; return where its key was written."""
 
-    async def standing(self, agent: Announced) -> Written | None:
+    async def last_write(self, agent: AgentRecord) -> WritePosition | None:
         """Return where an agent's key was written last, None if it isn't there.
 
         The era is the present one.
         """
 
-    async def withdraw(self, agent: Announced, revision: int) -> None:
+    async def withdraw(self, agent: AgentRecord, revision: int) -> None:
         """Remove an agent, unless its key was written again since."""
 
-    async def kept(self) -> list[Kept]:
+    async def stored_values(self) -> list[StoredValue]:
         """Return every value that daemons keep."""
 
-    async def keep(self, values: list[Kept]) -> Written | None:
+    async def write_values(self, values: list[StoredValue]) -> WritePosition | None:
         """Write values unless any has another revision by now.
 
         None if nothing was written.
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
@@ -9,30 +9,30 @@
 
 from .daemon import Daemon
 from .journal import Journal
-from .ports import Announced, Settings, Store, StoreUnavailableError
+from .ports import AgentRecord, Settings, Store, StoreUnavailableError
 from .watcher import Announcer
 
 __all__ = ["AgentDaemon", "EntryDaemon"]
 
-POLL = 0.05
-RESERVE = 0.5
+DRAIN_POLL_SECONDS = 0.05
+GRACE_RESERVE_SECONDS = 0.5
 """Seconds of the grace period that stay unused."""
 
-ROUTERS_TIME = 1.2
+ROUTER_DETECTION_SECONDS = 1.2
 """Seconds until routers have seen two failed probes of readiness."""
 
-QUIET_TIME = 0.3
+QUIET_SECONDS = 0.3
 """Seconds without a client's packet after which an entry may end."""
 
-HANDOVER_TIME = 0.3
+HANDOVER_SECONDS = 0.3
 """Seconds in which the others learn that an agent leaves."""
 
 
-TARGET_PATIENCE = 0.2
+TARGET_CONNECT_TIMEOUT_SECONDS = 0.2
 """Seconds for a connection to the target, on the same instance."""
 
-LOOK_EVERY = 0.05
-LOOK_LONGEST = 1.0
+MIN_TARGET_PROBE_SECONDS = 0.05
+MAX_TARGET_PROBE_SECONDS = 1.0
 """Seconds between two looks whether a process runs where the target should: twice
 as long after each that finds none."""
 
@@ -73,7 +73,7 @@
         """Open the socket that routers send to."""
         self.client_socket = self.udp(self.settings.listen, self._from_client)
 
-    def is_informed(self, answered: bool) -> bool:
+    def knows_peers(self, answered: bool) -> bool:
         """Tell whether any agent is known; others are looked up when needed."""
         return self.core.is_ready
 
@@ -95,12 +95,12 @@
         """Stay until the routers have moved on."""
         self._leaving = True
         began = time.monotonic()
-        until = began + self.settings.grace - RESERVE
+        until = began + self.settings.grace - GRACE_RESERVE_SECONDS
         while time.monotonic() < until:
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
             now = time.monotonic()
-            quiet = now - self.core.last_client_at > QUIET_TIME
-            if quiet and now - began > ROUTERS_TIME:
+            quiet = now - self.core.last_client_at > QUIET_SECONDS
+            if quiet and now - began > ROUTER_DETECTION_SECONDS:
                 return
 
     def _from_client(self, data: bytes, source: tuple) -> None:
@@ -132,14 +132,16 @@
     def open(self) -> None:
         """Open the socket that the target sends to, and announce the agent."""
         settings = self.settings
-        self._own = Announced(settings.service, settings.address, settings.data_centre)
-        self._announcer = Announcer(self.store, self._own, self.rng)
+        self._record = AgentRecord(
+            settings.service, settings.address, settings.data_centre
+        )
+        self._announcer = Announcer(self.store, self._record, self.rng)
         self.client_socket = self.udp(settings.outbound, self._from_target)
         self.core.start(time.monotonic())
         self.start(self._announcer.run())
-        self.start(self._watch_for_target())
+        self.start(self._wait_for_target())
 
-    def is_informed(self, answered: bool) -> bool:
+    def knows_peers(self, answered: bool) -> bool:
         """Tell whether the store has listed the peers.
 
         What goes wrong if it is enough to know some: the one answer of the store got
@@ -148,11 +150,11 @@
         """
         return answered
 
-    def has_written_before(self, era: int) -> bool:
+    def needs_renewal(self, era: int) -> bool:
         """Tell whether the agent was announced in an earlier era alone."""
-        return self._announcer is not None and self._announcer.is_behind(era)
+        return self._announcer is not None and self._announcer.needs_renewal(era)
 
-    def to_renew(self) -> list[str]:
+    def renewed_items(self) -> list[str]:
         """Return what this daemon writes again once the store was restored."""
         return ["announcement"]
 
@@ -172,17 +174,17 @@
             return
         for address, member in list(self.core.roster.by_address.items()):
             if member.state is State.ENDED and address != self.settings.address:
-                await self._take_out(address, era, revision)
+                await self._remove_peer(address, era, revision)
 
-    async def _take_out(self, address: str, era: int, revision: int) -> None:
+    async def _remove_peer(self, address: str, era: int, revision: int) -> None:
         """Take a peer out whose key is the copy's.
 
         A process that runs there has written its key again meanwhile, at a later
         revision. One try: what stays costs a question at the next start.
         """
-        peer = Announced(self.settings.service, address, "")
+        peer = AgentRecord(self.settings.service, address, "")
         try:
-            written = await self.store.standing(peer)
+            written = await self.store.last_write(peer)
             if written is None or written.era != era or written.revision > revision:
                 return
             await self.store.withdraw(peer, written.revision)
@@ -208,10 +210,10 @@
             "work_promised": core.membership.work.promise,
             "openings_held": core.home.openings_held,
             **core.home.room.gauges(),
-            **self._judged(now),
+            **self._health_gauges(now),
         }
 
-    def _judged(self, now: float) -> dict[str, float]:
+    def _health_gauges(self, now: float) -> dict[str, float]:
         """Return what the target's answers show, where it is judged by them."""
         target, gauges = self.core.target, {}
         if target.health is not None:
@@ -243,27 +245,27 @@
         """
         began = time.monotonic()
         self.core.leave(began)
-        until = began + self.settings.grace - RESERVE
-        await self._look_for_target()
+        until = began + self.settings.grace - GRACE_RESERVE_SECONDS
+        await self._probe_target()
         gone = self.core.target.gone
         while time.monotonic() < until:
-            await asyncio.sleep(POLL / 5)
-            handed = gone or time.monotonic() - began > HANDOVER_TIME
-            if handed and not self.core.flows.busy:
+            await asyncio.sleep(DRAIN_POLL_SECONDS / 5)
+            has_handed_over = gone or time.monotonic() - began > HANDOVER_SECONDS
+            if has_handed_over and not self.core.flows.busy:
                 break
         self.core.farewell(time.monotonic())
         if gone:
             await self._announcer.withdraw(self.core.evacuations.era)
 
-    async def _watch_for_target(self) -> None:
+    async def _wait_for_target(self) -> None:
         """Look for the target until it runs, or has told of itself."""
-        pause = LOOK_EVERY
+        pause = MIN_TARGET_PROBE_SECONDS
         await asyncio.sleep(pause)
-        while not await self._look_for_target():
+        while not await self._probe_target():
             await asyncio.sleep(pause)
-            pause = min(LOOK_LONGEST, 2 * pause)
+            pause = min(MAX_TARGET_PROBE_SECONDS, 2 * pause)
 
-    async def _look_for_target(self) -> bool:
+    async def _probe_target(self) -> bool:
         """Find out whether a target that was never seen runs at all.
 
         What goes wrong without: an instance comes back without its target and is
@@ -279,7 +281,9 @@
             return True
         try:
             connection = asyncio.open_connection(*self.settings.target)
-            _, writer = await asyncio.wait_for(connection, TARGET_PATIENCE)
+            _, writer = await asyncio.wait_for(
+                connection, TARGET_CONNECT_TIMEOUT_SECONDS
+            )
             writer.close()
         except ConnectionRefusedError:
             if not self.core.target.gone:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/watcher.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/watcher.py
@@ -17,34 +17,34 @@
 
 from .journal import Journal
 from .ports import (
-    Announced,
-    Evacuated,
+    AgentRecord,
+    EvacuationSnapshot,
     Store,
     StoreEraError,
     StoreUnavailableError,
-    Written,
+    WritePosition,
 )
 from .recorder import Recorder
 
 __all__ = ["Announcer", "Watcher"]
 
-LOOK_EVERY = 0.4
+POLL_INTERVAL_SECONDS = 0.4
 """Seconds between reads of the store's revision. A waiting watch would cost as
 many calls, and a store that has just dropped its history answers watches with
 "nothing new" for a second while changes are made."""
 
-IDLE_TIME = 0.1
-RETRY_FIRST = 0.2
-RETRY_LONGEST = 1.5
+MIN_IDLE_SECONDS = 0.1
+MIN_RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 1.5
 """Seconds between tries while the store is down: a change must be in force 3 s
 after the store is back, and each try is paid for."""
 
-RENEW_AFTER = 2.0
+RENEWAL_DELAY_SECONDS = 2.0
 """Seconds between a restore of the store and the first agents that announce
 themselves again: all daemons have heard of it by then, and the store has answered
 those that look at it."""
 
-RENEW_SPREAD = 5.0
+RENEWAL_JITTER_SECONDS = 5.0
 """Seconds over which agents announce themselves again. 300 of them are 60 writes a
 second, a sixth of what a small store takes, and nobody but a daemon that starts
 meanwhile reads them."""
@@ -55,16 +55,16 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._pause = RETRY_FIRST
+        self._pause = MIN_RETRY_SECONDS
 
     def reset(self) -> None:
         """Begin with short pauses again."""
-        self._pause = RETRY_FIRST
+        self._pause = MIN_RETRY_SECONDS
 
     async def wait(self) -> None:
         """Pause."""
         pause = self._pause * (0.5 + self._rng.random())
-        self._pause = min(RETRY_LONGEST, self._pause * 2)
+        self._pause = min(MAX_RETRY_SECONDS, self._pause * 2)
         await asyncio.sleep(pause)
 
 
@@ -87,48 +87,52 @@
         self._journal = journal
         self._recorder = Recorder(node, store, journal)
         self._backoff = Backoff(node.rng)
-        self._in_touch: bool | None = None
+        self._is_connected: bool | None = None
 
     async def run(self) -> None:
         """Watch whenever needed, for ever."""
         while True:
             now = time.monotonic()
-            if not self._must_look(now):
-                await asyncio.sleep(max(IDLE_TIME, self._node.freshness.rest(now)))
+            if not self._must_poll(now):
+                await asyncio.sleep(
+                    max(MIN_IDLE_SECONDS, self._node.freshness.rest(now))
+                )
                 continue
             try:
                 await self._watch()
             except ZinniahookError as error:
-                self._touched(False, str(error))
+                self._record_contact(False, str(error))
                 await self._backoff.wait()
 
-    def _must_look(self, now: float) -> bool:
+    def _must_poll(self, now: float) -> bool:
         node = self._node
         return node.freshness.must_look(now) or node.evacuations.must_read(now)
 
     async def _watch(self) -> None:
         """Read what the store has, as long as nobody else does."""
         freshness = self._node.freshness
-        seen: Evacuated | None = None
-        looked_since = time.monotonic()
+        latest: EvacuationSnapshot | None = None
+        watching_since = time.monotonic()
         self._journal.event("watch.begun", age=freshness.age(time.monotonic()))
         while not freshness.may_yield(time.monotonic()):
             began = time.monotonic()
-            looked = await self._look(seen)
-            self._touched(True, "")
-            if looked is None:
+            snapshot = await self._poll(latest)
+            self._record_contact(True, "")
+            if snapshot is None:
                 continue
-            seen = looked
+            latest = snapshot
             freshness.confirmed(began)
             # What goes wrong without: while no client sends, confirmations are
             # half a second old before another watcher hears them, so it doesn't
             # yield, and a third of the entries go on reading the store.
             self._node.show(time.monotonic())
-            self._recorder.look(looked_since, seen.era)
-            await asyncio.sleep(LOOK_EVERY)
+            self._recorder.update(watching_since, latest.era)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
         self._journal.event("watch.ended", other=freshness.watcher)
 
-    async def _look(self, seen: Evacuated | None) -> Evacuated | None:
+    async def _poll(
+        self, latest: EvacuationSnapshot | None
+    ) -> EvacuationSnapshot | None:
         """Read what the operator wants; return what the store listed.
 
         None if the store was restored meanwhile: what came is of its former
@@ -139,20 +143,20 @@
         targets of an evacuated data centre until it knows better.
         """
         position = self._node.evacuations.position
-        evacuated = await self._store.evacuated()
-        self._check_era(evacuated.era, era_of(position))
-        if position_of(evacuated.era, max(1, evacuated.revision)) < position:
+        snapshot = await self._store.evacuation_snapshot()
+        self._check_era(snapshot.era, era_of(position))
+        if position_of(snapshot.era, max(1, snapshot.revision)) < position:
             # It lost what it had shown and doesn't say so. What goes wrong if it
             # counts as fresh: orders that aren't taken pass for known everywhere.
             raise StoreUnavailableError("store: older than what it has shown")
-        self._node.evacuate(time.monotonic(), *evacuated)
-        if evacuated.era < self._node.evacuations.era:
+        self._node.evacuate(time.monotonic(), *snapshot)
+        if snapshot.era < self._node.evacuations.era:
             return None
-        if evacuated == seen:
-            return seen
+        if snapshot == latest:
+            return latest
         routes, _ = await self._store.configuration()
         self._node.configure(time.monotonic(), routes)
-        return evacuated
+        return snapshot
 
     def _check_era(self, era: int, known: int) -> None:
         """Refuse an answer of an era below the one known as it was asked for."""
@@ -162,13 +166,13 @@
             )
             raise StoreEraError(f"store: era {era} after {known}")
 
-    def _touched(self, in_touch: bool, why: str) -> None:
-        if in_touch:
+    def _record_contact(self, is_connected: bool, why: str) -> None:
+        if is_connected:
             self._backoff.reset()
-        if in_touch is self._in_touch:
+        if is_connected is self._is_connected:
             return
-        self._in_touch = in_touch
-        name = "dependency.regained" if in_touch else "dependency.lost"
+        self._is_connected = is_connected
+        name = "dependency.regained" if is_connected else "dependency.lost"
         self._journal.event(name, dependency="store", why=why)
 
 
@@ -179,13 +183,13 @@
     what it had taken.
     """
 
-    def __init__(self, store: Store, own: Announced, rng: random.Random) -> None:
+    def __init__(self, store: Store, agent: AgentRecord, rng: random.Random) -> None:
         self._store = store
-        self._own = own
+        self._agent = agent
         self._rng = rng
         self._backoff = Backoff(rng)
-        self._written: Written | None = None
-        self._ended = False
+        self._last_write: WritePosition | None = None
+        self._is_withdrawn = False
         self._lock = asyncio.Lock()
 
     async def run(self) -> None:
@@ -193,9 +197,9 @@
         async with self._lock:
             await self._announce()
 
-    def is_behind(self, era: int) -> bool:
+    def needs_renewal(self, era: int) -> bool:
         """Tell whether the agent was written in an earlier era alone."""
-        return self._written is not None and self._written.era < era
+        return self._last_write is not None and self._last_write.era < era
 
     async def renew(self, era: int) -> bool:
         """Announce the agent again in a later era; return whether it was needed.
@@ -203,18 +207,20 @@
         What goes wrong without the pause: all agents write within a second, and
         the store refuses most of them.
         """
-        await asyncio.sleep(RENEW_AFTER + RENEW_SPREAD * self._rng.random())
+        await asyncio.sleep(
+            RENEWAL_DELAY_SECONDS + RENEWAL_JITTER_SECONDS * self._rng.random()
+        )
         async with self._lock:
-            if self._ended or not self.is_behind(era):
+            if self._is_withdrawn or not self.needs_renewal(era):
                 return False
             await self._announce()
             return True
 
     async def _announce(self) -> None:
         self._backoff.reset()
-        while not self._ended:
+        while not self._is_withdrawn:
             try:
-                self._written = await self._store.announce(self._own)
+                self._last_write = await self._store.announce(self._agent)
                 return
             except StoreUnavailableError:
                 await self._backoff.wait()
@@ -227,14 +233,14 @@
         nobody else has written the key. What goes wrong with a revision of a
         former era: it may be that of a later process by chance.
         """
-        self._ended = True
-        if self._written is None:
+        self._is_withdrawn = True
+        if self._last_write is None:
             return
         try:
-            written: Written | None = self._written
-            if self._written.era < era:
-                written = await self._store.standing(self._own)
+            written: WritePosition | None = self._last_write
+            if self._last_write.era < era:
+                written = await self._store.last_write(self._agent)
             if written is not None:
-                await self._store.withdraw(self._own, written.revision)
+                await self._store.withdraw(self._agent, written.revision)
         except ZinniahookError:
             return
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/web.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/web.py
@@ -25,14 +25,14 @@
 NOT_FOUND = 404
 TOO_LARGE = 413
 
-LARGEST_BODY = 16 << 20
+MAX_BODY_BYTES = 16 << 20
 """Bytes of a body: the largest value of the store is one megabyte, a page of
 the store's up to as much, and base64 adds a third."""
 
 BACKLOG = 128
 """Connections that wait to be accepted; a daemon has fewer callers."""
 
-READ_SIZE = 64 << 10
+READ_BYTES = 64 << 10
 JSON = "application/json"
 
 
@@ -124,7 +124,7 @@
         """Take bytes, and answer the requests that are whole."""
         self._http.receive_data(data)
         try:
-            self._take_events()
+            self._process_events()
         except h11.RemoteProtocolError:
             self._refuse(BAD_REQUEST)
 
@@ -132,7 +132,7 @@
         """Close the connection once what was written is out."""
         self._transport.close()
 
-    def _take_events(self) -> None:
+    def _process_events(self) -> None:
         while not self._transport.is_closing():
             event = self._http.next_event()
             if event in (h11.NEED_DATA, h11.PAUSED):
@@ -141,7 +141,7 @@
                 self._request = event
             elif isinstance(event, h11.Data):
                 self._body += event.data
-                if len(self._body) > LARGEST_BODY:
+                if len(self._body) > MAX_BODY_BYTES:
                     self._refuse(TOO_LARGE)
             elif isinstance(event, h11.EndOfMessage):
                 self._respond()
@@ -222,14 +222,14 @@
         while True:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
-                self._http.receive_data(await self._reader.read(READ_SIZE))
+                self._http.receive_data(await self._reader.read(READ_BYTES))
             elif isinstance(event, h11.Response):
                 status = event.status_code
                 headers = dict(event.headers)
             elif isinstance(event, h11.Data):
                 chunks.append(bytes(event.data))
                 size += len(event.data)
-                if size > LARGEST_BODY:
+                if size > MAX_BODY_BYTES:
                     return None
             elif isinstance(event, h11.EndOfMessage):
                 content_type = headers.get(b"content-type", b"").decode()
@@ -264,7 +264,7 @@
         ClientError
             If there is no answer in time.
         """
-        stream = self._take()
+        stream = self._take_idle()
         try:
             async with asyncio.timeout(self._timeout):
                 stream = stream or _Stream(
@@ -286,7 +286,7 @@
         while self._idle:
             self._idle.pop().close()
 
-    def _take(self) -> _Stream | None:
+    def _take_idle(self) -> _Stream | None:
         while self._idle:
             stream = self._idle.pop()
             if stream.is_open:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/quic.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/quic.py
@@ -33,16 +33,16 @@
 
 __all__ = ["PacketWindow", "ServerConnection", "Session", "make_configuration"]
 
-IDLE_TIMEOUT = 30.0
+IDLE_TIMEOUT_SECONDS = 30.0
 """Seconds without a packet after which a connection has ended."""
 
-CONNECTION_IDS = 4
+ACTIVE_CONNECTION_IDS = 4
 """Ids kept ready for a caller, so that it can change its address."""
 
-STREAM_WINDOW = 128 * 1024
+STREAM_WINDOW_BYTES = 128 * 1024
 """Bytes that a caller may send on a stream ahead of what was taken."""
 
-STREAMS = 64
+MAX_OPEN_REQUESTS = 64
 """Requests that a caller may have open on one connection."""
 
 WINDOW_BITS = 256
@@ -85,8 +85,8 @@
         alpn_protocols=["h3"],
         is_client=False,
         connection_id_length=CONNECTION_ID_LENGTH,
-        idle_timeout=IDLE_TIMEOUT,
-        max_stream_data=STREAM_WINDOW,
+        idle_timeout=IDLE_TIMEOUT_SECONDS,
+        max_stream_data=STREAM_WINDOW_BYTES,
         # Each further version costs a handshake three more key derivations.
         supported_versions=[QuicProtocolVersion.VERSION_1],
     )
@@ -205,9 +205,9 @@
         self.caller = Address("", 0)
         self.is_switched = False
         self.session: Session | None = None
-        self.wake_at: float | None = None
+        self.timer_at: float | None = None
         self.opened_at = 0.0
-        self.heard_at = 0.0
+        self.received_at = 0.0
         self.handshaking = True
         self.unread_by_stream: dict[int, int] = {}
         self._issue = issue
@@ -216,8 +216,8 @@
         self._host_cids[0].cid = first
         self.host_cid = first
         self._local_initial_source_connection_id = first
-        self._local_max_streams_bidi.value = STREAMS
-        self._local_max_streams_bidi.sent = STREAMS
+        self._local_max_streams_bidi.value = MAX_OPEN_REQUESTS
+        self._local_max_streams_bidi.sent = MAX_OPEN_REQUESTS
 
     @property
     def _QuicConnection__frame_handlers(self) -> _FrameHandlers:  # noqa: N802
@@ -297,7 +297,7 @@
         self._loss.spaces = [application]
 
     def _replenish_connection_ids(self) -> None:
-        limit = min(CONNECTION_IDS, self._remote_active_connection_id_limit)
+        limit = min(ACTIVE_CONNECTION_IDS, self._remote_active_connection_id_limit)
         while len(self._host_cids) < limit:
             self._host_cids.append(
                 QuicConnectionId(
@@ -317,8 +317,8 @@
         if not stream.max_stream_data_local or stream.receiver.is_finished:
             return
         unread = self.unread_by_stream.get(stream.stream_id, 0)
-        limit = stream.receiver.highest_offset - unread + STREAM_WINDOW
-        if limit - stream.max_stream_data_local >= STREAM_WINDOW // 2:
+        limit = stream.receiver.highest_offset - unread + STREAM_WINDOW_BYTES
+        if limit - stream.max_stream_data_local >= STREAM_WINDOW_BYTES // 2:
             stream.max_stream_data_local = limit
         if stream.max_stream_data_local_sent == stream.max_stream_data_local:
             return
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/relays.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/relays.py
@@ -27,20 +27,21 @@
 
 __all__ = ["RelayedExchange", "Relays", "serve_relay"]
 
-HIGH_WATER = 256 * 1024
+HIGH_WATER_BYTES = 256 * 1024
 """Bytes waiting in either direction at which the source has to wait."""
 
-WINDOW = 256 * 1024
+STREAM_WINDOW_BYTES = 256 * 1024
 """Bytes that a peer may send ahead on one relayed request."""
 
-CONNECTION_WINDOW = 4 * 1024 * 1024
+CONNECTION_WINDOW_BYTES = 4 * 1024 * 1024
 
-RETRY_AFTER = 0.2
+RETRY_AFTER_SECONDS = 0.2
 
 BROKEN = (OSError, GRPCError, StreamTerminatedError, asyncio.TimeoutError)
 
 CONFIGURATION = Configuration(
-    http2_stream_window_size=WINDOW, http2_connection_window_size=CONNECTION_WINDOW
+    http2_stream_window_size=STREAM_WINDOW_BYTES,
+    http2_connection_window_size=CONNECTION_WINDOW_BYTES,
 )
 
 
@@ -68,7 +69,7 @@
         Cancelling the task that awaits this cancels the request at the peer.
         """
         stub = ControlStub(self._channel(peer))
-        pump = None
+        sender = None
         result = None
         try:
             async with stub.Relay.open() as stream:
@@ -76,16 +77,16 @@
                 await stream.send_request()
                 exchange.started = True
                 await stream.send_message(RelayFrame(head=self._head(exchange)))
-                pump = asyncio.ensure_future(_pump(stream, exchange))
+                sender = asyncio.ensure_future(_send_body(stream, exchange))
                 result = await _receive(stream, exchange)
-                if result is None or not pump.done():
+                if result is None or not sender.done():
                     await stream.cancel()
         except BROKEN:
             # The channel connects again by itself; the verdict tells the rest.
             pass
         finally:
-            if pump is not None:
-                pump.cancel()
+            if sender is not None:
+                sender.cancel()
         return _verdict(exchange, result)
 
     def keep(self, addresses: set[Address]) -> None:
@@ -137,12 +138,12 @@
     if result is not None:
         return result
     if not exchange.started:
-        outcome = Outcome(OutcomeKind.NOT_RUN, Code.NO_AGENT, RETRY_AFTER)
+        outcome = Outcome(OutcomeKind.NOT_RUN, Code.NO_AGENT, RETRY_AFTER_SECONDS)
         return Result(outcome, False)
     return Result(Outcome(OutcomeKind.UNKNOWN, Code.ANSWER_LOST), True)
 
 
-async def _pump(stream: Any, exchange: Exchange) -> None:
+async def _send_body(stream: Any, exchange: Exchange) -> None:
     """Send the body; the peer's window holds it back."""
     with contextlib.suppress(BodyAborted, *BROKEN):
         async for piece in exchange.body:
@@ -200,7 +201,7 @@
         self._waiting = 0
         self._unread = 0
         self._changed = asyncio.Event()
-        self._room = asyncio.Event()
+        self._window_open = asyncio.Event()
         self._drained: asyncio.Future[None] | None = None
 
     def send_head(self, status: int, headers: Headers) -> None:
@@ -212,7 +213,7 @@
         """Send a piece; return a future if the peer is behind."""
         self._waiting += len(data)
         self._queue(RelayFrame(body=data))
-        if self._waiting < HIGH_WATER:
+        if self._waiting < HIGH_WATER_BYTES:
             return None
         self._drained = asyncio.get_running_loop().create_future()
         return self._drained
@@ -236,8 +237,8 @@
     def body_taken(self, size: int) -> None:
         """Let the peer send more of the body."""
         self._unread -= size
-        if self._unread <= WINDOW:
-            self._room.set()
+        if self._unread <= STREAM_WINDOW_BYTES:
+            self._window_open.set()
 
     async def serve(self, stream: Any) -> None:
         """Send the answer as it comes, until its end."""
@@ -262,17 +263,17 @@
             while (frame := await stream.recv_message()) is not None:
                 self._unread += len(frame.body)
                 self.body.feed(frame.body)
-                if self._unread > WINDOW:
+                if self._unread > STREAM_WINDOW_BYTES:
                     # Not reading is what closes the peer's window.
-                    self._room.clear()
-                    await self._room.wait()
+                    self._window_open.clear()
+                    await self._window_open.wait()
             self.body.feed(b"", end=True)
         except BROKEN:
             self.body.abort()
 
     def _sent(self, size: int) -> None:
         self._waiting -= size
-        if self._waiting < HIGH_WATER // 2 and self._drained is not None:
+        if self._waiting < HIGH_WATER_BYTES // 2 and self._drained is not None:
             if not self._drained.done():
                 self._drained.set_result(None)
             self._drained = None
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/runs.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/runs.py
@@ -8,7 +8,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from zinniahook_core import effects as todo
+from zinniahook_core import effects
 from zinniahook_core.codes import Code, Outcome, OutcomeKind
 from zinniahook_core.events import RequestArrived, RequestCancelled, RequestFinished
 
@@ -62,7 +62,7 @@
     def __len__(self) -> int:
         return len(self._exchanges_by_number)
 
-    def execute(self, effect: todo.AgentEffect) -> bool:
+    def execute(self, effect: effects.AgentEffect) -> bool:
         """Carry out an effect on requests; False if it is none."""
         handler = _HANDLERS_BY_EFFECT.get(type(effect))
         if handler is None:
@@ -193,14 +193,14 @@
         self._exchanges_by_number.pop(exchange.number, None)
         self._joined_by_number.pop(exchange.number, None)
 
-    @_executes(todo.Run)
-    def _run(self, effect: todo.Run) -> None:
+    @_executes(effects.Run)
+    def _run(self, effect: effects.Run) -> None:
         exchange = self._startable(effect.request)
         if exchange is not None:
             self._start(exchange, self.target.run(exchange))
 
-    @_executes(todo.Relay)
-    def _relay(self, effect: todo.Relay) -> None:
+    @_executes(effects.Relay)
+    def _relay(self, effect: effects.Relay) -> None:
         exchange = self._startable(effect.request)
         if exchange is None:
             return
@@ -230,20 +230,20 @@
         exchange.started = False
         return exchange
 
-    @_executes(todo.JoinRequest)
-    def _join(self, effect: todo.JoinRequest) -> None:
+    @_executes(effects.JoinRequest)
+    def _join(self, effect: effects.JoinRequest) -> None:
         exchange = self._exchanges_by_number.get(effect.request)
         if exchange is not None:
             self._joined_by_number.setdefault(effect.running, []).append(exchange)
 
-    @_executes(todo.Replay)
-    def _replay(self, effect: todo.Replay) -> None:
+    @_executes(effects.Replay)
+    def _replay(self, effect: effects.Replay) -> None:
         exchange = self._exchanges_by_number.get(effect.request)
         if exchange is not None:
             self._reply(exchange, effect.answer)
 
-    @_executes(todo.FinishRequest)
-    def _finish(self, effect: todo.FinishRequest) -> None:
+    @_executes(effects.FinishRequest)
+    def _finish(self, effect: effects.FinishRequest) -> None:
         exchange = self._exchanges_by_number.get(effect.request)
         if exchange is None:
             return
@@ -254,8 +254,8 @@
         exchange.refuse(effect.outcome)
         self._forget(exchange)
 
-    @_executes(todo.CancelRequest)
-    def _cancel(self, effect: todo.CancelRequest) -> None:
+    @_executes(effects.CancelRequest)
+    def _cancel(self, effect: effects.CancelRequest) -> None:
         task = self._tasks_by_number.get(effect.request)
         if task is not None:
             task.cancel()
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/sockets.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/sockets.py
@@ -11,13 +11,13 @@
 
 __all__ = ["UdpSocket"]
 
-BATCH = 64
+MAX_READS_PER_WAKEUP = 64
 """Most datagrams read per wake-up, so that a flood can't hold the loop."""
 
-BUFFER = 4 << 20
+BUFFER_BYTES = 4 << 20
 """Bytes asked of the kernel for each direction; it may grant less."""
 
-LARGEST = 65_535
+MAX_DATAGRAM_BYTES = 65_535
 
 
 class UdpSocket:
@@ -49,8 +49,8 @@
         self._loop = asyncio.get_running_loop()
         try:
             self._socket.setblocking(False)
-            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
-            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, BUFFER)
+            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER_BYTES)
+            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, BUFFER_BYTES)
             self._socket.bind(tuple(address))
         except OSError:
             self._socket.close()
@@ -88,6 +88,6 @@
         # ECONNREFUSED; it is no fault of this socket, and the loop would
         # otherwise end its reader. BlockingIOError ends the batch.
         with contextlib.suppress(OSError):
-            for _ in range(BATCH):
-                data, source = receive_from(LARGEST)
+            for _ in range(MAX_READS_PER_WAKEUP):
+                data, source = receive_from(MAX_DATAGRAM_BYTES)
                 receive(data, source)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/targets.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/targets.py
@@ -34,18 +34,18 @@
 
 __all__ = ["Result", "Target"]
 
-CONNECT_TIMEOUT = 2.0
-PROBE_TIMEOUT = 1.0
+CONNECT_TIMEOUT_SECONDS = 2.0
+PROBE_TIMEOUT_SECONDS = 1.0
 
-IDLE_CONNECTIONS = 4
-IDLE_TIME = 3.0
+MAX_IDLE_CONNECTIONS = 4
+MAX_IDLE_SECONDS = 3.0
 """Seconds after which an unused connection isn't used again."""
 
-CHUNK = 64 * 1024
-HEADER_SIZE = 64 * 1024
+CHUNK_BYTES = 64 * 1024
+MAX_HEADER_BYTES = 64 * 1024
 UNBOUNDED = 1 << 62
 
-SHED_RETRY_AFTER = 0.5
+SHED_RETRY_AFTER_SECONDS = 0.5
 """Seconds to wait after a target shed a request without saying for how long."""
 
 HOP_BY_HOP = frozenset(
@@ -67,7 +67,7 @@
 )
 
 PARAMETERS = HTTP1ConnectionParameters(
-    chunk_size=CHUNK, max_header_size=HEADER_SIZE, max_body_size=UNBOUNDED
+    chunk_size=CHUNK_BYTES, max_header_size=MAX_HEADER_BYTES, max_body_size=UNBOUNDED
 )
 
 
@@ -80,8 +80,8 @@
 
 DONE = Result(Outcome(OutcomeKind.DONE, Code.OK), True)
 FAILED = Result(Outcome(OutcomeKind.UNKNOWN, Code.TARGET_FAILED), True)
-UNREACHED = Result(
-    Outcome(OutcomeKind.NOT_RUN, Code.TARGET_FAILED, SHED_RETRY_AFTER), False
+UNREACHABLE_TARGET = Result(
+    Outcome(OutcomeKind.NOT_RUN, Code.TARGET_FAILED, SHED_RETRY_AFTER_SECONDS), False
 )
 
 
@@ -160,10 +160,10 @@
                 return result
         try:
             stream = await asyncio.wait_for(
-                self._client.connect(*self.address), CONNECT_TIMEOUT
+                self._client.connect(*self.address), CONNECT_TIMEOUT_SECONDS
             )
         except (OSError, StreamClosedError, TimeoutError):
-            return UNREACHED
+            return UNREACHABLE_TARGET
         return await self._run_on(stream, exchange)
 
     async def probe(self) -> TargetReported:
@@ -178,7 +178,7 @@
         """Tell whether the target's port accepts a connection."""
         try:
             stream = await asyncio.wait_for(
-                self._client.connect(*self.address), CONNECT_TIMEOUT
+                self._client.connect(*self.address), CONNECT_TIMEOUT_SECONDS
             )
         except (OSError, StreamClosedError, TimeoutError):
             return False
@@ -191,8 +191,8 @@
         try:
             answer = await AsyncHTTPClient().fetch(
                 url,
-                request_timeout=PROBE_TIMEOUT,
-                connect_timeout=PROBE_TIMEOUT,
+                request_timeout=PROBE_TIMEOUT_SECONDS,
+                connect_timeout=PROBE_TIMEOUT_SECONDS,
                 raise_error=False,
             )
             if answer.code == 599:
@@ -204,14 +204,14 @@
     def _reuse(self) -> IOStream | None:
         while self._idle:
             stream, since = self._idle.pop()
-            if not stream.closed() and self._loop.time() - since < IDLE_TIME:
+            if not stream.closed() and self._loop.time() - since < MAX_IDLE_SECONDS:
                 return stream
             stream.close()
         return None
 
     def _keep(self, stream: IOStream) -> None:
         self._idle.append(_Idle(stream, self._loop.time()))
-        if len(self._idle) > IDLE_CONNECTIONS:
+        if len(self._idle) > MAX_IDLE_CONNECTIONS:
             self._idle.popleft().stream.close()
 
     async def _run_on(self, stream: IOStream, exchange: Exchange) -> Result:
@@ -287,7 +287,7 @@
 def _seconds(text: str) -> float:
     with contextlib.suppress(ValueError):
         return min(max(float(text), 0.0), 60.0)
-    return SHED_RETRY_AFTER
+    return SHED_RETRY_AFTER_SECONDS
 
 
 def _load(document: object) -> Load | None:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/traffic.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/traffic.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from aioquic.h3.connection import ErrorCode
-from zinniahook_core import effects as todo
+from zinniahook_core import effects
 from zinniahook_core.codes import Code, ZinniahookError
 from zinniahook_core.events import FlowDatagram, FlowOpening, PeerDatagram
 from zinniahook_core.models import Address, Configuration, Protocol
@@ -58,16 +58,16 @@
         self._paths = Paths(agent.rng)
         self._restarting = False
         self._leaving: bool | None = None
-        self._opening: TunnelDatagram | None = None
-        self._opened: Opening | None = None
+        self._opening_datagram: TunnelDatagram | None = None
+        self._checked_opening: Opening | None = None
         self.flows = UdpFlows(settings.target, self._answer_flow)
         self.connections = Connections(
             make_configuration(settings.certificate, settings.key),
             self._issue,
             self._send,
-            self._begin,
+            self._make_session,
             self._closed,
-            self._switch,
+            self._switch_entry,
         )
         self.openings = Openings(
             self.connections.configuration.supported_versions,
@@ -111,10 +111,10 @@
         for connection in self.connections:
             connection.session.go_away(final)
 
-    def leave(self, peers: Collection[str]) -> None:
+    def notify_leaving(self, peers: Collection[str]) -> None:
         """Ask the callers whose requests run at leaving peers."""
         for connection in self.connections:
-            connection.session.leave(peers)
+            connection.session.notify_leaving(peers)
 
     def close_idle(self) -> None:
         """End connections that were asked to go and have nothing open."""
@@ -164,13 +164,13 @@
         if connection.probes and other is not None and other != connection.entry:
             self._to_caller(caller, other, payload)
 
-    def _begin(self, connection: ServerConnection) -> Http3Session:
+    def _make_session(self, connection: ServerConnection) -> Http3Session:
         session = Http3Session(connection, self.agent.runs, self.connections.touch)
         if self._leaving is not None:
             session.go_away(self._leaving)
         return session
 
-    def _switch(self, connection: ServerConnection) -> None:
+    def _switch_entry(self, connection: ServerConnection) -> None:
         """Answer by way of another entry: this one's answers get lost."""
         now = self.node.now()
         if not connection.is_switched:
@@ -258,7 +258,7 @@
         connection.entry = self._paths.for_flow(now, connection.flow) or entry
 
     def _open(self, datagram: TunnelDatagram, handed_by: str) -> None:
-        self._opening = datagram
+        self._opening_datagram = datagram
         opening = self.openings.check(
             datagram.payload,
             datagram.caller,
@@ -269,18 +269,18 @@
             self._drop(opening)
             return
         # The core answers an opening in the same call, so one is enough.
-        self._opened = opening
+        self._checked_opening = opening
         service = self.agent.service.name
         self.agent.feed(FlowOpening(service, opening.flow, datagram.caller, handed_by))
 
     def _answer_opening(self, payload: bytes, caller: Address) -> None:
-        self._to_caller(caller, self._opening.entry, payload)
+        self._to_caller(caller, self._opening_datagram.entry, payload)
 
     # Effects
 
-    @_executes(todo.AcceptFlow)
-    def _accept(self, effect: todo.AcceptFlow) -> None:
-        datagram, opening = self._opening, self._opened
+    @_executes(effects.AcceptFlow)
+    def _accept(self, effect: effects.AcceptFlow) -> None:
+        datagram, opening = self._opening_datagram, self._checked_opening
         if opening is None or opening.flow != effect.flow:
             return
         connection = self.connections.open(*opening)
@@ -293,21 +293,21 @@
             connection, datagram.payload, datagram.caller, datagram.entry
         )
 
-    @_executes(todo.HandOver)
-    def _hand_over(self, effect: todo.HandOver) -> None:
-        datagram = self._opening
-        if self._opened is None or self._opened.flow != effect.flow:
+    @_executes(effects.HandOver)
+    def _hand_over(self, effect: effects.HandOver) -> None:
+        datagram = self._opening_datagram
+        if self._checked_opening is None or self._checked_opening.flow != effect.flow:
             return
         hops = datagram.hops + 1
         self._forward(effect.peer, datagram._replace(hops=hops, handed=True))
 
-    @_executes(todo.Deliver)
-    def _deliver(self, effect: todo.Deliver) -> None:
+    @_executes(effects.Deliver)
+    def _deliver(self, effect: effects.Deliver) -> None:
         if not self.flows.deliver(*effect):
             self._drop(Code.SOCKET_FULL)
 
-    @_executes(todo.ForwardDatagram)
-    def _forward_datagram(self, effect: todo.ForwardDatagram) -> None:
+    @_executes(effects.ForwardDatagram)
+    def _forward_datagram(self, effect: effects.ForwardDatagram) -> None:
         datagram = TunnelDatagram(
             TunnelKind.TO_AGENT,
             self.agent.service.number,
@@ -320,12 +320,12 @@
         )
         self._forward(effect.peer, datagram)
 
-    @_executes(todo.EndFlow)
-    def _end_flow(self, effect: todo.EndFlow) -> None:
+    @_executes(effects.EndFlow)
+    def _end_flow(self, effect: effects.EndFlow) -> None:
         self.flows.end(effect.flow)
 
-    @_executes(todo.SendPeer)
-    def _send_peer(self, effect: todo.SendPeer) -> None:
+    @_executes(effects.SendPeer)
+    def _send_peer(self, effect: effects.SendPeer) -> None:
         datagram = TunnelDatagram(
             TunnelKind.PEER,
             self.agent.service.number,
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/udpflows.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/udpflows.py
@@ -10,15 +10,15 @@
 
 __all__ = ["UdpFlows"]
 
-FLOWS = 16 * 1024
+MAX_FLOWS = 16 * 1024
 """Flows an agent holds at a time; each is a socket of the process."""
 
-BATCH = 32
+MAX_READS_PER_WAKEUP = 32
 """Most datagrams read of one flow per wake-up."""
 
-LARGEST = 65_535
+MAX_DATAGRAM_BYTES = 65_535
 
-REFUSED_TIME = 3.0
+REFUSED_SECONDS = 3.0
 """Seconds for which a refusal counts as evidence that the target is down."""
 
 
@@ -59,7 +59,7 @@
     @property
     def refused(self) -> bool:
         """Whether nobody listened at the target's port lately."""
-        return self._loop.time() - self._refused_at < REFUSED_TIME
+        return self._loop.time() - self._refused_at < REFUSED_SECONDS
 
     def deliver(
         self, flow: bytes, caller: Address, entry: Address, payload: bytes
@@ -92,7 +92,7 @@
             self.end(flow)
 
     def _open(self, flow: bytes, caller: Address) -> _Flow | None:
-        if len(self._by_flow) >= FLOWS:
+        if len(self._by_flow) >= MAX_FLOWS:
             return None
         family = socket.AF_INET6 if ":" in self._target.host else socket.AF_INET
         try:
@@ -116,8 +116,8 @@
         if found is None:
             return
         try:
-            for _ in range(BATCH):
-                payload = found.socket.recv(LARGEST)
+            for _ in range(MAX_READS_PER_WAKEUP):
+                payload = found.socket.recv(MAX_DATAGRAM_BYTES)
                 self._answer(flow, found.caller, found.entry, payload)
         except ConnectionRefusedError:
             self._refused_at = self._loop.time()
--- a/packages/zinniahook-daemon/tests/conftest.py
+++ b/packages/zinniahook-daemon/tests/conftest.py
@@ -150,6 +150,11 @@
 @pytest.fixture
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let watchers and announcers of the packet service pause for a moment only."""
-    names = ("LOOK_EVERY", "IDLE_TIME", "RETRY_FIRST", "RETRY_LONGEST")
-    for name in (*names, "RENEW_AFTER", "RENEW_SPREAD"):
+    names = (
+        "POLL_INTERVAL_SECONDS",
+        "MIN_IDLE_SECONDS",
+        "MIN_RETRY_SECONDS",
+        "MAX_RETRY_SECONDS",
+    )
+    for name in (*names, "RENEWAL_DELAY_SECONDS", "RENEWAL_JITTER_SECONDS"):
         monkeypatch.setattr(watchers, name, 0.001)
--- a/packages/zinniahook-daemon/tests/restore_fakes.py
+++ b/packages/zinniahook-daemon/tests/restore_fakes.py
@@ -8,17 +8,17 @@
 from zinniahook_core.packets.formers import Formers
 from zinniahook_core.packets.freshness import Freshness
 from zinniahook_daemon.packets.ports import (
-    Announced,
-    Evacuated,
-    Kept,
+    AgentRecord,
+    EvacuationSnapshot,
     Settings,
+    StoredValue,
     StoreUnavailableError,
-    Written,
+    WritePosition,
 )
 from zinniahook_daemon.packets.watcher import Watcher
 
 FLOOR = bytes((198, 18, 0, 1, 1, 187))
-OWN = Announced("tally", "10.0.0.3", "a")
+OWN = AgentRecord("tally", "10.0.0.3", "a")
 PEER = OWN._replace(address="10.0.0.7")
 NONE = frozenset()
 A = frozenset({"thies-a"})
@@ -55,11 +55,11 @@
 
     def _write(self):
         self.revision += 1
-        return Written(self.era, self.revision)
+        return WritePosition(self.era, self.revision)
 
-    async def evacuated(self):
-        self._call("evacuated")
-        answer = Evacuated(self.revision, self.evacuated_now, self.era)
+    async def evacuation_snapshot(self):
+        self._call("evacuation_snapshot")
+        answer = EvacuationSnapshot(self.revision, self.evacuated_now, self.era)
         self.before_answer()
         return answer
 
@@ -73,24 +73,24 @@
         self.revisions_by_agent[agent.address] = written.revision
         return written
 
-    async def standing(self, agent):
-        self._call("standing")
+    async def last_write(self, agent):
+        self._call("last_write")
         revision = self.revisions_by_agent.get(agent.address)
-        return None if revision is None else Written(self.era, revision)
+        return None if revision is None else WritePosition(self.era, revision)
 
     async def withdraw(self, agent, revision):
         self._call("withdraw")
         if self.revisions_by_agent.get(agent.address) == revision:
             del self.revisions_by_agent[agent.address]
 
-    async def kept(self):
-        self._call("kept")
+    async def stored_values(self):
+        self._call("stored_values")
         return [kept._replace(era=self.era) for kept in self.kept_by_name.values()]
 
-    async def keep(self, values):
-        self._call("keep")
+    async def write_values(self, values):
+        self._call("write_values")
         for kept in values:
-            former = self.kept_by_name.get(kept.name, Kept(kept.name, b"", 0))
+            former = self.kept_by_name.get(kept.name, StoredValue(kept.name, b"", 0))
             if former.revision != kept.revision:
                 return None
         written = self._write()
@@ -124,9 +124,9 @@
     def evacuate(self, now, revision, names, era=0):
         self.evacuations.read(revision, names, era)
 
-    def configure(self, now, newer, told=None, whole=True):
-        if told is not None:
-            self.formers.learn(now, told, whole)
+    def configure(self, now, newer, rows=None, whole=True):
+        if rows is not None:
+            self.formers.learn(now, rows, whole)
         if newer.version > self.routes.version:
             self.formers.replaced(now, self.routes, newer)
             self.routes = newer
@@ -150,12 +150,12 @@
         await asyncio.sleep(0.001)
 
 
-def watched(story):
+def run_watcher(scenario):
     async def run():
         node, store, journal = FakeNode(), RestorableStore(), FakeJournal()
         task = asyncio.create_task(Watcher(node, store, journal).run())
         try:
-            await asyncio.wait_for(story(node, store, journal), 20)
+            await asyncio.wait_for(scenario(node, store, journal), 20)
         finally:
             task.cancel()
 
--- a/packages/zinniahook-daemon/tests/test_connections.py
+++ b/packages/zinniahook-daemon/tests/test_connections.py
@@ -11,7 +11,7 @@
 from quic_links import ENTRY, OWNER, Link, run
 from zinniahook_core.codes import Code, ZinniahookError
 from zinniahook_core.models import Address
-from zinniahook_daemon.openings import RETRY_FROM, Opening
+from zinniahook_daemon.openings import RETRY_HANDSHAKES, Opening
 from zinniahook_daemon.quic import ServerConnection, make_configuration
 from zinniahook_testkit.certificates import Authority
 
@@ -137,7 +137,7 @@
         """
 
         async def scenario(link: Link) -> None:
-            link.handshakes = RETRY_FROM
+            link.handshakes = RETRY_HANDSHAKES
             _, connection = await link.connect()
             assert set(link.refusals) == {Code.FLOW_LIMIT}
             assert connection.flow != connection.original_destination_connection_id
@@ -146,7 +146,7 @@
 
     def test_a_token_serves_its_own_address_only(self, quic_configuration):
         async def scenario(link: Link) -> None:
-            link.handshakes = RETRY_FROM
+            link.handshakes = RETRY_HANDSHAKES
             sent: list[bytes] = []
             deliver = link.to_agent
 
--- a/packages/zinniahook-daemon/tests/test_entry.py
+++ b/packages/zinniahook-daemon/tests/test_entry.py
@@ -26,9 +26,9 @@
     Service,
 )
 from zinniahook_core.routing import ConnectionIds, Owner
-from zinniahook_daemon.entries import LONGEST_PAYLOAD, Entry
+from zinniahook_daemon.entries import MAX_PAYLOAD_BYTES, Entry
 from zinniahook_daemon.node import Node
-from zinniahook_daemon.sockets import BATCH, UdpSocket
+from zinniahook_daemon.sockets import MAX_READS_PER_WAKEUP, UdpSocket
 from zinniahook_wire.tunnels import NO_ADDRESS, Tunnel, TunnelDatagram, TunnelKind
 
 FLOW_KEY = Key(1, b"f" * 32)
@@ -162,18 +162,18 @@
             def count():
                 reads_between_turns.append(len(reads))
                 reads.clear()
-                if sum(reads_between_turns) < 4 * BATCH:
+                if sum(reads_between_turns) < 4 * MAX_READS_PER_WAKEUP:
                     turn(count)
 
             sink = UdpSocket(ANY_PORT, lambda data, _: reads.append(data))
             source = UdpSocket(ANY_PORT, lambda *_: None)
-            for _ in range(4 * BATCH):
+            for _ in range(4 * MAX_READS_PER_WAKEUP):
                 source.send(b"flood", sink.address)
             turn(count)
             async with asyncio.timeout(20):
-                while sum(reads_between_turns) < 4 * BATCH:
+                while sum(reads_between_turns) < 4 * MAX_READS_PER_WAKEUP:
                     await asyncio.sleep(0.01)
-            assert 0 < max(reads_between_turns) <= BATCH
+            assert 0 < max(reads_between_turns) <= MAX_READS_PER_WAKEUP
             sink.close()
             source.close()
 
@@ -258,7 +258,7 @@
                 fuzz()
                 bench.entry.forward(
                     bench.entry._sockets_by_number[1],
-                    bytes(LONGEST_PAYLOAD + 1),
+                    bytes(MAX_PAYLOAD_BYTES + 1),
                     source,
                 )
                 # The first datagram that comes is one that should.
--- a/packages/zinniahook-daemon/tests/test_exchanges.py
+++ b/packages/zinniahook-daemon/tests/test_exchanges.py
@@ -13,13 +13,13 @@
 from zinniahook_core.models import RequestClass, Service
 from zinniahook_daemon.exchanges import (
     Answer,
-    answer_of,
     classify,
     decode_answer,
     encode_answer,
+    outcome_answer,
 )
-from zinniahook_daemon.heads import BODY_SIZE
-from zinniahook_daemon.http3 import BODY_TIMEOUT, HIGH_WATER
+from zinniahook_daemon.heads import MAX_BODY_BYTES
+from zinniahook_daemon.http3 import BODY_TIMEOUT_SECONDS, HIGH_WATER_BYTES
 from zinniahook_daemon.quic import make_configuration
 from zinniahook_testkit.certificates import Authority
 
@@ -105,7 +105,7 @@
             assert not bench.seen.get("whole")
             (exchange,) = bench.session.by_stream.values()
             unsent = bench.session.connection.unsent(exchange.stream_id)
-            assert HIGH_WATER // 2 < unsent < 2 * HIGH_WATER
+            assert HIGH_WATER_BYTES // 2 < unsent < 2 * HIGH_WATER_BYTES
 
         run(scenario)
 
@@ -164,9 +164,9 @@
             client.ask("POST", "/tickets", end=False)
             await asyncio.wait_for(client.ping(), PATIENCE)
             now = asyncio.get_running_loop().time()
-            bench.session.expire(now + BODY_TIMEOUT / 2)
+            bench.session.expire(now + BODY_TIMEOUT_SECONDS / 2)
             assert bench.session.busy
-            bench.session.expire(now + BODY_TIMEOUT + 1)
+            bench.session.expire(now + BODY_TIMEOUT_SECONDS + 1)
             headers, _ = await client.answer()
             assert headers[b"zinniahook-outcome"] == b"not-run"
             assert not bench.session.busy
@@ -235,7 +235,7 @@
 
     def test_a_body_that_is_too_large(self, run):
         async def scenario(bench: Bench, client: PlainClient) -> None:
-            length = str(BODY_SIZE + 1).encode()
+            length = str(MAX_BODY_BYTES + 1).encode()
             client.ask("POST", "/", (b"content-length", length), end=False)
             headers, _ = await client.answer()
             assert headers[b":status"] == b"413"
@@ -306,7 +306,7 @@
         ],
     )
     def test_of_outcomes(self, outcome, status):
-        answer = answer_of(outcome)
+        answer = outcome_answer(outcome)
         headers = dict(answer.headers)
         assert answer.status == status
         assert headers[b"zinniahook-outcome"] == outcome.kind.value.encode()
--- a/packages/zinniahook-daemon/tests/test_packet_differences.py
+++ b/packages/zinniahook-daemon/tests/test_packet_differences.py
@@ -10,9 +10,14 @@
 from zinniahook_daemon.packets import differences, web
 from zinniahook_daemon.packets.daemon import Daemon
 from zinniahook_daemon.packets.differences import DifferenceError
-from zinniahook_daemon.packets.documents import DIFFERENCE, KEPT, Documents, question
-
-BYTES_A_CHANGE = 8_000 * 86_400 / 13_000
+from zinniahook_daemon.packets.documents import (
+    DIFFERENCE_TYPE,
+    KEPT_VERSIONS,
+    Documents,
+    encode_request,
+)
+
+MAX_BYTES_PER_CHANGE = 8_000 * 86_400 / 13_000
 """What a daemon may receive for one change: 8 KB/s, 13,000 changes a day."""
 
 
@@ -57,7 +62,7 @@
 
     def test_one_change_of_the_largest_configuration_is_within_its_bytes(self):
         former, new = document(1, 5800), document(2, 5800, changed={4000})
-        assert len(differences.difference(former, new)) < BYTES_A_CHANGE / 10
+        assert len(differences.difference(former, new)) < MAX_BYTES_PER_CHANGE / 10
 
     def test_to_another_version_it_gives_an_error(self):
         """A daemon has moved on while it asked, or its version is another one."""
@@ -70,7 +75,7 @@
         """Never a mixture of two versions: the digest is that of the whole."""
         former = document(1)
         made = differences.zlib.decompress(differences.difference(former, document(2)))
-        for at in range(differences.DIGEST_SIZE, len(made)):
+        for at in range(differences.DIGEST_BYTES, len(made)):
             broken = bytearray(made)
             broken[at] ^= 1
             packed = differences.zlib.compress(bytes(broken))
@@ -81,35 +86,35 @@
 
     def test_one_that_grows_without_bound_is_refused(self, monkeypatch):
         made = differences.difference(document(1), document(2))
-        monkeypatch.setattr(differences, "LARGEST", 1000)
+        monkeypatch.setattr(differences, "MAX_DOCUMENT_BYTES", 1000)
         with pytest.raises(DifferenceError):
             differences.apply(document(1), made)
 
 
-class TestTelling:
+class TestServing:
     def asked(self, documents, known, newest):
-        answer = documents.answer(newest, question(known))
+        answer = documents.answer(newest, encode_request(known))
         return answer.content_type, documents.read(known, answer)
 
     def test_a_daemon_one_version_behind_gets_the_difference(self):
         documents = Documents()
         documents.keep(routes(1))
-        told = self.asked(documents, routes(1), routes(2))
-        assert told == (DIFFERENCE, document(2))
+        received = self.asked(documents, routes(1), routes(2))
+        assert received == (DIFFERENCE_TYPE, document(2))
 
     def test_one_that_lags_far_behind_gets_the_whole(self):
         documents = Documents()
-        for version in range(1, KEPT + 2):
+        for version in range(1, KEPT_VERSIONS + 2):
             documents.keep(routes(version))
-        kind, found = self.asked(documents, routes(1), routes(KEPT + 2))
-        assert kind != DIFFERENCE
-        assert found == document(KEPT + 2)
-        kind, found = self.asked(documents, routes(2), routes(KEPT + 2))
-        assert (kind, found) == (DIFFERENCE, document(KEPT + 2))
+        kind, found = self.asked(documents, routes(1), routes(KEPT_VERSIONS + 2))
+        assert kind != DIFFERENCE_TYPE
+        assert found == document(KEPT_VERSIONS + 2)
+        kind, found = self.asked(documents, routes(2), routes(KEPT_VERSIONS + 2))
+        assert (kind, found) == (DIFFERENCE_TYPE, document(KEPT_VERSIONS + 2))
 
     def test_one_that_has_just_started_gets_the_whole(self):
         kind, found = self.asked(Documents(), Routes.none(), routes(7))
-        assert kind != DIFFERENCE
+        assert kind != DIFFERENCE_TYPE
         assert found == document(7)
 
     def test_other_text_of_the_same_version_is_no_base(self):
@@ -117,7 +122,7 @@
         documents = Documents()
         documents.keep(routes(1))
         kind, _ = self.asked(documents, routes(1, changed={3}), routes(2))
-        assert kind != DIFFERENCE
+        assert kind != DIFFERENCE_TYPE
 
     @pytest.mark.parametrize("asked", [b"", b"{", b"[]", b'{"digest": 7}', b"\xff"])
     def test_a_question_that_cannot_be_read_gets_the_whole(self, asked):
@@ -138,7 +143,7 @@
         self.questions.append(body)
         if body:
             made = differences.difference(document(8), document(9))
-            return web.Answer(web.OK, made, DIFFERENCE)
+            return web.Answer(web.OK, made, DIFFERENCE_TYPE)
         return Documents().answer(routes(9), b"")
 
 
@@ -170,7 +175,7 @@
         """
         asking, peer, found = asyncio.run(self.fetched())
         assert found == document(9)
-        assert peer.questions == [question(routes(5)), b""]
+        assert peer.questions == [encode_request(routes(5)), b""]
         assert asking.events == [
             ("fetch.difference_refused", int(Code.CONFIGURATION_INVALID))
         ]
--- a/packages/zinniahook-daemon/tests/test_packet_fetches.py
+++ b/packages/zinniahook-daemon/tests/test_packet_fetches.py
@@ -44,7 +44,7 @@
     def test_another_is_asked_if_the_first_is_slow(self, clock):
         fetching = FetchingDaemon()
         fetching.fetch("10.0.0.1")
-        clock[0] += daemon.FETCH_PATIENCE
+        clock[0] += daemon.FETCH_INTERVAL_SECONDS
         fetching.fetch("10.0.0.1")
         fetching.fetch("10.0.0.2")
         assert fetching.asked == ["10.0.0.1", "10.0.0.2"]
@@ -76,11 +76,11 @@
             if fails:
                 raise RuntimeError("a fault")
 
-        async def story():
+        async def scenario():
             failing = FailingDaemon()
             failing.start(work())
             await asyncio.wait(set(failing._tasks))
             await asyncio.sleep(0)
             return failing.has_failed, failing.stopping.is_set()
 
-        assert asyncio.run(story()) == (fails, fails)
+        assert asyncio.run(scenario()) == (fails, fails)
--- a/packages/zinniahook-daemon/tests/test_packet_journal.py
+++ b/packages/zinniahook-daemon/tests/test_packet_journal.py
@@ -42,12 +42,12 @@
         for _ in range(1000):
             journal.event("drop.no_agent")
         journal.event("started")
-        told = lines(reading)
-        assert len(told) == journals.BURST + 1
+        written = lines(reading)
+        assert len(written) == journals.BURST_LINES + 1
         clock[0] += 1.0
         journal.event("drop.no_agent")
         (line,) = lines(reading)
-        assert line["omitted"] == 1000 - journals.BURST
+        assert line["omitted"] == 1000 - journals.BURST_LINES
         assert journal.counters_by_name["drop.no_agent"] == 1001
 
 
@@ -60,7 +60,7 @@
 
     def test_lines_are_dropped_and_counted(self, monkeypatch):
         journal, reading = opened()
-        monkeypatch.setattr(journals, "BURST", 1e9)
+        monkeypatch.setattr(journals, "BURST_LINES", 1e9)
         for _ in range(5000):
             journal.event("flow.opened", text="x" * 100)
         assert journal.dropped > 0
@@ -90,7 +90,7 @@
 
     def test_routes_without_end_are_refused(self):
         journal, _ = opened()
-        for number in range(journals.HISTOGRAMS_LIMIT + 5):
+        for number in range(journals.MAX_HISTOGRAMS + 5):
             journal.observe("answer_seconds", 0.1, route=f"r-{number}")
-        assert len(journal.histograms_by_key) == journals.HISTOGRAMS_LIMIT
+        assert len(journal.histograms_by_key) == journals.MAX_HISTOGRAMS
         assert journal.counters_by_name["histograms.refused"] == 5
--- a/packages/zinniahook-daemon/tests/test_packet_recorder.py
+++ b/packages/zinniahook-daemon/tests/test_packet_recorder.py
@@ -8,7 +8,11 @@
 from zinniahook_core.packets import Route, Routes, ServiceShare, formers
 from zinniahook_core.packets.formers import Former, Formers, Record
 from zinniahook_daemon.packets import recorder as recorders
-from zinniahook_daemon.packets.ports import Kept, StoreUnavailableError, Written
+from zinniahook_daemon.packets.ports import (
+    StoredValue,
+    StoreUnavailableError,
+    WritePosition,
+)
 from zinniahook_daemon.packets.recorder import Recorder
 
 FLOOR = bytes((198, 18, 0, 1, 1, 187))
@@ -44,22 +48,22 @@
             self.failures -= 1
             raise StoreUnavailableError("refused")
 
-    async def kept(self):
-        self._call("kept")
+    async def stored_values(self):
+        self._call("stored_values")
         return [kept._replace(era=self.era) for kept in self.by_name.values()]
 
-    async def keep(self, values):
-        self._call("keep")
+    async def write_values(self, values):
+        self._call("write_values")
         for kept in values:
-            former = self.by_name.get(kept.name, Kept(kept.name, b"", 0))
+            former = self.by_name.get(kept.name, StoredValue(kept.name, b"", 0))
             if former.revision != kept.revision:
                 return None
         self.revision += 1
         for kept in values:
-            self.by_name[kept.name] = Kept(
+            self.by_name[kept.name] = StoredValue(
                 kept.name, kept.value, self.revision, self.era
             )
-        return Written(self.era, self.revision)
+        return WritePosition(self.era, self.revision)
 
 
 class Node:
@@ -69,9 +73,9 @@
         self.formers = Formers()
         self.formers.is_complete = known
 
-    def configure(self, now, newer, told=None, whole=True):
-        if told is not None:
-            self.formers.learn(now, told, whole)
+    def configure(self, now, newer, rows=None, whole=True):
+        if rows is not None:
+            self.formers.learn(now, rows, whole)
         if newer.version > self.routes.version:
             self.formers.replaced(now, self.routes, newer)
             self.routes = newer
@@ -106,8 +110,8 @@
         fresh.configure(0.0, routes(7, floor=["floor"], docs=["docs"]))
         asyncio.run(Recorder(fresh, store, Journal()).read())
         assert fresh.formers.is_complete
-        told = fresh.formers.rows(0.0)
-        assert [(each.address, each.service) for each in told] == [(FLOOR, "docs")]
+        rows = fresh.formers.rows(0.0)
+        assert [(each.address, each.service) for each in rows] == [(FLOOR, "docs")]
 
     def test_a_former_service_stays_in_it_for_as_long_as_flows_live(self):
         store, node = KeepingStore(), Node()
@@ -128,7 +132,7 @@
         before = list(store.calls)
         node.configure(0.0, routes(5, floor=["floor"]))
         asyncio.run(recorder.write(float("-inf")))
-        assert store.calls == before == ["kept", "keep"]
+        assert store.calls == before == ["stored_values", "write_values"]
 
     def test_two_that_write_at_once_lose_nothing(self):
         store = KeepingStore()
@@ -150,19 +154,19 @@
         store.failures = 1
         node.configure(0.0, routes(4, floor=["floor"]))
 
-        async def look():
+        async def update():
             recorder = Recorder(node, store, journal)
             for _ in range(3):
-                recorder.look(float("-inf"))
+                recorder.update(float("-inf"))
                 await asyncio.sleep(0)
                 await asyncio.sleep(0)
 
-        asyncio.run(look())
-        assert store.calls == ["kept"]
+        asyncio.run(update())
+        assert store.calls == ["stored_values"]
         assert journal.events == ["record.failed"]
-        monkeypatch.setattr(recorders, "RETRY_AFTER", 0.0)
-        asyncio.run(look())
-        assert "keep" in store.calls
+        monkeypatch.setattr(recorders, "RETRY_SECONDS", 0.0)
+        asyncio.run(update())
+        assert "write_values" in store.calls
 
     def test_a_change_writes_only_the_parts_that_change(self):
         store, node = KeepingStore(), Node()
@@ -172,7 +176,7 @@
         node.configure(0.0, routes(5, floor=["docs"], docs=["docs"]))
         asyncio.run(recorder.write(float("-inf")))
         changed = [n for n, kept in store.by_name.items() if former[n] != kept]
-        assert store.calls == ["kept", "keep", "keep"]
+        assert store.calls == ["stored_values", "write_values", "write_values"]
         assert len(former) == 2
         assert len(changed) == 1
 
--- a/packages/zinniahook-daemon/tests/test_packet_restored.py
+++ b/packages/zinniahook-daemon/tests/test_packet_restored.py
@@ -19,9 +19,9 @@
 from zinniahook_core.packets.formers import Former
 from zinniahook_daemon.packets.ports import (
     StoreUnavailableError,
-    Written,
+    WritePosition,
 )
-from zinniahook_daemon.packets.recorder import ERA_NAME, Recorder
+from zinniahook_daemon.packets.recorder import CHECKED_ERA_NAME, Recorder
 from zinniahook_daemon.packets.roles import AgentDaemon, EntryDaemon
 from zinniahook_daemon.packets.watcher import Announcer
 
@@ -72,16 +72,16 @@
         roster = "zinniahook_core.packets.members.Roster.present"
         monkeypatch.setattr(roster, lambda self, now: lower)
         self.renewed(store, "10.0.0.1")
-        assert "standing" not in store.calls
+        assert "last_write" not in store.calls
 
     def test_a_store_that_refuses_is_left_alone(self):
         store = RestorableStore()
         store.revisions_by_agent[PEER.address] = 9
 
-        async def standing(agent):
+        async def last_write(agent):
             raise StoreUnavailableError("refused")
 
-        store.standing = standing
+        store.last_write = last_write
         made = self.renewed(store)
         assert "takeout.failed" in made.journal.names
 
@@ -97,7 +97,7 @@
             made.start = lambda work: (made.started.append(1), work.close())
             for era, revision in ((1, 1000), (1, 1001), (2, 900), (2, 901)):
                 made.core.evacuations.read(revision, NONE, era)
-                made._note_restore()
+                made._check_restore()
             return made
 
         made = asyncio.run(run())
@@ -131,9 +131,9 @@
             made.started = []
             made.start = lambda work: (made.started.append(1), work.close())
             made._announcer = Announcer(made.store, None, made.rng)
-            made._announcer._written = Written(written, 5)
+            made._announcer._last_write = WritePosition(written, 5)
             made.core.evacuations.read(900, NONE, 1)
-            made._note_restore()
+            made._check_restore()
             return made.started
 
         assert asyncio.run(run()) == again
@@ -187,16 +187,21 @@
         wrote(recorder, 1, times=3)
         store.restore(store.copy())
         wrote(recorder, 2, times=5)
-        assert store.calls == ["kept", "keep", "kept", "keep"]
-        assert store.kept_by_name[ERA_NAME].value == b"2"
+        assert store.calls == [
+            "stored_values",
+            "write_values",
+            "stored_values",
+            "write_values",
+        ]
+        assert store.kept_by_name[CHECKED_ERA_NAME].value == b"2"
 
     def test_a_store_without_eras_is_written_as_before(self):
         store, node = RestorableStore(), FakeNode()
         store.era = 0
         node.configure(0.0, routes(4, "floor"))
         wrote(Recorder(node, store, FakeJournal()), 0, times=3)
-        assert store.calls == ["kept", "keep"]
-        assert ERA_NAME not in store.kept_by_name
+        assert store.calls == ["stored_values", "write_values"]
+        assert CHECKED_ERA_NAME not in store.kept_by_name
 
     def test_a_write_that_a_restore_overtook_is_made_again(self):
         """Symptom: the record is thought to be written in the new era. Sequence: it
@@ -206,18 +211,23 @@
         store, node = RestorableStore(), FakeNode()
         node.configure(0.0, routes(4, "floor"))
         recorder = Recorder(node, store, FakeJournal())
-        keep = store.keep
+        keep = store.write_values
 
         async def restored(values):
             store.era = 2
-            store.keep = keep
+            store.write_values = keep
             return await keep(values)
 
-        store.keep = restored
+        store.write_values = restored
         wrote(recorder, 1)
         wrote(recorder, 2, times=2)
-        assert store.calls == ["kept", "keep", "kept", "keep"]
-        assert store.kept_by_name[ERA_NAME].value == b"2"
+        assert store.calls == [
+            "stored_values",
+            "write_values",
+            "stored_values",
+            "write_values",
+        ]
+        assert store.kept_by_name[CHECKED_ERA_NAME].value == b"2"
 
     def started(self, store, era):
         fresh, journal = FakeNode(known=False), FakeJournal()
@@ -258,7 +268,7 @@
         fresh.configure(0.0, routes(5, "docs"))
         wrote(Recorder(fresh, store, FakeJournal()), 2)
         assert store.recorded() == {"floor", "docs"}
-        assert store.kept_by_name[ERA_NAME].value == b"1"
+        assert store.kept_by_name[CHECKED_ERA_NAME].value == b"1"
 
     def test_an_empty_one_is_complete(self):
         assert self.started(RestorableStore(), 1)[0].formers.is_complete
--- a/packages/zinniahook-daemon/tests/test_packet_restores.py
+++ b/packages/zinniahook-daemon/tests/test_packet_restores.py
@@ -10,8 +10,8 @@
     A,
     FakeJournal,
     RestorableStore,
+    run_watcher,
     until,
-    watched,
 )
 from zinniahook_daemon.packets import watcher as watchers
 from zinniahook_daemon.packets.eras import Eras
@@ -32,22 +32,22 @@
     def test_what_is_none_counts_as_the_one_known(self, told):
         journal = FakeJournal()
         eras = Eras(journal)
-        assert eras.of("3", 0) == 3
-        assert eras.of(told, 3) == 3
+        assert eras.resolve("3", 0) == 3
+        assert eras.resolve(told, 3) == 3
         assert journal.events[0][0] == "store.era_unknown"
         assert journal.events[0][1]["code"] == 308
 
     def test_a_store_without_eras_is_told_of_nowhere(self):
         journal = FakeJournal()
-        assert Eras(journal).of(None, 0) == 0
+        assert Eras(journal).resolve(None, 0) == 0
         assert journal.events == []
 
     def test_one_that_falls_is_an_error_with_its_code(self):
         journal = FakeJournal()
         eras = Eras(journal)
-        eras.of("3", 0)
+        eras.resolve("3", 0)
         with pytest.raises(StoreEraError) as error:
-            eras.of("2", 3)
+            eras.resolve("2", 3)
         assert error.value.code == 307
         assert journal.events == [
             ("store.era_fell", {"era": 2, "known": 3, "code": 307})
@@ -56,9 +56,9 @@
 
     def test_a_late_answer_is_of_the_era_that_it_was_asked_in(self):
         eras = Eras(FakeJournal())
-        eras.of("3", 0)
-        assert eras.of("2", 2) == 2
-        assert eras.of(None, 2) == 2
+        eras.resolve("3", 0)
+        assert eras.resolve("2", 2) == 2
+        assert eras.resolve(None, 2) == 2
         assert eras.latest == 3
 
 
@@ -70,16 +70,16 @@
         number passes for nothing new.
         """
 
-        async def story(node, store, journal):
+        async def scenario(node, store, journal):
             await until(lambda: node.routes.version == 1)
             store.era, store.version = 2, 2
             await until(lambda: node.routes.version == 2)
             assert store.revision == 10
 
-        watched(story)
+        run_watcher(scenario)
 
     def test_an_older_configuration_is_never_gone_back_to(self):
-        async def story(node, store, journal):
+        async def scenario(node, store, journal):
             store.version = 5
             await until(lambda: node.routes.version == 5)
             store.era, store.revision, store.version = 2, 4, 4
@@ -87,14 +87,14 @@
             await until(lambda: len(store.calls) > calls + 6)
             assert node.routes.version == 5
 
-        watched(story)
+        run_watcher(scenario)
 
     def test_an_era_that_falls_is_not_believed(self):
         """Symptom: orders of a history that is over are in force again. Sequence:
         the old store answers once more at its address. Cause: it answered last.
         """
 
-        async def story(node, store, journal):
+        async def scenario(node, store, journal):
             await until(lambda: node.routes.version == 1)
             store.era, store.revision, store.evacuated_now = 0, 99, A
             await until(lambda: "store.era_fell" in journal.names)
@@ -104,14 +104,14 @@
             assert node.evacuations.names == NONE
             assert node.freshness.confirmed_at == confirmed
 
-        watched(story)
+        run_watcher(scenario)
 
     def test_a_look_that_a_restore_overtook_confirms_nothing(self):
         """Symptom: an old set passes for fresh. Sequence: a look is sent, others
         tell of the restore, the look is answered. Cause: any answer confirms.
         """
 
-        async def story(node, store, journal):
+        async def scenario(node, store, journal):
             await until(lambda: node.routes.version == 1)
 
             confirmed = []
@@ -125,7 +125,7 @@
             assert node.evacuations.names == A
             assert set(confirmed) == {confirmed[0]}
 
-        watched(story)
+        run_watcher(scenario)
 
 
 @pytest.mark.usefixtures("quick")
@@ -250,7 +250,7 @@
             return store
 
         store = asyncio.run(run())
-        assert store.calls == ["announce", "standing", "withdraw"]
+        assert store.calls == ["announce", "last_write", "withdraw"]
         assert store.revisions_by_agent == {}
 
     def test_of_what_the_copy_lacks_cost_nothing_more(self):
@@ -262,4 +262,4 @@
             await announcer.withdraw(2)
             return store
 
-        assert asyncio.run(run()).calls == ["announce", "standing"]
+        assert asyncio.run(run()).calls == ["announce", "last_write"]
--- a/packages/zinniahook-daemon/tests/test_packet_roles.py
+++ b/packages/zinniahook-daemon/tests/test_packet_roles.py
@@ -8,7 +8,7 @@
 from zinniahook_core.packets import Beat, State
 from zinniahook_daemon.packets.journal import Journal
 from zinniahook_daemon.packets.ports import (
-    Announced,
+    AgentRecord,
     Settings,
     StoreUnavailableError,
 )
@@ -39,9 +39,9 @@
         yield server
 
 
-def looked(daemon):
+def probed_state(daemon):
     """Let a daemon look for its target; return the state that it tells."""
-    asyncio.run(daemon._look_for_target())
+    asyncio.run(daemon._probe_target())
     return daemon.core.membership.state(0.0)
 
 
@@ -55,17 +55,17 @@
     def test_an_address_that_refuses_has_no_target(self, listener):
         address = Address(*listener.getsockname())
         listener.close()
-        assert looked(agent(address)) is State.ENDED
+        assert probed_state(agent(address)) is State.ENDED
 
     def test_one_that_listens_may_hold_flows(self, listener):
-        assert looked(agent(Address(*listener.getsockname()))) is State.STARTING
+        assert probed_state(agent(Address(*listener.getsockname()))) is State.STARTING
 
     def test_one_that_told_of_itself_is_not_looked_for(self, listener):
         address = Address(*listener.getsockname())
         listener.close()
         daemon = agent(address)
         daemon.core.target.beat(0.0, Beat("t-1", "tally", 4, False, 0.0, 3))
-        assert looked(daemon) is State.READY
+        assert probed_state(daemon) is State.READY
 
 
 class SilentLink:
@@ -82,11 +82,11 @@
         self.peers = peers
         self.asked = 0
 
-    async def announced(self, service):
+    async def announced_agents(self, service):
         self.asked += 1
         if self.asked == 1:
             raise StoreUnavailableError("no answer")
-        return [Announced(service, peer, "a") for peer in self.peers]
+        return [AgentRecord(service, peer, "a") for peer in self.peers]
 
 
 class TestLookupsAtTheStart:
@@ -94,8 +94,8 @@
         """Guards against a roster that lacks peers because one answer got lost."""
         daemon = agent(Address(HOST, 1))
         daemon.store = FailingStore("127.0.0.2", "127.0.0.3")
-        daemon._inner = SilentLink()
+        daemon._peer_socket = SilentLink()
         daemon.core.members(0.0, "tally", "127.0.0.2", "a")
-        asyncio.run(asyncio.wait_for(daemon._learn(), 10.0))
+        asyncio.run(asyncio.wait_for(daemon._discover_peers(), 10.0))
         assert daemon.store.asked == 2
         assert "127.0.0.3" in daemon.core.roster.by_address
--- a/packages/zinniahook-daemon/tests/test_packet_watcher.py
+++ b/packages/zinniahook-daemon/tests/test_packet_watcher.py
@@ -11,10 +11,10 @@
 from zinniahook_core.packets.tunnel import Head, Kind, decode, encode
 from zinniahook_daemon.packets import watcher as watchers
 from zinniahook_daemon.packets.ports import (
-    Announced,
-    Evacuated,
+    AgentRecord,
+    EvacuationSnapshot,
     StoreUnavailableError,
-    Written,
+    WritePosition,
 )
 from zinniahook_daemon.packets.watcher import Announcer, Watcher
 
@@ -45,14 +45,14 @@
         self._call("configuration")
         return Routes(self.version, {}, 60.0, b""), self.revision_now
 
-    async def evacuated(self):
-        self._call("evacuated")
-        return Evacuated(self.revision_now, self.evacuated_now, self.era)
+    async def evacuation_snapshot(self):
+        self._call("evacuation_snapshot")
+        return EvacuationSnapshot(self.revision_now, self.evacuated_now, self.era)
 
     async def announce(self, agent):
         self._call("announce")
         self.announced_agents.append(agent)
-        return Written(self.era, 7)
+        return WritePosition(self.era, 7)
 
     async def withdraw(self, agent, revision):
         self._call("withdraw")
@@ -65,19 +65,19 @@
         self.routes = Routes.none()
         self.formers = Formers()
         self.evacuations = Evacuations()
-        self.told = []
+        self.reports = []
 
     def show(self, now):
-        self.told.append(("shown", self.freshness.age(now)))
+        self.reports.append(("shown", self.freshness.age(now)))
 
     def evacuate(self, now, revision, names, era=0):
-        self.told.append(("evacuated", revision, names))
+        self.reports.append(("evacuated", revision, names))
         self.evacuations.read(revision, names, era)
 
-    def configure(self, now, routes, told=None):
-        self.told.append(("configured", routes.version))
-        if told is not None:
-            self.formers.learn(now, told)
+    def configure(self, now, routes, rows=None):
+        self.reports.append(("configured", routes.version))
+        if rows is not None:
+            self.formers.learn(now, rows)
         if routes.version > self.routes.version:
             self.routes = routes
             self.freshness.installed(routes.version)
@@ -93,17 +93,22 @@
 
 @pytest.fixture
 def quick(monkeypatch):
-    for name in ("LOOK_EVERY", "IDLE_TIME", "RETRY_FIRST", "RETRY_LONGEST"):
+    for name in (
+        "POLL_INTERVAL_SECONDS",
+        "MIN_IDLE_SECONDS",
+        "MIN_RETRY_SECONDS",
+        "MAX_RETRY_SECONDS",
+    ):
         monkeypatch.setattr(watchers, name, 0.001)
 
 
-def watched(story, store=None):
+def run_watcher(scenario, store=None):
     async def run():
         node, journal = FakeNode(), FakeJournal()
         used = store or FakeStore()
         task = asyncio.create_task(Watcher(node, used, journal).run())
         try:
-            await asyncio.wait_for(story(node, used, journal), 20)
+            await asyncio.wait_for(scenario(node, used, journal), 20)
         finally:
             task.cancel()
         return node, used, journal
@@ -119,12 +124,12 @@
 @pytest.mark.usefixtures("quick")
 class TestWatching:
     def test_a_change_is_installed(self):
-        async def story(node, store, journal):
+        async def scenario(node, store, journal):
             await until(lambda: node.routes.version == 1)
             store.change()
             await until(lambda: node.routes.version == 2)
 
-        _, store, _ = watched(story)
+        _, store, _ = run_watcher(scenario)
         assert store.calls.count("configuration") == 2
 
     def test_an_evacuation_is_told_before_the_configuration(self):
@@ -134,13 +139,13 @@
         orders a moment later. Cause: the configuration is what lets it route.
         """
 
-        async def story(node, store, journal):
+        async def scenario(node, store, journal):
             await until(lambda: node.routes.version == 1)
 
         store = FakeStore()
         store.evacuated_now = frozenset({"thies-a"})
-        node, _, _ = watched(story, store)
-        assert node.told[:2] == [
+        node, _, _ = run_watcher(scenario, store)
+        assert node.reports[:2] == [
             ("evacuated", 10, frozenset({"thies-a"})),
             ("configured", 1),
         ]
@@ -152,9 +157,9 @@
         asked. Cause: whoever knows of them waits for somebody to tell them.
         """
 
-        async def story(node, store, journal):
+        async def scenario(node, store, journal):
             await until(lambda: node.routes.version == 1)
-            told = len(node.told)
+            known = len(node.reports)
             loop = asyncio.get_running_loop()
             while "watch.ended" not in journal.events:
                 node.freshness.heard(loop.time(), "10.0.0.1", 1, 0.0)
@@ -165,17 +170,17 @@
                 node.freshness.heard(loop.time(), "10.0.0.1", 1, 0.0)
                 node.evacuations.shown(loop.time(), Stamp(99, 7))
                 await asyncio.sleep(0.001)
-            await until(lambda: len(node.told) > told)
+            await until(lambda: len(node.reports) > known)
 
-        watched(story)
+        run_watcher(scenario)
 
     def test_an_evacuation_costs_no_call_of_its_own(self):
-        async def story(node, store, journal):
-            await until(lambda: len(node.told) > 20)
+        async def scenario(node, store, journal):
+            await until(lambda: len(node.reports) > 20)
 
-        _, store, _ = watched(story)
+        _, store, _ = run_watcher(scenario)
         assert store.calls.count("configuration") == 1
-        assert set(store.calls) <= {"evacuated", "configuration"}
+        assert set(store.calls) <= {"evacuation_snapshot", "configuration"}
 
     def test_each_confirmation_is_shown_at_once(self):
         """Symptom: a third of the entries read the store though one would do.
@@ -184,23 +189,23 @@
         too old for a watcher to yield by the time that it hears it.
         """
 
-        async def story(node, store, journal):
-            await until(lambda: len(node.told) > 20)
+        async def scenario(node, store, journal):
+            await until(lambda: len(node.reports) > 20)
 
-        node, _, _ = watched(story)
-        kinds = [told[0] for told in node.told if told[0] != "configured"]
+        node, _, _ = run_watcher(scenario)
+        kinds = [report[0] for report in node.reports if report[0] != "configured"]
         assert kinds[:6] == ["evacuated", "shown"] * 3
-        assert max(told[1] for told in node.told if told[0] == "shown") < 0.5
+        assert max(report[1] for report in node.reports if report[0] == "shown") < 0.5
 
     def test_it_stops_for_another_watcher(self):
-        async def story(node, store, journal):
+        async def scenario(node, store, journal):
             await until(lambda: node.routes.version == 1)
             while "watch.ended" not in journal.events:
                 now = asyncio.get_running_loop().time()
                 node.freshness.heard(now, "10.0.0.1", 1, 0.0)
                 await asyncio.sleep(0.001)
 
-        watched(story)
+        run_watcher(scenario)
 
     def test_its_own_confirmation_heard_again_stops_nothing(self):
         freshness = Freshness("10.0.0.2", random.Random(1))
@@ -219,18 +224,18 @@
     """
 
     def test_it_goes_on_when_the_store_is_back(self):
-        async def story(node, store, journal):
+        async def scenario(node, store, journal):
             await until(lambda: node.routes.version == 1)
             store.change()
             store.failures = 20
             await until(lambda: node.routes.version == 2)
 
-        _, _, journal = watched(story)
+        _, _, journal = run_watcher(scenario)
         lost = journal.events.index("dependency.lost")
         assert "dependency.regained" in journal.events[lost:]
 
     def test_nothing_is_confirmed_meanwhile(self):
-        async def story(node, store, journal):
+        async def scenario(node, store, journal):
             await until(lambda: node.routes.version == 1)
             store.failures = 1_000_000
             await until(lambda: "dependency.lost" in journal.events)
@@ -238,7 +243,7 @@
             await until(lambda: store.failures < 1_000_000 - 5)
             assert node.freshness.confirmed_at == confirmed
 
-        watched(story)
+        run_watcher(scenario)
 
 
 @pytest.mark.usefixtures("quick")
@@ -246,7 +251,7 @@
     def test_it_is_tried_until_the_store_takes_it(self):
         store = FakeStore()
         store.failures = 4
-        own = Announced("tally", "10.0.0.3", "a")
+        own = AgentRecord("tally", "10.0.0.3", "a")
         asyncio.run(Announcer(store, own, random.Random(1)).run())
         assert store.announced_agents == [own]
         assert store.calls.count("announce") == 5
@@ -285,10 +290,10 @@
             freshness.installed(1)
         one.confirmed(now)
         for _ in range(1000):
-            for teller, hearer in ((one, other), (other, one)):
+            for sender, receiver in ((one, other), (other, one)):
                 now += 0.0015
-                head = Head(Kind.HELLO, version=1, age=teller.age(now))
-                told, _ = decode(encode(head))
-                hearer.heard(now + 0.001, "10.0.0.1", 1, told.age)
+                head = Head(Kind.HELLO, version=1, age=sender.age(now))
+                received, _ = decode(encode(head))
+                receiver.heard(now + 0.001, "10.0.0.1", 1, received.age)
         assert one.must_look(now)
         assert other.must_look(now)
--- a/packages/zinniahook-daemon/tests/test_packet_web.py
+++ b/packages/zinniahook-daemon/tests/test_packet_web.py
@@ -14,12 +14,12 @@
     return web.Answer(web.OK, match[1].encode() + body)
 
 
-def played(story):
+def run_scenario(scenario):
     async def run():
         routes = [web.Route("POST", HELLO, hello)]
         server = web.Server(Address("127.0.0.1", 0), routes)
         try:
-            return await story(web.Client(server.address, 5.0), server)
+            return await scenario(web.Client(server.address, 5.0), server)
         finally:
             await server.close()
 
@@ -28,41 +28,41 @@
 
 class TestCalls:
     def test_are_answered_with_the_body(self):
-        async def story(client, server):
+        async def scenario(client, server):
             return await client.call("POST", "/hello/tally", b"!")
 
-        answer = played(story)
+        answer = run_scenario(scenario)
         assert answer.status == web.OK
         assert answer.body == b"tally!"
 
     def test_an_empty_body_and_an_unknown_path(self):
-        async def story(client, server):
+        async def scenario(client, server):
             return [
                 await client.call("POST", "/hello/tally"),
                 await client.call("GET", "/hello/tally"),
                 await client.call("POST", "/hello/tally/more"),
             ]
 
-        statuses = [answer.status for answer in played(story)]
+        statuses = [answer.status for answer in run_scenario(scenario)]
         assert statuses == [200, 404, 404]
 
     def test_use_one_connection_again(self):
-        async def story(client, server):
+        async def scenario(client, server):
             for _ in range(5):
                 await client.call("POST", "/hello/tally")
             return len(server.connections)
 
-        assert played(story) == 1
+        assert run_scenario(scenario) == 1
 
     def test_at_the_same_time_use_connections_of_their_own(self):
-        async def story(client, server):
+        async def scenario(client, server):
             calls = [client.call("POST", f"/hello/{name}") for name in ("a", "b", "c")]
             return await asyncio.gather(*calls)
 
-        assert [answer.body for answer in played(story)] == [b"a", b"b", b"c"]
+        assert [answer.body for answer in run_scenario(scenario)] == [b"a", b"b", b"c"]
 
 
-class TestTrouble:
+class TestFailures:
     """Symptom: a daemon waits for ever for another one.
 
     Sequence: the other one is gone, closes in the middle, or says nothing.
@@ -70,11 +70,11 @@
     """
 
     def test_nobody_listens(self):
-        async def story(client, server):
+        async def scenario(client, server):
             with pytest.raises(web.ClientError):
                 await web.Client(Address("127.0.0.1", 1), 5.0).call("GET", "/")
 
-        played(story)
+        run_scenario(scenario)
 
     def test_silence_ends_the_call_and_the_connection(self):
         async def run():
@@ -109,7 +109,7 @@
         asyncio.run(run())
 
     def test_a_connection_that_was_closed_meanwhile_is_left(self):
-        async def story(client, server):
+        async def scenario(client, server):
             await client.call("POST", "/hello/a")
             for connection in list(server.connections):
                 connection.close()
@@ -120,13 +120,13 @@
                 answer = await client.call("POST", "/hello/b")
             return answer.body
 
-        assert played(story) == b"b"
+        assert run_scenario(scenario) == b"b"
 
 
-def told(*pieces):
+def send_raw(*pieces):
     """Send raw bytes to a server; return what it sends until it closes."""
 
-    async def story(client, server):
+    async def scenario(client, server):
         reader, writer = await asyncio.open_connection(*server.address)
         for piece in pieces:
             writer.write(piece)
@@ -137,7 +137,7 @@
         writer.close()
         return received
 
-    return played(story)
+    return run_scenario(scenario)
 
 
 class TestBadInput:
@@ -148,25 +148,25 @@
     """
 
     def test_what_is_not_http_is_refused(self):
-        assert told(b"\x00\x01 nonsense\r\n\r\n").startswith(b"HTTP/1.1 400")
+        assert send_raw(b"\x00\x01 nonsense\r\n\r\n").startswith(b"HTTP/1.1 400")
 
     def test_a_body_that_is_too_large_is_refused(self, monkeypatch):
-        monkeypatch.setattr(web, "LARGEST_BODY", 10)
+        monkeypatch.setattr(web, "MAX_BODY_BYTES", 10)
         head = b"POST /hello/a HTTP/1.1\r\nHost: a\r\nContent-Length: 20\r\n\r\n"
-        assert told(head, b"x" * 20).startswith(b"HTTP/1.1 413")
+        assert send_raw(head, b"x" * 20).startswith(b"HTTP/1.1 413")
 
     def test_a_request_in_pieces_and_two_in_one(self):
         whole = b"POST /hello/a HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\n!"
-        received = told(whole[:9], whole[9:] + whole)
+        received = send_raw(whole[:9], whole[9:] + whole)
         assert received.count(b"HTTP/1.1 200") == 2
         assert received.endswith(b"a!")
 
     def test_a_server_goes_on_after_bad_input(self):
-        async def story(client, server):
+        async def scenario(client, server):
             for _ in range(3):
                 _, writer = await asyncio.open_connection(*server.address)
                 writer.write(b"GET\r\n\r\n")
                 writer.close()
             return (await client.call("POST", "/hello/a")).body
 
-        assert played(story) == b"a"
+        assert run_scenario(scenario) == b"a"
--- a/packages/zinniahook-daemon/tests/test_relays.py
+++ b/packages/zinniahook-daemon/tests/test_relays.py
@@ -13,7 +13,12 @@
 from zinniahook_core.models import Address
 from zinniahook_daemon.certificates import Certificates
 from zinniahook_daemon.exchanges import Exchange, Head
-from zinniahook_daemon.relays import HIGH_WATER, RelayedExchange, Relays, serve_relay
+from zinniahook_daemon.relays import (
+    HIGH_WATER_BYTES,
+    RelayedExchange,
+    Relays,
+    serve_relay,
+)
 from zinniahook_testkit.certificates import Authority
 from zinniahook_wire.control_grpc import ControlBase
 
@@ -178,7 +183,7 @@
             caller.body.feed(b"", end=True)
             caller.gate.clear()
             task = asyncio.ensure_future(relays.run(caller, address))
-            while not peer.exchanges or peer.exchanges[0]._waiting < HIGH_WATER:
+            while not peer.exchanges or peer.exchanges[0]._waiting < HIGH_WATER_BYTES:
                 assert not peer.tasks or not all(t.done() for t in peer.tasks)
                 await asyncio.sleep(0)
             assert caller.sent < LARGE // 4
--- a/packages/zinniahook-daemon/tests/test_runs.py
+++ b/packages/zinniahook-daemon/tests/test_runs.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 
 import pytest
-from zinniahook_core import effects as todo
+from zinniahook_core import effects
 from zinniahook_core.codes import Code, Outcome, OutcomeKind
 from zinniahook_core.events import RequestArrived, RequestCancelled, RequestFinished
 from zinniahook_core.models import Address, RequestClass, Roster, Service
@@ -105,7 +105,7 @@
 
     async def running(self) -> Caller:
         caller = await self.arrive(Caller())
-        self.runs.execute(todo.Run(caller.number))
+        self.runs.execute(effects.Run(caller.number))
         await asyncio.wait_for(self.work.started.get(), PATIENCE)
         return caller
 
@@ -149,7 +149,7 @@
         """
 
         async def scenario(bench: Bench) -> None:
-            bench.runs.execute(todo.Run(4711))
+            bench.runs.execute(effects.Run(4711))
             event = await bench.event()
             assert event.request == 4711
             assert not event.started
@@ -160,11 +160,11 @@
         async def scenario(bench: Bench) -> None:
             caller = await bench.arrive(Caller("GET"))
             caller.begin(200, ())
-            bench.runs.execute(todo.Run(caller.number))
+            bench.runs.execute(effects.Run(caller.number))
             event = await bench.event()
             assert event.outcome.code is Code.ANSWER_LOST
             outcome = Outcome(OutcomeKind.UNKNOWN, Code.ANSWER_LOST)
-            bench.runs.execute(todo.FinishRequest(caller.number, outcome))
+            bench.runs.execute(effects.FinishRequest(caller.number, outcome))
             assert caller.ends == ["reset"]
             [(event, fields)] = bench.lines
             assert (event, fields["code"]) == ("answer-cut", "ANSWER_LOST")
@@ -174,11 +174,11 @@
     def test_relay_to_a_peer_that_left(self):
         async def scenario(bench: Bench) -> None:
             caller = await bench.arrive(Caller())
-            bench.runs.execute(todo.Relay(caller.number, "tally-9"))
+            bench.runs.execute(effects.Relay(caller.number, "tally-9"))
             event = await bench.event()
             assert event.outcome.code is Code.NO_AGENT
             assert not event.started
-            bench.runs.execute(todo.FinishRequest(caller.number, event.outcome))
+            bench.runs.execute(effects.FinishRequest(caller.number, event.outcome))
             assert caller.sent.startswith(b"503 ")
 
         run(scenario)
@@ -197,13 +197,13 @@
         async def scenario(bench: Bench) -> None:
             if early:
                 caller = await bench.arrive(Caller())
-                bench.runs.execute(todo.Run(caller.number))
+                bench.runs.execute(effects.Run(caller.number))
             else:
                 caller = await bench.running()
             caller.finished = True
             bench.runs.cancelled(caller)
             assert bench.events.get_nowait() == RequestCancelled(caller.number)
-            bench.runs.execute(todo.CancelRequest(caller.number))
+            bench.runs.execute(effects.CancelRequest(caller.number))
             event = await bench.event()
             before, after = OutcomeKind.CANCELLED_BEFORE, OutcomeKind.CANCELLED_AFTER
             assert event.outcome.kind is (before if early else after)
@@ -221,7 +221,7 @@
             if given_up:
                 bench.runs.cancelled(caller)
                 assert await bench.event() == RequestCancelled(caller.number)
-            bench.runs.execute(todo.CancelRequest(caller.number))
+            bench.runs.execute(effects.CancelRequest(caller.number))
             await bench.event()
             told = [(event, fields["code"]) for event, fields in bench.lines]
             assert told == ([] if given_up else [("answer-cut", "CANCELLED_AFTER")])
@@ -242,7 +242,7 @@
         async def scenario(bench: Bench) -> None:
             first = await bench.running()
             second = await bench.arrive(Caller())
-            bench.runs.execute(todo.JoinRequest(second.number, first.number))
+            bench.runs.execute(effects.JoinRequest(second.number, first.number))
             bench.work.results.put_nowait(DONE)
             await bench.event()
             assert (second.sent, second.ends) == (b"201 filed", ["end"])
@@ -256,7 +256,7 @@
             bench.runs.cancelled(first)
             await bench.event()
             second = await bench.arrive(Caller())
-            bench.runs.execute(todo.JoinRequest(second.number, first.number))
+            bench.runs.execute(effects.JoinRequest(second.number, first.number))
             bench.work.results.put_nowait(DONE)
             await bench.event()
             assert first.sent == b""
@@ -269,7 +269,7 @@
             first = await bench.running()
             first._kept = None
             second = await bench.arrive(Caller())
-            bench.runs.execute(todo.JoinRequest(second.number, first.number))
+            bench.runs.execute(effects.JoinRequest(second.number, first.number))
             bench.work.results.put_nowait(DONE)
             await bench.event()
             assert second.sent.startswith(b"502 ")
@@ -280,7 +280,7 @@
         async def scenario(bench: Bench) -> None:
             caller = await bench.arrive(Caller())
             answer = encode_answer(Answer(200, (), b"kept"))
-            bench.runs.execute(todo.Replay(caller.number, answer))
+            bench.runs.execute(effects.Replay(caller.number, answer))
             assert (caller.sent, caller.ends) == (b"200 kept", ["end"])
 
         run(scenario)
--- a/packages/zinniahook-daemon/tests/test_transport.py
+++ b/packages/zinniahook-daemon/tests/test_transport.py
@@ -7,7 +7,7 @@
 from aioquic.quic import events
 from quic_links import ENTRY, Link, run
 from zinniahook_core.models import Address
-from zinniahook_daemon.quic import STREAM_WINDOW, PacketWindow
+from zinniahook_daemon.quic import STREAM_WINDOW_BYTES, PacketWindow
 
 
 class TestStreamWindow:
@@ -39,20 +39,22 @@
                 unread[stream_id] += size
                 return unread[stream_id]
 
-            caller.quic.send_stream_data(stream_id, bytes(4 * STREAM_WINDOW), True)
+            caller.quic.send_stream_data(
+                stream_id, bytes(4 * STREAM_WINDOW_BYTES), True
+            )
             caller.send()
-            await link.until(lambda: arrived() >= STREAM_WINDOW)
+            await link.until(lambda: arrived() >= STREAM_WINDOW_BYTES)
             caller.events.clear()
             caller.quic.send_ping(9)
             caller.send()
             await link.until(lambda: caller.has(events.PingAcknowledged))
-            assert arrived() == STREAM_WINDOW
+            assert arrived() == STREAM_WINDOW_BYTES
 
             def take_all() -> bool:
                 arrived()
                 unread[stream_id] = 0
                 link.connections.touch(connection)
-                return taken == 4 * STREAM_WINDOW
+                return taken == 4 * STREAM_WINDOW_BYTES
 
             await link.until(take_all)
 
