--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/documents.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/documents.py
@@ -1,8 +1,8 @@
-"""Configurations as daemons pass them on to each other.
+"""The exchange of configurations between daemons.
 
-Who asks says which version it has. A daemon that still has that version answers
-with the difference, any other with the whole document; so does one of an older
-version of this program, which doesn't read the question.
+A request names the version that the sender has. A daemon that still keeps this version
+answers with the difference, any other with the complete document. A daemon of an older
+release ignores the request's body and also sends the complete document.
 """
 
 from __future__ import annotations
@@ -15,30 +15,31 @@
 
 from . import differences, web
 
-__all__ = ["Documents", "PackedDocumentError", "question"]
+__all__ = ["Documents", "PackedDocumentError", "encode_request"]
 
-KEPT = 3
-"""Former versions kept to tell differences from, 0.54 MB each at 5,800 routes. A
-daemon asks within half a second of a change; one that lags behind by more
-versions gets the whole document."""
+KEPT_VERSIONS = 3
+"""Former versions kept as bases of differences, 0.54 MB each at 5,800 routes. A daemon
+sends its request within half a second of a change; one that lags behind by more
+versions gets the complete document."""
 
-COMPRESSION = 1
-"""Level of zlib: 1 ms for 50 KB, an eighth of the bytes between data centres."""
+COMPRESSION_LEVEL = 1
+"""Level of zlib. It takes 1 ms for 50 KB, and leaves an eighth of the bytes to send
+between data centres."""
 
-LARGEST_DOCUMENT = 64 << 20
+MAX_DOCUMENT_BYTES = 64 << 20
 
-WHOLE = "application/zlib"
-DIFFERENCE = "application/x-difference"
+DOCUMENT_TYPE = "application/zlib"
+DIFFERENCE_TYPE = "application/x-difference"
 
 
 class PackedDocumentError(ZinniahookError):
-    """Another daemon gave a configuration that can't be read."""
+    """Another daemon sent a configuration that can't be unpacked."""
 
     code = Code.CONFIGURATION_INVALID
 
 
-def question(routes: Routes) -> bytes:
-    """Return how a daemon asks for what is newer than its own configuration."""
+def encode_request(routes: Routes) -> bytes:
+    """Return the body of a request for a configuration newer than ``routes``."""
     if not routes.version:
         return b""
     known = differences.digest(routes.document).hex()
@@ -46,7 +47,7 @@
 
 
 class Documents:
-    """The versions that one daemon can tell of."""
+    """The configuration versions that one daemon can serve."""
 
     def __init__(self) -> None:
         self._documents_by_digest: dict[str, bytes] = {}
@@ -56,10 +57,10 @@
         self._packed = b""
 
     def keep(self, routes: Routes) -> None:
-        """Keep the version in force, and the last few before it.
+        """Keep the version in force and the `KEPT_VERSIONS` before it.
 
-        To be called for each version. What goes wrong if it is called for those
-        that are asked for alone: the version that everybody else has is missing.
+        Call it for each version. If it were called only for requested versions, the
+        one that the other daemons have would be missing.
         """
         if routes.version == self._version:
             return
@@ -69,20 +70,20 @@
         self._differences_by_base.clear()
         self._documents_by_digest.pop(self._newest, None)
         self._documents_by_digest[self._newest] = routes.document
-        while len(self._documents_by_digest) > KEPT + 1:
+        while len(self._documents_by_digest) > KEPT_VERSIONS + 1:
             del self._documents_by_digest[next(iter(self._documents_by_digest))]
 
-    def answer(self, routes: Routes, asked: bytes) -> web.Answer:
-        """Answer a daemon that asks for the configuration in force."""
+    def answer(self, routes: Routes, request: bytes) -> web.Answer:
+        """Answer another daemon's request for the configuration in force."""
         if not routes.version:
             return web.Answer(web.NOT_FOUND)
         self.keep(routes)
-        base = _base(asked)
+        base = _base_digest(request)
         if base != self._newest and base in self._documents_by_digest:
-            return web.Answer(web.OK, self._difference(base), DIFFERENCE)
+            return web.Answer(web.OK, self._difference(base), DIFFERENCE_TYPE)
         if not self._packed:
-            self._packed = zlib.compress(routes.document, COMPRESSION)
-        return web.Answer(web.OK, self._packed, WHOLE)
+            self._packed = zlib.compress(routes.document, COMPRESSION_LEVEL)
+        return web.Answer(web.OK, self._packed, DOCUMENT_TYPE)
 
     def _difference(self, base: str) -> bytes:
         known = self._differences_by_base.get(base)
@@ -95,35 +96,35 @@
         return known
 
     def read(self, routes: Routes, answer: web.Answer) -> bytes:
-        """Return the document that another daemon has answered with.
+        """Return the document in another daemon's answer.
 
         Raises
         ------
         PackedDocumentError, DifferenceError
-            If it isn't whole, too large, or the difference to another version
-            than the one in force here.
+            If it is incomplete or too large, or if the difference has another base
+            than the version in force here.
         """
-        if answer.content_type == DIFFERENCE:
+        if answer.content_type == DIFFERENCE_TYPE:
             return differences.apply(routes.document, answer.body)
-        return _unpacked(answer.body)
+        return _decompress(answer.body)
 
 
-def _base(asked: bytes) -> str:
-    """Return the digest of the version that a question names, "" if none."""
+def _base_digest(request: bytes) -> str:
+    """Return the digest of the version that a request names, "" if none."""
     try:
-        fields = json.loads(asked) if asked else {}
+        fields = json.loads(request) if request else {}
     except ValueError:
         return ""
     known = fields.get("digest") if isinstance(fields, dict) else None
     return known if isinstance(known, str) else ""
 
 
-def _unpacked(body: bytes) -> bytes:
+def _decompress(body: bytes) -> bytes:
     reader = zlib.decompressobj()
     try:
-        document = reader.decompress(body, LARGEST_DOCUMENT)
+        document = reader.decompress(body, MAX_DOCUMENT_BYTES)
     except zlib.error as error:
         raise PackedDocumentError(str(error)) from None
     if not reader.eof:
-        raise PackedDocumentError("cut off, or too large")
+        raise PackedDocumentError("truncated, or too large")
     return document
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/exposition.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/exposition.py
@@ -1,7 +1,7 @@
-"""Counters and histograms as text, in the exposition format of Prometheus.
+"""Counters, histograms and gauges in the Prometheus text exposition format.
 
-Written here, as the usual client library takes 50 ms to import and a registry
-of its own, for what is one loop over two tables.
+The usual client library takes 50 ms to import and needs a registry of its own, so the
+few loops that are needed are written here.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import itertools
 from collections.abc import Iterator, Mapping
 
-from .journal import BOUNDS, Journal
+from .journal import BUCKET_BOUNDS_SECONDS, Journal
 
 __all__ = ["render"]
 
@@ -17,7 +17,7 @@
 
 
 def render(journal: Journal, gauges: Mapping[str, float]) -> bytes:
-    """Return everything that a process counts, one sample a line."""
+    """Return all metrics of a process, one sample a line."""
     lines = [*_counters(journal), *_histograms(journal), *_gauges(gauges)]
     return ("\n".join(lines) + "\n").encode()
 
@@ -38,7 +38,7 @@
     for (name, labels), histogram in journal.histograms_by_key.items():
         text = ",".join(f'{key}="{value}"' for key, value in labels)
         counts = itertools.accumulate(histogram.counts)
-        for bound, count in zip([*BOUNDS, "+Inf"], counts, strict=True):
+        for bound, count in zip([*BUCKET_BOUNDS_SECONDS, "+Inf"], counts, strict=True):
             yield f'{PREFIX}_{name}_bucket{{{text},le="{bound}"}} {count}'
         yield f"{PREFIX}_{name}_sum{{{text}}} {histogram.total:.4f}"
         yield f"{PREFIX}_{name}_count{{{text}}} {sum(histogram.counts)}"
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
@@ -1,4 +1,4 @@
-"""The two roles of the packet service as processes."""
+"""The processes of the packet service's two roles, entry and agent."""
 
 from __future__ import annotations
 
@@ -9,36 +9,35 @@
 
 from .daemon import Daemon
 from .journal import Journal
-from .ports import Announced, Settings, Store, StoreUnavailableError
+from .ports import AgentRecord, Settings, Store, StoreUnavailableError
 from .watcher import Announcer
 
 __all__ = ["AgentDaemon", "EntryDaemon"]
 
-POLL = 0.05
-RESERVE = 0.5
-"""Seconds of the grace period that stay unused."""
+DRAIN_POLL_SECONDS = 0.05
+GRACE_RESERVE_SECONDS = 0.5
+"""Seconds of the grace period that a drain leaves unused."""
 
-ROUTERS_TIME = 1.2
-"""Seconds until routers have seen two failed probes of readiness."""
+ROUTER_DETECTION_SECONDS = 1.2
+"""Seconds in which routers see two failed readiness probes."""
 
-QUIET_TIME = 0.3
-"""Seconds without a client's packet after which an entry may end."""
+QUIET_SECONDS = 0.3
+"""Seconds without a client's packet after which an entry may stop."""
 
-HANDOVER_TIME = 0.3
-"""Seconds in which the others learn that an agent leaves."""
+HANDOVER_SECONDS = 0.3
+"""Seconds in which the other daemons learn that an agent is leaving."""
 
+TARGET_CONNECT_TIMEOUT_SECONDS = 0.2
+"""Seconds to connect to the target, which runs on the same instance."""
 
-TARGET_PATIENCE = 0.2
-"""Seconds for a connection to the target, on the same instance."""
-
-LOOK_EVERY = 0.05
-LOOK_LONGEST = 1.0
-"""Seconds between two looks whether a process runs where the target should: twice
-as long after each that finds none."""
+MIN_TARGET_PROBE_SECONDS = 0.05
+MAX_TARGET_PROBE_SECONDS = 1.0
+"""Longest pause between probes for a process at the target's address. The pause
+doubles after each probe that finds none."""
 
 
 class EntryDaemon(Daemon):
-    """An entry as a process."""
+    """The process of an entry."""
 
     core: Entry
 
@@ -58,7 +57,7 @@
         return self.core.is_ready and not self._leaving
 
     def make_core(self) -> Entry:
-        """Return the core."""
+        """Return a new entry core."""
         return Entry(
             self.settings.address,
             self.settings.data_centre,
@@ -70,11 +69,11 @@
         )
 
     def open(self) -> None:
-        """Open the socket that routers send to."""
+        """Open the socket on which routers deliver clients' packets."""
         self.client_socket = self.udp(self.settings.listen, self._from_client)
 
-    def is_informed(self, answered: bool) -> bool:
-        """Tell whether any agent is known; others are looked up when needed."""
+    def knows_peers(self, answered: bool) -> bool:
+        """Return whether any agent is known; others are looked up on demand."""
         return self.core.is_ready
 
     def gauges(self, now: float) -> dict[str, float]:
@@ -88,19 +87,19 @@
         }
 
     def to_target(self, raw: bytes) -> None:
-        """Entries have no target."""
+        """Raise an error: an entry has no target."""
         raise NotImplementedError
 
     async def drain(self) -> None:
-        """Stay until the routers have moved on."""
+        """Keep forwarding until the routers no longer send packets here."""
         self._leaving = True
         began = time.monotonic()
-        until = began + self.settings.grace - RESERVE
+        until = began + self.settings.grace - GRACE_RESERVE_SECONDS
         while time.monotonic() < until:
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
             now = time.monotonic()
-            quiet = now - self.core.last_client_at > QUIET_TIME
-            if quiet and now - began > ROUTERS_TIME:
+            quiet = now - self.core.last_client_at > QUIET_SECONDS
+            if quiet and now - began > ROUTER_DETECTION_SECONDS:
                 return
 
     def _from_client(self, data: bytes, source: tuple) -> None:
@@ -108,13 +107,13 @@
 
 
 class AgentDaemon(Daemon):
-    """An agent as a process."""
+    """The process of an agent."""
 
     core: Agent
     _announcer: Announcer | None = None
 
     def make_core(self) -> Agent:
-        """Return the core."""
+        """Return a new agent core."""
         target = Target(self.settings.service, self.settings.beat_interval)
         return Agent(
             self.settings.address,
@@ -130,39 +129,42 @@
         )
 
     def open(self) -> None:
-        """Open the socket that the target sends to, and announce the agent."""
+        """Open the target's socket, and start to announce the agent."""
         settings = self.settings
-        self._own = Announced(settings.service, settings.address, settings.data_centre)
-        self._announcer = Announcer(self.store, self._own, self.rng)
+        self._record = AgentRecord(
+            settings.service, settings.address, settings.data_centre
+        )
+        self._announcer = Announcer(self.store, self._record, self.rng)
         self.client_socket = self.udp(settings.outbound, self._from_target)
         self.core.start(time.monotonic())
         self.start(self._announcer.run())
-        self.start(self._watch_for_target())
+        self.start(self._wait_for_target())
 
-    def is_informed(self, answered: bool) -> bool:
-        """Tell whether the store has listed the peers.
+    def knows_peers(self, answered: bool) -> bool:
+        """Return whether the store has listed the peers.
 
-        What goes wrong if it is enough to know some: the one answer of the store got
-        lost, agents that announced themselves before are never heard of, and homes
-        that don't know each other's owners reset their flows.
+        It isn't enough to know some peers. If the store's answer got lost, this agent
+        would never learn of agents that announced themselves earlier, and homes that
+        don't know each other's owners would reset their flows.
         """
         return answered
 
-    def has_written_before(self, era: int) -> bool:
-        """Tell whether the agent was announced in an earlier era alone."""
-        return self._announcer is not None and self._announcer.is_behind(era)
+    def needs_renewal(self, era: int) -> bool:
+        """Return whether the agent was last announced in an earlier era."""
+        return self._announcer is not None and self._announcer.needs_renewal(era)
 
-    def to_renew(self) -> list[str]:
-        """Return what this daemon writes again once the store was restored."""
+    def renewed_items(self) -> list[str]:
+        """Return what this daemon writes again after a restore of the store."""
         return ["announcement"]
 
     async def renew(self, era: int, revision: int) -> None:
-        """Announce the agent again, and take out peers that have ended.
+        """Announce the agent again, and remove peers that have ended.
 
-        A peer that withdrew in the seconds that the store lost is announced
-        again in the copy, and its process is gone. What goes wrong if it stays:
-        a daemon that starts asks it, and waits for its answer before it ends a
-        flow that nobody owns.
+        If a peer withdrew in the seconds that the store has lost, the restored copy
+        still lists it, but its process is gone. If the entry stayed, a starting
+        daemon would query that peer, and wait for its answer before it ends a flow
+        without an owner. Only the present agent with the lowest address removes
+        peers.
         """
         if await self._announcer.renew(era):
             self.journal.event("announcement.renewed", era=era)
@@ -172,17 +174,18 @@
             return
         for address, member in list(self.core.roster.by_address.items()):
             if member.state is State.ENDED and address != self.settings.address:
-                await self._take_out(address, era, revision)
+                await self._remove_peer(address, era, revision)
 
-    async def _take_out(self, address: str, era: int, revision: int) -> None:
-        """Take a peer out whose key is the copy's.
+    async def _remove_peer(self, address: str, era: int, revision: int) -> None:
+        """Remove a peer's key if it dates from the restored copy.
 
-        A process that runs there has written its key again meanwhile, at a later
-        revision. One try: what stays costs a question at the next start.
+        A process that runs at that address has written its key again at a later
+        revision. The removal is tried once: a key that stays only costs a starting
+        daemon one query.
         """
-        peer = Announced(self.settings.service, address, "")
+        peer = AgentRecord(self.settings.service, address, "")
         try:
-            written = await self.store.standing(peer)
+            written = await self.store.last_write(peer)
             if written is None or written.era != era or written.revision > revision:
                 return
             await self.store.withdraw(peer, written.revision)
@@ -208,11 +211,11 @@
             "work_promised": core.membership.work.expected_busy,
             "openings_held": core.home.openings_held,
             **core.home.room.gauges(),
-            **self._judged(now),
+            **self._health_gauges(now),
         }
 
-    def _judged(self, now: float) -> dict[str, float]:
-        """Return what the target's answers show, where it is judged by them."""
+    def _health_gauges(self, now: float) -> dict[str, float]:
+        """Return the health and capacity gauges that are enabled for the target."""
         target, gauges = self.core.target, {}
         if target.health is not None:
             gauges["target_failed_share"] = target.health.failed_share()
@@ -224,62 +227,65 @@
         return gauges
 
     def to_target(self, raw: bytes) -> None:
-        """Give a packet to the target."""
+        """Send a packet to the target."""
         self.client_socket.send(raw, tuple(self.settings.target))
 
     def beat(self, beat: Heartbeat) -> bool:
-        """Take a heartbeat of the target; return False if it can't be one."""
+        """Handle a heartbeat of the target; return False if it is rejected."""
         return self.core.heartbeat(time.monotonic(), beat)
 
     def left(self, target: str, born: int | None) -> None:
-        """Take that the target has ended."""
+        """Handle the target's notice that it has ended."""
         self.core.note_ended(time.monotonic(), target, born)
 
     async def drain(self) -> None:
-        """Hand openings over, and end at a moment without a request.
+        """Hand over new openings, and stop when no request is in progress.
 
-        A process that starts in this one's place can go on with open flows,
-        but what the target sends meanwhile is late by the time that takes.
+        A process that replaces this one continues open flows. Packets that the
+        target sends in between are delayed until the new process runs.
         """
         began = time.monotonic()
         self.core.leave(began)
-        until = began + self.settings.grace - RESERVE
-        await self._look_for_target()
+        until = began + self.settings.grace - GRACE_RESERVE_SECONDS
+        await self._probe_target()
         gone = self.core.target.gone
         while time.monotonic() < until:
-            await asyncio.sleep(POLL / 5)
-            handed = gone or time.monotonic() - began > HANDOVER_TIME
-            if handed and not self.core.flows.busy:
+            await asyncio.sleep(DRAIN_POLL_SECONDS / 5)
+            has_handed_over = gone or time.monotonic() - began > HANDOVER_SECONDS
+            if has_handed_over and not self.core.flows.busy:
                 break
         self.core.announce_end(time.monotonic())
         if gone:
             await self._announcer.withdraw(self.core.evacuations.era)
 
-    async def _watch_for_target(self) -> None:
-        """Look for the target until it runs, or has told of itself."""
-        pause = LOOK_EVERY
+    async def _wait_for_target(self) -> None:
+        """Probe for the target until it runs or has sent a heartbeat."""
+        pause = MIN_TARGET_PROBE_SECONDS
         await asyncio.sleep(pause)
-        while not await self._look_for_target():
+        while not await self._probe_target():
             await asyncio.sleep(pause)
-            pause = min(LOOK_LONGEST, 2 * pause)
+            pause = min(MAX_TARGET_PROBE_SECONDS, 2 * pause)
 
-    async def _look_for_target(self) -> bool:
-        """Find out whether a target that was never seen runs at all.
+    async def _probe_target(self) -> bool:
+        """Check whether a target that hasn't sent a heartbeat runs at all.
 
-        What goes wrong without: an instance comes back without its target and is
-        taken away at once; for seconds its peers end no flow, as it might hold
-        them. An address that refuses connections has no process.
+        An address that refuses connections has no process. Without this check, an
+        instance that comes back without its target and is removed at once would keep
+        its peers from ending flows for seconds, as it might hold them.
 
         Returns
         -------
         bool
-            Whether a process accepts connections there, or has told of itself.
+            Whether a process accepts connections at the address or has sent a
+            heartbeat. False if the connection attempt fails.
         """
         if self.core.target.is_known:
             return True
         try:
             connection = asyncio.open_connection(*self.settings.target)
-            _, writer = await asyncio.wait_for(connection, TARGET_PATIENCE)
+            _, writer = await asyncio.wait_for(
+                connection, TARGET_CONNECT_TIMEOUT_SECONDS
+            )
             writer.close()
         except ConnectionRefusedError:
             if not self.core.target.gone:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/watcher.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/watcher.py
@@ -1,8 +1,8 @@
-"""Keeps a daemon's configuration fresh, and its agent announced.
+"""Polling of the store, and the announcement of an agent in it.
 
-Few daemons look at the store: whoever heard no fresh confirmation for a while
-does, until another one's confirmations arrive. See
-`zinniahook_core.packets.freshness`.
+Only a few daemons poll the store. A daemon starts to poll when it has received no
+fresh confirmation for a while, and stops when confirmations of another watcher
+arrive. See `zinniahook_core.packets.freshness`.
 """
 
 from __future__ import annotations
@@ -17,68 +17,67 @@
 
 from .journal import Journal
 from .ports import (
-    Announced,
-    Evacuated,
+    AgentRecord,
+    EvacuationSnapshot,
     Store,
     StoreEraError,
     StoreUnavailableError,
-    Written,
+    WritePosition,
 )
 from .recorder import Recorder
 
 __all__ = ["Announcer", "Watcher"]
 
-LOOK_EVERY = 0.4
-"""Seconds between reads of the store's revision. A waiting watch would cost as
-many calls, and a store that has just dropped its history answers watches with
-"nothing new" for a second while changes are made."""
+POLL_INTERVAL_SECONDS = 0.4
+"""Seconds between reads of the store's revision. A long-polling watch would cost as
+many calls, and a store that has just compacted its history answers watches with
+"nothing new" for a second although changes are made."""
 
-IDLE_TIME = 0.1
-RETRY_FIRST = 0.2
-RETRY_LONGEST = 1.5
-"""Seconds between tries while the store is down: a change must be in force 3 s
-after the store is back, and each try is paid for."""
+MIN_IDLE_SECONDS = 0.1
+MIN_RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 1.5
+"""Longest pause between retries while the store is down. A change must be in force
+3 s after the store is back, and each call is billed."""
 
-RENEW_AFTER = 2.0
-"""Seconds between a restore of the store and the first agents that announce
-themselves again: all daemons have heard of it by then, and the store has answered
-those that look at it."""
+RENEWAL_DELAY_SECONDS = 2.0
+"""Seconds between a restore of the store and the first renewed announcements. By
+then every daemon knows of the restore, and the store has answered the watchers."""
 
-RENEW_SPREAD = 5.0
-"""Seconds over which agents announce themselves again. 300 of them are 60 writes a
-second, a sixth of what a small store takes, and nobody but a daemon that starts
-meanwhile reads them."""
+RENEWAL_JITTER_SECONDS = 5.0
+"""Seconds over which agents spread their renewed announcements. 300 agents make 60
+writes a second, a sixth of what a small store takes. Only daemons that start in this
+time read them."""
 
 
 class Backoff:
-    """Growing, spread pauses between tries."""
+    """Exponential backoff with jitter between retries."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._pause = RETRY_FIRST
+        self._pause = MIN_RETRY_SECONDS
 
     def reset(self) -> None:
-        """Begin with short pauses again."""
-        self._pause = RETRY_FIRST
+        """Return to the shortest pause."""
+        self._pause = MIN_RETRY_SECONDS
 
     async def wait(self) -> None:
-        """Pause."""
+        """Sleep for the next pause, and double it for the next call."""
         pause = self._pause * (0.5 + self._rng.random())
-        self._pause = min(RETRY_LONGEST, self._pause * 2)
+        self._pause = min(MAX_RETRY_SECONDS, self._pause * 2)
         await asyncio.sleep(pause)
 
 
 class Watcher:
-    """Looks at the store when this daemon must.
+    """Polls the store while no other daemon does.
 
     Parameters
     ----------
     node : Node
-        The core whose configuration is kept.
+        The core that receives configurations and evacuations.
     store : Store
         The platform's store.
     journal : Journal
-        For lost and regained contact.
+        Records when the store becomes unreachable and reachable.
     """
 
     def __init__(self, node: Node, store: Store, journal: Journal) -> None:
@@ -87,156 +86,166 @@
         self._journal = journal
         self._recorder = Recorder(node, store, journal)
         self._backoff = Backoff(node.rng)
-        self._in_touch: bool | None = None
+        self._is_connected: bool | None = None
 
     async def run(self) -> None:
-        """Watch whenever needed, for ever."""
+        """Poll the store whenever it is needed, without end."""
         while True:
             now = time.monotonic()
-            if not self._must_look(now):
+            if not self._must_poll(now):
                 await asyncio.sleep(
-                    max(IDLE_TIME, self._node.freshness.seconds_until_read(now))
+                    max(MIN_IDLE_SECONDS, self._node.freshness.seconds_until_read(now))
                 )
                 continue
             try:
                 await self._watch()
             except ZinniahookError as error:
-                self._touched(False, str(error))
+                self._record_contact(False, str(error))
                 await self._backoff.wait()
 
-    def _must_look(self, now: float) -> bool:
+    def _must_poll(self, now: float) -> bool:
         node = self._node
         return node.freshness.must_read(now) or node.evacuations.must_read(now)
 
     async def _watch(self) -> None:
-        """Read what the store has, as long as nobody else does."""
+        """Poll the store until another watcher's confirmations arrive."""
         freshness = self._node.freshness
-        seen: Evacuated | None = None
-        looked_since = time.monotonic()
+        latest: EvacuationSnapshot | None = None
+        watching_since = time.monotonic()
         self._journal.event("watch.begun", age=freshness.age(time.monotonic()))
         while not freshness.may_yield(time.monotonic()):
             began = time.monotonic()
-            looked = await self._look(seen)
-            self._touched(True, "")
-            if looked is None:
+            snapshot = await self._poll(latest)
+            self._record_contact(True, "")
+            if snapshot is None:
                 continue
-            seen = looked
+            latest = snapshot
             freshness.confirmed(began)
-            # What goes wrong without: while no client sends, confirmations are
-            # half a second old before another watcher hears them, so it doesn't
-            # yield, and a third of the entries go on reading the store.
+            # Announce the confirmation at once. Otherwise, while no client sends,
+            # it is half a second old when another watcher receives it. That watcher
+            # then doesn't yield, and a third of the entries keep polling.
             self._node.announce(time.monotonic())
-            self._recorder.look(looked_since, seen.era)
-            await asyncio.sleep(LOOK_EVERY)
+            self._recorder.update(watching_since, latest.era)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
         self._journal.event("watch.ended", other=freshness.watcher)
 
-    async def _look(self, seen: Evacuated | None) -> Evacuated | None:
-        """Read what the operator wants; return what the store listed.
+    async def _poll(
+        self, latest: EvacuationSnapshot | None
+    ) -> EvacuationSnapshot | None:
+        """Read the evacuations, and the configuration if anything has changed.
 
-        None if the store was restored meanwhile: what came is of its former
-        history and confirms nothing.
+        Evacuations are read first, in the call that returns the revision. With the
+        configuration first, a starting daemon would route openings to targets of
+        an evacuated data centre until it had read the evacuations.
 
-        The evacuations come first, in the call that tells the revision. What
-        goes wrong the other way round: a daemon that starts routes openings to
-        targets of an evacuated data centre until it knows better.
+        Returns
+        -------
+        EvacuationSnapshot or None
+            What the store listed; None if the store was restored during the call.
+            The answer then belongs to the former history and confirms nothing.
         """
         position = self._node.evacuations.position
-        evacuated = await self._store.evacuated()
-        self._check_era(evacuated.era, era_of(position))
-        if position_of(evacuated.era, max(1, evacuated.revision)) < position:
-            # It lost what it had shown and doesn't say so. What goes wrong if it
-            # counts as fresh: orders that aren't taken pass for known everywhere.
-            raise StoreUnavailableError("store: older than what it has shown")
-        self._node.evacuate(time.monotonic(), *evacuated)
-        if evacuated.era < self._node.evacuations.era:
+        snapshot = await self._store.evacuation_snapshot()
+        self._check_era(snapshot.era, era_of(position))
+        if position_of(snapshot.era, max(1, snapshot.revision)) < position:
+            # The store has lost changes without reporting a new era. If the answer
+            # were taken as fresh, orders that no daemon has installed would be
+            # considered known everywhere.
+            raise StoreUnavailableError(
+                "store: answered with an older revision than before"
+            )
+        self._node.evacuate(time.monotonic(), *snapshot)
+        if snapshot.era < self._node.evacuations.era:
             return None
-        if evacuated == seen:
-            return seen
+        if snapshot == latest:
+            return latest
         routes, _ = await self._store.configuration()
         self._node.configure(time.monotonic(), routes)
-        return evacuated
+        return snapshot
 
     def _check_era(self, era: int, known: int) -> None:
-        """Refuse an answer of an era below the one known as it was asked for."""
+        """Raise an error if an answer's era is below the one known at the request."""
         if era < known:
             self._journal.event(
                 "store.era_fell", era=era, known=known, code=int(Code.STORE_ERA_FELL)
             )
             raise StoreEraError(f"store: era {era} after {known}")
 
-    def _touched(self, in_touch: bool, why: str) -> None:
-        if in_touch:
+    def _record_contact(self, is_connected: bool, why: str) -> None:
+        if is_connected:
             self._backoff.reset()
-        if in_touch is self._in_touch:
+        if is_connected is self._is_connected:
             return
-        self._in_touch = in_touch
-        name = "dependency.regained" if in_touch else "dependency.lost"
+        self._is_connected = is_connected
+        name = "dependency.regained" if is_connected else "dependency.lost"
         self._journal.event(name, dependency="store", why=why)
 
 
 class Announcer:
-    """Writes an agent into the store, and takes it out at its end.
+    """Announces an agent in the store, and withdraws it when the agent ends.
 
-    Once, and once more in each later era of the store: a restored one may lack
-    what it had taken.
+    The agent is written once, and again in each later era: a restored store may lack
+    the earlier write.
     """
 
-    def __init__(self, store: Store, own: Announced, rng: random.Random) -> None:
+    def __init__(self, store: Store, agent: AgentRecord, rng: random.Random) -> None:
         self._store = store
-        self._own = own
+        self._agent = agent
         self._rng = rng
         self._backoff = Backoff(rng)
-        self._written: Written | None = None
-        self._ended = False
+        self._last_write: WritePosition | None = None
+        self._is_withdrawn = False
         self._lock = asyncio.Lock()
 
     async def run(self) -> None:
-        """Announce the agent, trying until it is done."""
+        """Announce the agent, and retry until the store has accepted it."""
         async with self._lock:
             await self._announce()
 
-    def is_behind(self, era: int) -> bool:
-        """Tell whether the agent was written in an earlier era alone."""
-        return self._written is not None and self._written.era < era
+    def needs_renewal(self, era: int) -> bool:
+        """Return whether the agent was last written in an earlier era."""
+        return self._last_write is not None and self._last_write.era < era
 
     async def renew(self, era: int) -> bool:
         """Announce the agent again in a later era; return whether it was needed.
 
-        What goes wrong without the pause: all agents write within a second, and
-        the store refuses most of them.
+        A random delay spreads the writes. Otherwise all agents would write within a
+        second, and the store would refuse most of them.
         """
-        await asyncio.sleep(RENEW_AFTER + RENEW_SPREAD * self._rng.random())
+        await asyncio.sleep(
+            RENEWAL_DELAY_SECONDS + RENEWAL_JITTER_SECONDS * self._rng.random()
+        )
         async with self._lock:
-            if self._ended or not self.is_behind(era):
+            if self._is_withdrawn or not self.needs_renewal(era):
                 return False
             await self._announce()
             return True
 
     async def _announce(self) -> None:
         self._backoff.reset()
-        while not self._ended:
+        while not self._is_withdrawn:
             try:
-                self._written = await self._store.announce(self._own)
+                self._last_write = await self._store.announce(self._agent)
                 return
             except StoreUnavailableError:
                 await self._backoff.wait()
 
     async def withdraw(self, era: int = 0) -> None:
-        """Take the agent out; one try, since nobody relies on it.
+        """Withdraw the agent. It is tried once, as no process depends on it.
 
-        ``era`` is the store's latest one. If the agent wasn't written in it, the
-        condition is what is there now: this process still has its address, so
-        nobody else has written the key. What goes wrong with a revision of a
-        former era: it may be that of a later process by chance.
+        ``era`` is the store's latest era. If the agent was last written in an earlier
+        era, the delete is conditioned on the key's present revision: this process
+        still holds its address, so no other process has written the key. A revision
+        of a former era could by chance equal that of a later process's key.
         """
-        self._ended = True
-        if self._written is None:
+        self._is_withdrawn = True
+        if self._last_write is None:
             return
         try:
-            written: Written | None = self._written
-            if self._written.era < era:
-                written = await self._store.standing(self._own)
+            written: WritePosition | None = self._last_write
+            if self._last_write.era < era:
+                written = await self._store.last_write(self._agent)
             if written is not None:
-                await self._store.withdraw(self._own, written.revision)
+                await self._store.withdraw(self._agent, written.revision)
         except ZinniahookError:
             return
