--- a/packages/zinniahook-core/src/zinniahook_core/packets/homes.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/homes.py
@@ -12,12 +12,12 @@
 from . import placement, tunnel
 from .attempts import Attempts
 from .features import FeatureSwitch
+from .forecasts import Forecast
 from .member import Member
 from .members import Roster
 from .models import Packet, State, Urgency, route_key
 from .node import HOP_LIMIT, Node
 from .overload import Overload
-from .placements import Placement
 from .polls import LoadPoll, LoadPolls, with_known_load
 from .rejections import Rejections
 from .searches import ENTRY_MARKS, Acceptance, Searches
--- a/packages/zinniahook-core/tests/test_packet_long_flows.py
+++ b/packages/zinniahook-core/tests/test_packet_long_flows.py
@@ -15,9 +15,9 @@
 from zinniahook_core.packets import State
 from zinniahook_core.packets.flows import Flow, Flows, FlowState
 from zinniahook_core.packets.forecasts import Forecast
-from zinniahook_core.packets.inquiries import CHOICES
 from zinniahook_core.packets.member import Member
 from zinniahook_core.packets.placement import choose
+from zinniahook_core.packets.polls import KNOWN_LOADS
 from zinniahook_core.packets.sections import Section
 from zinniahook_core.packets.tunnel import Status
 
