--- a/packages/zinniahook-core/src/zinniahook_core/effects.py
+++ b/packages/zinniahook-core/src/zinniahook_core/effects.py
@@ -1,4 +1,4 @@
-"""Effects: named tuples that tell the driver of a core what to do."""
+"""Effects: named tuples that instruct the driver of a core."""
 
 from __future__ import annotations
 
--- a/packages/zinniahook-core/src/zinniahook_core/events.py
+++ b/packages/zinniahook-core/src/zinniahook_core/events.py
@@ -161,7 +161,7 @@
     """At an agent: a report from the target's own health and load endpoint.
 
     It may be late or wrong, so it only counts as evidence with an age.
-    ``healthy`` is None if there was no answer, ``accepts`` tells whether the
+    ``healthy`` is None if there was no answer, ``accepts`` is whether the
     target's port accepted a connection.
     """
 
--- a/packages/zinniahook-core/src/zinniahook_core/records.py
+++ b/packages/zinniahook-core/src/zinniahook_core/records.py
@@ -26,7 +26,7 @@
 MAX_LATENESS_SECONDS = 20.0
 """Longest time from sending a copy of an attempt to the ask for its claim.
 
-A copy may wait at an agent for half of it; the other half is for the way."""
+A copy may wait at an agent for half of it; the rest is for its transport."""
 
 TOMBSTONE_LIFETIME_SECONDS = 60.0
 """How long the refusal of a numbered attempt is kept."""
@@ -38,6 +38,7 @@
 of the refused one. So the caller's Retry-After is at least this long."""
 
 MAX_RECORDS = 20_000
+
 MAX_ANSWERS_BYTES = 4 << 20
 """Limit on the total size of stored answers."""
 
--- a/packages/zinniahook-core/src/zinniahook_core/requests.py
+++ b/packages/zinniahook-core/src/zinniahook_core/requests.py
@@ -52,14 +52,12 @@
 __all__ = ["Requests"]
 
 MAX_KEY_BYTES = 128
-"""Longest accepted idempotency key."""
-
 REFUSE_TIMEOUT_SECONDS = 8.0
 """Limit on recording a refusal; longer than marking a dead claim owner down takes."""
 
 CLAIM_TIMEOUT_SECONDS = MAX_LATENESS_SECONDS / 2
 """Longest wait of a claimed request at this agent. The other half of
-``records.MAX_LATENESS_SECONDS`` is left for the way to the agent."""
+``records.MAX_LATENESS_SECONDS`` is left for its transport."""
 
 PARK_DELAY_SECONDS = 0.05
 """How long a request keeps its slot while it waits for its claim.
@@ -159,7 +157,6 @@
         A claimed request that already runs at the target continues there, but
         its record is set to unknown. ``incarnation`` is the next one and has to
         be confirmed by ``confirm``.
-
         """
         for item in self._open:
             if item.stage is Stage.RUNNING and item.claimed:
@@ -384,10 +381,7 @@
         self._claim(now, item, ClaimIntent.REFUSE, now + REFUSE_TIMEOUT_SECONDS)
 
     def _join_copy(self, now: float, item: Open) -> bool:
-        """Attach a request to an open copy or to the known result of its key.
-
-        Return whether there was either.
-        """
+        """Attach a request to an open copy or the result of its key, if any."""
         key = item.event.key
         leader = self._open.leader(key)
         if leader is not None and may_join(item, leader):
--- a/packages/zinniahook-core/tests/core_fakes.py
+++ b/packages/zinniahook-core/tests/core_fakes.py
@@ -86,7 +86,7 @@
 
 @dataclass
 class Request:
-    """A request at one agent; ``origin`` is the agent that relayed it."""
+    """A request at one agent; ``origin`` is the relaying agent and its number."""
 
     key: bytes
     attempt: int
--- a/packages/zinniahook-core/tests/test_configuration.py
+++ b/packages/zinniahook-core/tests/test_configuration.py
@@ -131,7 +131,7 @@
         """A packet of a removed service must not reach its successor.
 
         A service is removed, its number is assigned to a new one, and a late packet
-        arrives. The connection id of the old flow names only the number.
+        arrives. The connection id of the old flow contains only the number.
         """
         before = parse(TEXT)
         services = {"tally": before.services_by_name["tally"]}
