--- a/packages/zinniahook-core/src/zinniahook_core/packets/candidates.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/candidates.py
@@ -76,10 +76,10 @@
     def is_lost(self, now: float, member: Member) -> bool:
         """Return whether a member has been silent for too long to hold flows.
 
-        A member whose target has ended is lost even if it isn't considered silent.
-        Entries never ask such a member, so for them it would never be silent and keep
-        its place on the rings for ever; they would send packets to other homes than
-        those that the owners notify.
+        After that time, a member whose target has ended is lost even if it isn't
+        considered silent. Entries never ask such a member, so for them it would never
+        be silent and keep its place on the rings for ever; they would send packets to
+        other homes than those that the owners notify.
         """
         silent_for = now - max(member.heard_at, member.heard_by_peer_at)
         if silent_for <= LOST_SECONDS:
@@ -90,10 +90,10 @@
         """Return the members that count when the candidates of a flow are chosen.
 
         In a small service every member is a candidate of every flow, so the set is
-        empty. In a larger service the candidates of a flow change as soon as a member
-        of them joins or is lost, even if it is no home. If that went unnoticed, an
-        agent would become the home of flows that no owner reports to it, and would
-        search for each of them.
+        empty. In a larger service the candidates of a flow change as soon as one of
+        them joins or is lost, even if it is no home. If that went unnoticed, an agent
+        would become the home of flows that no owner reports to it, and would search for
+        each of them.
         """
         if len(self._by_address) <= CANDIDATES:
             return set()
@@ -147,9 +147,9 @@
     def widened(self, now: float, flow: bytes) -> list[Member]:
         """Return the members that may own a flow opened under another roster.
 
-        Without this, the owner isn't among today's candidates, and the flow is reset,
-        if its client has moved to another data centre, agents have joined, or many were
-        down when the flow was opened.
+        The owner may not be among the present candidates if its client has moved to
+        another data centre, agents have joined, or many were down when the flow was
+        opened. Without the wider set, the flow would be reset.
         """
         by_address = {
             m.address: m for m in self.for_flow(now, flow, WIDE_FACTOR * CANDIDATES)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/entry.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/entry.py
@@ -390,8 +390,8 @@
         """Ask the next service with a packet that a service doesn't own.
 
         The packet starts with zero hops again, as each answer leaves fewer services to
-        ask. An owner learned meanwhile is kept: its link to the home may be cut, so
-        that the home never hears of it, and other services would be searched.
+        ask. An owner learned meanwhile is kept: the link between it and the home may be
+        cut, so that the home never hears of it, and other services would be searched.
         """
         if self._is_settled(now, packet.flow):
             self._route(now, packet, None)
--- a/packages/zinniahook-core/src/zinniahook_core/packets/member.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/member.py
@@ -72,9 +72,10 @@
         Mean time until an answer begins, in seconds.
     placed : float
         Requests that this daemon has sent there since the last status.
-    heard_at, heard_by_peer_at : float
-        When this daemon last heard it, and when a peer last heard it, as far as
-        that peer has reported.
+    heard_at : float
+        When this daemon last heard it. Until it has, when a peer had heard it.
+    heard_by_peer_at : float
+        When a peer last heard it, as far as that peer has reported.
     confirmed : bool
         Whether this daemon has ever heard it.
     waiting_since, asked_at : float
--- a/packages/zinniahook-core/src/zinniahook_core/packets/questions.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/questions.py
@@ -18,11 +18,11 @@
 __all__ = ["Question", "Questions"]
 
 KNOWN_TIMEOUT_SECONDS = 0.15
-"""Seconds until another home is asked although one hasn't answered: less than the 0.2 s
-after which a client repeats its packet. A home that doesn't answer may still know the
-owner: it has passed the packet on, and the link to the owner may be cut. If its silence
-counted as a denial, the other services would be searched, and their targets would get
-packets of a flow whose owner is known."""
+"""Seconds until another home is asked although the first hasn't answered: less than the
+0.2 s after which a client repeats its packet. A home that doesn't answer may still know
+the owner: it has passed the packet on, and the link to the owner may be cut. If its
+silence counted as a denial, the other services would be searched, and their targets
+would get packets of a flow whose owner is known."""
 
 SERVICE_SEARCH_TIMEOUT_SECONDS = 0.35
 """The same for a search: more than the 0.2 s in which an agent finds out whether its
--- a/packages/zinniahook-core/src/zinniahook_core/packets/search.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/search.py
@@ -102,10 +102,10 @@
         self.head, self.packet = head, packet
 
     def take_last_unanswered(self, own: str) -> set[str]:
-        """Return the agents to ask again at once: the only one without an answer.
+        """Return the agent to ask again at once: the only one that hasn't answered.
 
-        It is returned once. Otherwise, if its question was lost, it may be gone by the
-        time of the next retry, after three other targets have had the packet.
+        Its question may be lost. At the next retry it may be gone, after three other
+        targets have had the packet. Each agent is returned only once.
         """
         late = self.waiting.keys() - self.retried_early - {own}
         if len(late) > 1:
--- a/packages/zinniahook-core/src/zinniahook_core/packets/searches.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/searches.py
@@ -29,8 +29,8 @@
 
 SEARCH_RETRY_SECONDS = 0.06
 """Seconds until agents that haven't answered are asked again: longer than a target
-takes to return a packet. If it were shorter, the question to the owner might be lost
-and only other targets would have seen the packet."""
+takes to return a packet. Without a retry, if the question to the owner is lost, only
+other targets see the packet."""
 
 WAVE_TIMEOUT_SECONDS = 0.22
 """Seconds until more agents are asked although some haven't answered: longer than an
@@ -53,7 +53,7 @@
 packets and its own target none. A wave takes 3 ms."""
 
 WAVES_LIMIT = 8
-"""Waves in which even the wide set of candidates is asked."""
+"""Waves within which even the whole wide set of candidates is asked."""
 
 SEARCHES_LIMIT = 4096
 
