--- a/packages/zinniahook-core/src/zinniahook_core/packets/eras.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/eras.py
@@ -38,7 +38,10 @@
         If either is out of range.
     """
     if not 0 <= era < ERA_LIMIT or not 0 <= revision < REVISION_LIMIT:
-        raise ValueError(f"era {era}, revision {revision}: out of range")
+        raise ValueError(
+            f"era {era}, revision {revision}: out of range, expected "
+            f"0 <= era < {ERA_LIMIT} and 0 <= revision < {REVISION_LIMIT}"
+        )
     return era << REVISION_BITS | revision
 
 
