--- a/packages/zinniahook-core/src/zinniahook_core/packets/allocation.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/allocation.py
@@ -173,7 +173,7 @@
     order = sorted(range(len(demands)), key=lambda i: demands[i] / weights[i])
     weight_left = sum(weights)
     for index in order:
-        # If weights differ by more than a float can represent, none is left at the end.
+        # Weights that differ by more than a float holds may leave no weight at the end.
         share = (
             remaining * weights[index] / weight_left if weight_left > 0 else remaining
         )
--- a/packages/zinniahook-core/src/zinniahook_core/packets/queueing.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/queueing.py
@@ -230,9 +230,9 @@
     def _join(self, now: float, held: HeldRequest, flow: Flow, packet: Packet) -> bool:
         """Add another packet of a waiting flow; return whether it waits too.
 
-        A closing packet or a reset goes on immediately, after the packets before it.
-        Otherwise the target would consider the flow closed and answer the data that
-        follows with a reset.
+        A closing packet goes on immediately, after the packets before it, and a reset
+        withdraws the request. Otherwise the target would consider the flow closed and
+        answer the data that follows with a reset.
         """
         if held.flow is not flow:
             self._forget(held)
