--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/__init__.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon's side of the packet service: sockets, timers and the store."""
+"""The processes of the packet service: sockets, timers, HTTP and the store."""
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/daemon.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/daemon.py
@@ -1,4 +1,4 @@
-"""One process of the packet service: sockets, timers, store and the core."""
+"""The common part of the packet service's processes: sockets, timers and store."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 __all__ = ["Daemon"]
 
 TICK_SECONDS = 0.05
-"""Seconds between ticks: half of the shortest time-out of the cores."""
+"""Seconds between ticks of the core: half of its shortest time-out."""
 
 FETCH_TIMEOUT_SECONDS = 0.5
 FETCH_INTERVAL_SECONDS = 0.15
-"""Seconds until another daemon is asked for a configuration too. What goes wrong
-if all are asked: a change shows in the datagrams of a hundred peers within
-milliseconds, and each of them gives the same document."""
+"""Seconds between fetches of a configuration from different peers. A change shows in
+the datagrams of a hundred peers within milliseconds. Without a pause, the daemon would
+fetch the same document from each of them."""
 
 LOOKUP_INTERVAL_SECONDS = 1.0
-"""Seconds between two reads of a service's agents while packets for it come
-and none is known; clients repeat an opening for 1.4 s."""
+"""Seconds between lookups of a service's agents while packets for it arrive and no
+agent is known. Clients repeat an opening for 1.4 s."""
 
 METRICS_PATH = "/metrics"
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4"
@@ -48,7 +48,7 @@
 
 
 class Daemon:
-    """What both roles share. Subclasses make the core and add sockets.
+    """Base class of both roles. Subclasses create the core and open more sockets.
 
     Parameters
     ----------
@@ -59,7 +59,7 @@
     codec : Codec
         The format of the clients' packets.
     journal : Journal, optional
-        Where decisions are told, if others tell theirs there too.
+        The log and counters; a new one if the caller doesn't share its own.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
     # For subclasses
 
     def make_core(self) -> Node:
-        """Return the core of the role."""
+        """Return a new core of the role."""
         raise NotImplementedError
 
     def open(self) -> None:
@@ -99,38 +99,39 @@
         raise NotImplementedError
 
     async def drain(self) -> None:
-        """Wait until the process may end."""
+        """Wait until the process may stop."""
         raise NotImplementedError
 
     def knows_peers(self, answered: bool) -> bool:
-        """Tell whether this daemon knows enough of the others.
+        """Return whether this daemon knows enough of its peers.
 
-        ``answered`` tells whether the store has just listed them.
+        ``answered`` is whether the store has just listed them.
         """
         raise NotImplementedError
 
     def needs_renewal(self, era: int) -> bool:
-        """Tell whether this daemon wrote something in an earlier era alone.
+        """Return whether this daemon's last write was made in an earlier era.
 
-        What goes wrong without: it starts around a restore, writes in the era that
-        is over, hears of the new one first, and what it wrote is lost for good.
+        A daemon that starts around a restore may write in the former era, although
+        the first era that it learns of is the new one. Without this check, its write
+        would be lost for good.
         """
         return False
 
     def renewed_items(self) -> list[str]:
-        """Return what this daemon writes again once the store was restored."""
+        """Return what this daemon writes again after a restore of the store."""
         return []
 
     async def renew(self, era: int, revision: int) -> None:
         """Write again what a restored store may lack.
 
-        ``revision`` is the first one of the new era that is known here.
+        ``revision`` is the first revision of the new era that is known here.
         """
 
-    # Life
+    # Lifecycle
 
     async def run(self) -> None:
-        """Serve until the process is told to stop."""
+        """Serve until the process receives a signal to stop, then drain."""
         settings = self.settings
         self.journal.event(
             "started", address=settings.address, service=settings.service
@@ -160,15 +161,15 @@
         self.journal.event("stopped")
 
     def reload(self) -> None:
-        """Take a signal that the settings file has changed.
+        """Log that a reload of the settings file was requested.
 
-        What the packet service reads from it can't change while the process
-        lives; the line tells an operator that the signal came.
+        The settings that the packet service reads from the file can't change at run
+        time. The log line shows an operator that the signal was received.
         """
         self.journal.event("reload", outcome="nothing to change")
 
     def start(self, work: Any) -> None:
-        """Run a coroutine beside the others; its failure ends the process."""
+        """Run a coroutine as a task; its failure stops the process."""
         task = asyncio.ensure_future(work)
         task.add_done_callback(self._task_ended)
         self._tasks.add(task)
@@ -181,7 +182,7 @@
             self.stopping.set()
 
     def udp(self, address: Address, receive: Callable) -> UdpSocket:
-        """Open a UDP socket of this process."""
+        """Open a UDP socket that passes each datagram to ``receive``."""
         opened = UdpSocket(address, receive)
         self._sockets.append(opened)
         return opened
@@ -191,21 +192,21 @@
         self._sockets.append(web.Server(address, routes))
 
     def _serve_configuration(self, match: re.Match[str], body: bytes) -> web.Answer:
-        """Give the configuration in force to another daemon."""
+        """Return the configuration in force to another daemon."""
         return self._documents.answer(self.core.routes, body)
 
     def _serve_formers(self, match: re.Match[str], body: bytes) -> web.Answer:
-        """Tell another daemon which services routes led to, if that is known."""
+        """Return the routes' former services to another daemon, if complete here."""
         known = self.core.formers
         if not known.is_complete:
             return web.Answer(web.NOT_FOUND)
         return web.Answer(web.OK, formers.encode_rows(known.rows(time.monotonic())))
 
     def _serve_metrics(self) -> None:
-        """Serve counters, if the port is free.
+        """Serve metrics, if the port is free.
 
-        What goes wrong without the check: somebody else's exporter has the
-        port, and for want of counters no packet is forwarded.
+        If another process holds the port, the daemon runs without metrics. A missing
+        metrics endpoint must not stop it from forwarding packets.
         """
         address = self.settings.metrics
         if address is None:
@@ -221,7 +222,7 @@
         return web.Answer(web.OK, text, METRICS_CONTENT_TYPE)
 
     def gauges(self, now: float) -> dict[str, float]:
-        """Return what is measured at the moment of a scrape."""
+        """Return the gauges that are computed at each scrape."""
         age = self.core.freshness.age(now)
         return {
             "configuration_version": self.core.routes.version,
@@ -239,7 +240,10 @@
             self._check_restore()
 
     def _check_restore(self) -> None:
-        """Act on a new era of the store, whoever told of it."""
+        """Renew this daemon's writes if the store's era has changed.
+
+        The new era may come from the store or from any peer.
+        """
         former, self._position = self._position, self.core.evacuations.position
         era, revision = era_of(self._position), revision_of(self._position)
         if era == era_of(former):
@@ -259,7 +263,7 @@
         self.start(self.renew(era, revision))
 
     async def _discover_peers(self) -> None:
-        """Learn of the others from the store, or from seeds without it."""
+        """Discover peers from the seeds and the store, until enough are known."""
         backoff = Backoff(self.rng)
         while True:
             for seed in self.settings.seeds:
@@ -271,7 +275,7 @@
             await backoff.wait()
 
     async def _look_up(self, service: str | None) -> bool:
-        """Read agents from the store; return whether it answered."""
+        """Read a service's agents from the store; return whether it answered."""
         try:
             known = await self.store.announced_agents(service)
         except StoreUnavailableError as error:
@@ -282,7 +286,7 @@
             self.core.members(now, *agent)
         return True
 
-    # Links of the core
+    # Callbacks of the core
 
     def to_peer(self, address: str, data: bytes) -> None:
         """Send a datagram to another daemon."""
@@ -294,7 +298,7 @@
         self.client_socket.send(raw, (host, self.settings.client_port))
 
     def lookup(self, service: str) -> None:
-        """Ask the store for the agents of a service, now and then."""
+        """Look up the agents of a service, at a limited rate."""
         now = time.monotonic()
         if (
             now - self._looked_up_at.get(service, float("-inf"))
@@ -304,7 +308,7 @@
             self.start(self._look_up(service))
 
     def fetch(self, address: str) -> None:
-        """Get the newer configuration of another daemon."""
+        """Start to fetch a newer configuration from another daemon."""
         now = time.monotonic()
         latest = max(self._fetching_since.values(), default=float("-inf"))
         if address in self._fetching_since or now - latest < FETCH_INTERVAL_SECONDS:
@@ -318,7 +322,8 @@
             document = await self._fetch_document(client, address)
             if document:
                 routes = self.store.routes(document)
-                # After the document: what its teller knew then is in it.
+                # Former services are fetched after the document, so that they cover
+                # whatever the peer knew when it sent the document.
                 answer = await client.call("GET", FORMERS_PATH)
                 rows = (
                     formers.decode_rows(answer.body)
@@ -335,9 +340,9 @@
     async def _fetch_document(self, client: web.Client, address: str) -> bytes:
         """Return another daemon's configuration, ``b""`` if it has none.
 
-        The whole document is asked for if a difference doesn't fit. What goes
-        wrong without: this daemon stays at its version as long as that one tells
-        differences that it can't use.
+        If a difference can't be applied, the complete document is requested.
+        Otherwise this daemon would stay at its version for as long as the peer sends
+        differences that it can't apply.
         """
         own = self.core.routes
         answer = await client.call("GET", FETCH_PATH, encode_request(own))
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/differences.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/differences.py
@@ -1,9 +1,9 @@
 """Differences between two versions of a document.
 
-A document is cut at the ends of its objects, and a difference tells which runs of
-pieces of the former version to copy and which bytes stand between them. It also
-tells the digests of both versions: applied to anything else, or damaged, it gives
-an error and never a mixture of two versions.
+A document is split at the ends of its objects. A difference lists the runs of pieces
+to copy from the former version, and the bytes to insert between them. It also contains
+the digests of both versions. A difference that is damaged, or applied to another
+version, raises an error and never yields a mixture of two versions.
 """
 
 from __future__ import annotations
@@ -21,30 +21,30 @@
 PIECE_PATTERN = re.compile(rb"[^}]*\}|[^}]+\Z")
 RUN_HEADER = struct.Struct("!BII")
 COPY = 0
-"""A run of pieces of the former version: number of the first, and how many."""
+"""A run of pieces of the former version: number of the first, and their count."""
 
 INSERT = 1
-"""Bytes of the new version: how many, and 0; the bytes follow."""
+"""Bytes of the new version: their count, and 0. The bytes follow."""
 
 COMPRESSION_LEVEL = 1
 DIGEST_BYTES = 16
 MAX_DOCUMENT_BYTES = 64 << 20
-"""Bytes of a document, whatever a difference says of it."""
+"""Limit of a document's size, whatever a difference contains."""
 
 
 class DifferenceError(ZinniahookError):
-    """A difference is damaged, or is one between other versions."""
+    """A difference is damaged, or has another base version."""
 
     code = Code.CONFIGURATION_INVALID
 
 
 def digest(document: bytes) -> bytes:
-    """Return what tells one version of a document from another; 16 bytes."""
+    """Return the 16-byte digest that identifies a version of a document."""
     return xxhash.xxh3_128_digest(document)
 
 
 def difference(former: bytes, document: bytes) -> bytes:
-    """Return what makes ``document`` out of ``former``."""
+    """Return the packed difference that turns ``former`` into ``document``."""
     numbers_by_piece: dict[bytes, int] = {}
     pieces = PIECE_PATTERN.findall(former)
     for number, piece in enumerate(pieces):
@@ -57,7 +57,7 @@
 def _encode_runs(
     former: list[bytes], numbers_by_piece: dict[bytes, int], pieces: list[bytes]
 ) -> Iterator[bytes]:
-    """Return the runs of a difference, each as long as it can be."""
+    """Yield the encoded runs of a difference, each as long as possible."""
     at = 0
     while at < len(pieces):
         first = numbers_by_piece.get(pieces[at])
@@ -75,7 +75,7 @@
 def _matching_pieces(
     former: list[bytes], first: int, pieces: list[bytes], at: int
 ) -> int:
-    """Return how many pieces from ``at`` on are those of ``former`` from ``first``."""
+    """Count the pieces from ``at`` on that equal those of ``former`` from ``first``."""
     most = min(len(former) - first, len(pieces) - at)
     for length in range(most):
         if former[first + length] != pieces[at + length]:
@@ -84,16 +84,16 @@
 
 
 def apply(former: bytes, packed: bytes) -> bytes:
-    """Return the document that a difference makes out of a former version.
+    """Return the document that a difference yields for a former version.
 
     Raises
     ------
     DifferenceError
-        If it isn't whole, or belongs to another version.
+        If it is damaged or truncated, or has another base version.
     """
     data = _decompress(packed)
     if data[:DIGEST_BYTES] != digest(former):
-        raise DifferenceError("difference: made for another version")
+        raise DifferenceError("difference: has another base version")
     wanted = data[DIGEST_BYTES : 2 * DIGEST_BYTES]
     document = _apply_runs(PIECE_PATTERN.findall(former), data)
     if digest(document) != wanted:
@@ -118,7 +118,9 @@
             raise DifferenceError("difference: damaged")
         size += len(parts[-1])
         if size > MAX_DOCUMENT_BYTES:
-            raise DifferenceError("difference: makes too large a document")
+            raise DifferenceError(
+                f"difference: document exceeds {MAX_DOCUMENT_BYTES} bytes"
+            )
     return b"".join(parts)
 
 
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/documents.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/documents.py
@@ -1,8 +1,8 @@
-"""Configurations as daemons pass them on to each other.
+"""The exchange of configurations between daemons.
 
-Who asks says which version it has. A daemon that still has that version answers
-with the difference, any other with the whole document; so does one of an older
-version of this program, which doesn't read the question.
+A request names the version that the sender has. A daemon that still keeps this version
+answers with the difference, any other with the complete document. A daemon of an older
+release ignores the request's body and also sends the complete document.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 __all__ = ["Documents", "PackedDocumentError", "encode_request"]
 
 KEPT_VERSIONS = 3
-"""Former versions kept to tell differences from, 0.54 MB each at 5,800 routes. A
-daemon asks within half a second of a change; one that lags behind by more
-versions gets the whole document."""
+"""Former versions kept as bases of differences, 0.54 MB each at 5,800 routes. A daemon
+sends its request within half a second of a change; one that lags behind by more
+versions gets the complete document."""
 
 COMPRESSION_LEVEL = 1
-"""Level of zlib: 1 ms for 50 KB, an eighth of the bytes between data centres."""
+"""Level of zlib. It takes 1 ms for 50 KB, and leaves an eighth of the bytes to send
+between data centres."""
 
 MAX_DOCUMENT_BYTES = 64 << 20
 
@@ -32,13 +33,13 @@
 
 
 class PackedDocumentError(ZinniahookError):
-    """Another daemon gave a configuration that can't be read."""
+    """Another daemon sent a configuration that can't be unpacked."""
 
     code = Code.CONFIGURATION_INVALID
 
 
 def encode_request(routes: Routes) -> bytes:
-    """Return how a daemon asks for what is newer than its own configuration."""
+    """Return the body of a request for a configuration newer than ``routes``."""
     if not routes.version:
         return b""
     known = differences.digest(routes.document).hex()
@@ -46,7 +47,7 @@
 
 
 class Documents:
-    """The versions that one daemon can tell of."""
+    """The configuration versions that one daemon can serve."""
 
     def __init__(self) -> None:
         self._documents_by_digest: dict[str, bytes] = {}
@@ -56,10 +57,10 @@
         self._packed = b""
 
     def keep(self, routes: Routes) -> None:
-        """Keep the version in force, and the last few before it.
+        """Keep the version in force and the `KEPT_VERSIONS` before it.
 
-        To be called for each version. What goes wrong if it is called for those
-        that are asked for alone: the version that everybody else has is missing.
+        Call it for each version. If it were called only for requested versions, the
+        one that the other daemons have would be missing.
         """
         if routes.version == self._version:
             return
@@ -73,7 +74,7 @@
             del self._documents_by_digest[next(iter(self._documents_by_digest))]
 
     def answer(self, routes: Routes, request: bytes) -> web.Answer:
-        """Answer a daemon that asks for the configuration in force."""
+        """Answer another daemon's request for the configuration in force."""
         if not routes.version:
             return web.Answer(web.NOT_FOUND)
         self.keep(routes)
@@ -95,13 +96,13 @@
         return known
 
     def read(self, routes: Routes, answer: web.Answer) -> bytes:
-        """Return the document that another daemon has answered with.
+        """Return the document in another daemon's answer.
 
         Raises
         ------
         PackedDocumentError, DifferenceError
-            If it isn't whole, too large, or the difference to another version
-            than the one in force here.
+            If it is incomplete or too large, or if the difference has another base
+            than the version in force here.
         """
         if answer.content_type == DIFFERENCE_TYPE:
             return differences.apply(routes.document, answer.body)
@@ -109,7 +110,7 @@
 
 
 def _base_digest(request: bytes) -> str:
-    """Return the digest of the version that a question names, "" if none."""
+    """Return the digest of the version that a request names, "" if none."""
     try:
         fields = json.loads(request) if request else {}
     except ValueError:
@@ -125,5 +126,5 @@
     except zlib.error as error:
         raise PackedDocumentError(str(error)) from None
     if not reader.eof:
-        raise PackedDocumentError("cut off, or too large")
+        raise PackedDocumentError("truncated, or too large")
     return document
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/eras.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/eras.py
@@ -1,4 +1,4 @@
-"""Which era of the store an answer is of."""
+"""The era of the store that an answer belongs to."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 ERA_PATTERN = re.compile("[0-9]{1,6}")
 MAX_LOGGED_CHARACTERS = 40
-"""Characters of a malformed era in a log line."""
+"""Characters of a malformed era that a log line shows."""
 
 
 class Eras:
-    """The eras that one daemon's store has told.
+    """The eras that one daemon's store has reported.
 
     Parameters
     ----------
     log : Log
-        Where answers are told whose era can't be read, or falls.
+        Records answers whose era is malformed or decreases.
     """
 
     def __init__(self, log: Log) -> None:
@@ -34,15 +34,15 @@
     def resolve(self, reported: str | None, era_at_request: int) -> int:
         """Return the era of an answer.
 
-        ``reported`` is what the answer says, None if nothing; ``era_at_request`` is the
-        latest era that was known as the question was sent. An answer that tells
-        none is of that one. What goes wrong otherwise: a late answer of the
-        former era passes for one of the present.
+        ``reported`` is the era in the answer, None if there is none.
+        ``era_at_request`` is the latest era that was known when the request was sent;
+        an answer without a valid era belongs to it. With the latest era instead, a
+        late answer of the former era would be taken for one of the present era.
 
         Raises
         ------
         StoreEraError
-            If the era is below one that was known before.
+            If the era is below ``era_at_request``.
         """
         era = self._parse(reported)
         if era is None:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/exposition.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/exposition.py
@@ -1,7 +1,7 @@
-"""Counters and histograms as text, in the exposition format of Prometheus.
+"""Counters, histograms and gauges in the Prometheus text exposition format.
 
-Written here, as the usual client library takes 50 ms to import and a registry
-of its own, for what is one loop over two tables.
+The usual client library takes 50 ms to import and needs a registry of its own, so the
+few loops that are needed are written here.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def render(journal: Journal, gauges: Mapping[str, float]) -> bytes:
-    """Return everything that a process counts, one sample a line."""
+    """Return all metrics of a process, one sample a line."""
     lines = [*_counters(journal), *_histograms(journal), *_gauges(gauges)]
     return ("\n".join(lines) + "\n").encode()
 
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/journal.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/journal.py
@@ -1,8 +1,8 @@
-"""Log lines and counters of a process that must never wait for its log.
+"""Log lines and counters of a process that must never block on its log.
 
-What goes wrong without: whoever reads standard output stops reading, the pipe
-fills, and the daemon stands still with all its flows. So a line that can't be
-written at once is dropped and counted, and each kind of line has a budget.
+If the reader of standard output stopped reading, the pipe would fill, and a blocking
+write would halt the daemon with all its flows. Therefore a line that can't be written
+at once is dropped and counted, and each event has a rate limit.
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 __all__ = ["BUCKET_BOUNDS_SECONDS", "Histogram", "Journal"]
 
 LINES_PER_SECOND = 50.0
-"""Lines of one kind a second; a kind that is told more often is counted."""
+"""Log lines per second of one event; further ones are only counted."""
 
 BURST_LINES = 200.0
 MAX_LINE_BYTES = 4000
-"""Bytes of a line; a pipe takes up to 4,096 whole or not at all."""
+"""Bytes of a line. A write of up to 4,096 bytes to a pipe is atomic."""
 
 BUCKET_BOUNDS_SECONDS = (0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0)
-"""Upper bounds of the histograms in seconds, closest around what callers
-expect of an answer (0.2 to 0.5 s)."""
+"""Upper bounds of the histograms' buckets. They are closest around the time in which
+callers expect an answer (0.2 to 0.5 s)."""
 
 MAX_HISTOGRAMS = 256
 
 _logger = logging.getLogger("zinniahook")
 
 _encode = json.JSONEncoder(separators=(",", ":"), default=str).encode
-"""Made once: with a new encoder for each line a line takes twice as long."""
+"""Shared by all lines: a new encoder per line doubles the time that a line takes."""
 
-# Nothing of these is written; finding it out takes a third of a line's time.
+# No line contains these, and collecting them takes a third of a line's time.
 logging.logThreads = logging.logProcesses = logging.logMultiprocessing = False
 
 
 class _Budget:
-    """A token bucket of one kind of line."""
+    """The token bucket that limits the lines of one event."""
 
     __slots__ = ("omitted", "refilled_at", "tokens")
 
@@ -62,7 +62,7 @@
 
 
 class _Writer(logging.Handler):
-    """Writes lines to standard output without ever waiting."""
+    """Writes lines to a file descriptor without blocking."""
 
     def __init__(self, descriptor: int) -> None:
         super().__init__()
@@ -80,7 +80,7 @@
 
 
 class Histogram:
-    """Counts of times by upper bounds."""
+    """Counts of durations by upper bounds."""
 
     __slots__ = ("counts", "total")
 
@@ -89,7 +89,7 @@
         self.total = 0.0
 
     def add(self, seconds: float) -> None:
-        """Count one time."""
+        """Count one duration."""
         self.counts[bisect.bisect_left(BUCKET_BOUNDS_SECONDS, seconds)] += 1
         self.total += seconds
 
@@ -100,9 +100,9 @@
     Parameters
     ----------
     name : str
-        Name of the instance, part of each line.
+        Name of the instance; each line contains it.
     descriptor : int
-        Where lines go; standard output by default.
+        File descriptor that lines are written to; standard output by default.
     """
 
     def __init__(self, name: str, descriptor: int = 1) -> None:
@@ -118,7 +118,7 @@
 
     @property
     def dropped(self) -> int:
-        """Lines that nobody read in time."""
+        """Lines that were dropped as they couldn't be written at once."""
         return self._writer.dropped
 
     def count(self, name: str, amount: int = 1) -> None:
@@ -126,7 +126,7 @@
         self.counters_by_name[name] += amount
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Add a time to a histogram."""
+        """Add a duration to a histogram."""
         key = name, tuple(labels.items())
         histogram = self.histograms_by_key.get(key)
         if histogram is None:
@@ -137,7 +137,7 @@
         histogram.add(seconds)
 
     def event(self, name: str, **fields: Any) -> None:
-        """Tell a decision: count it, and write a line if the budget allows."""
+        """Count an event, and write a line if its rate limit allows."""
         self.counters_by_name[name] += 1
         now = time.monotonic()
         budget = self._budgets_by_event.get(name)
@@ -155,7 +155,7 @@
 
 
 def _loggable(value: Any) -> Any:
-    """Return a value as JSON can show it; a flow's key as its addresses."""
+    """Return a value as JSON can represent it; a flow key as its addresses."""
     if isinstance(value, bytes):
         return _format_flow(value) if len(value) == 12 else value.hex()
     return value
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/ports.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/ports.py
@@ -1,7 +1,7 @@
-"""What the packet service needs from the place where it runs.
+"""The interfaces through which the packet service uses its platform.
 
-An adapter supplies a `Store` and a codec and fills `Settings`; it decides
-nothing. The testkit has one for tests and the demo.
+An adapter supplies a `Store` and a codec and fills in `Settings`; it makes no
+decisions. The testkit contains one for tests and the demo.
 """
 
 from __future__ import annotations
@@ -25,26 +25,26 @@
 
 
 class StoreUnavailableError(ZinniahookError):
-    """The store didn't answer, or said that it did nothing."""
+    """The store didn't answer, or reported that it did nothing."""
 
     code = Code.STORE_DOWN
 
 
 class StoreEraError(StoreUnavailableError):
-    """The store told an era below one that it had told before.
+    """The store reported an era below one that it had reported before.
 
-    What goes wrong if it is believed: orders of a history that is over come into
-    force again.
+    If the answer were used, orders of an abandoned history would come into force
+    again.
     """
 
     code = Code.STORE_ERA_FELL
 
 
 class AgentRecord(NamedTuple):
-    """An agent as it stands in the store.
+    """An agent as recorded in the store.
 
-    ``order`` is a number that grows with the moments at which agents first
-    announced themselves; 0 if the agent hasn't yet.
+    ``order`` increases in the order in which agents first announced themselves; it
+    is 0 if the agent hasn't announced itself yet.
     """
 
     service: str
@@ -54,10 +54,10 @@
 
 
 class EvacuationSnapshot(NamedTuple):
-    """The data centres that were evacuated at a revision of the store.
+    """The data centres that are evacuated at a revision of the store.
 
-    The revision is a number that grows with each change of anything there,
-    within an ``era``; the era grows as the store comes back from an older copy.
+    Within an ``era`` the revision increases with every change in the store. The era
+    increases when the store is restored from an older copy.
     """
 
     revision: int
@@ -66,9 +66,9 @@
 
 
 class WritePosition(NamedTuple):
-    """Where a write lies in the store's history.
+    """The position of a write in the store's history.
 
-    Revisions of different eras tell nothing of each other.
+    Revisions of different eras can't be compared.
     """
 
     era: int
@@ -76,7 +76,7 @@
 
 
 class StoredValue(NamedTuple):
-    """A value that daemons keep in the store; revision 0 if it isn't there."""
+    """A value that daemons keep in the store; revision 0 if it doesn't exist."""
 
     name: str
     value: bytes
@@ -85,57 +85,61 @@
 
 
 class Store(Protocol):
-    """The calls to the platform's store. Each raises `StoreUnavailableError`."""
+    """The calls to the platform's store. Each may raise `StoreUnavailableError`."""
 
     async def configuration(self) -> tuple[Routes, int]:
         """Read the newest configuration, and the revision of the store."""
 
     async def evacuation_snapshot(self) -> EvacuationSnapshot:
-        """Return which data centres are evacuated, as one snapshot."""
+        """Return the evacuated data centres as one consistent snapshot."""
 
     async def announced_agents(self, service: str | None) -> list[AgentRecord]:
-        """Return the agents of a service, or some of any."""
+        """Return the agents of a service; for None, some agents of any service."""
 
     async def announce(self, agent: AgentRecord) -> WritePosition:
-        """Add an agent; return where its key was written."""
+        """Add an agent; return the position of the write."""
 
     async def last_write(self, agent: AgentRecord) -> WritePosition | None:
-        """Return where an agent's key was written last, None if it isn't there.
+        """Return the last write of an agent's key; None if the key doesn't exist.
 
         The era is the present one.
         """
 
     async def withdraw(self, agent: AgentRecord, revision: int) -> None:
-        """Remove an agent, unless its key was written again since."""
+        """Remove an agent, unless its key was written after ``revision``."""
 
     async def stored_values(self) -> list[StoredValue]:
         """Return every value that daemons keep."""
 
     async def write_values(self, values: list[StoredValue]) -> WritePosition | None:
-        """Write values unless any has another revision by now.
+        """Write all values, or none if the revision of any has changed.
 
-        None if nothing was written.
+        Returns
+        -------
+        WritePosition or None
+            None if nothing was written.
         """
 
     def routes(self, document: bytes) -> Routes:
-        """Read a configuration that another daemon passed on.
+        """Parse a configuration that was fetched from another daemon.
 
         Raises
         ------
         ZinniahookError
-            If it can't be read.
+            If it can't be parsed.
         """
 
 
 class Settings(NamedTuple):
-    """Settings of one process, in the project's words.
-
-    ``inner_port`` is where daemons speak to each other, over UDP and TCP;
-    ``client_port`` is where clients receive packets. Times are seconds.
-    ``cold_limit`` is what operators allow cold targets, None if it is up to them.
-    ``peer_port`` is where daemons reach each other if that isn't ``inner_port``, as
-    behind a translation of addresses. ``features`` tells which optional parts the
-    operators switch on or off. ``data_centres`` are all there are, empty if not told.
+    """Settings of one process, independent of the platform.
+
+    ``inner_port`` is the port on which daemons communicate with each other, over UDP
+    and TCP; ``client_port`` is the port on which clients receive packets. Times are
+    in seconds. ``cold_limit`` is the operators' limit for cold targets, None if they
+    set none. ``peer_port`` is the port at which other daemons are
+    reached if it differs from ``inner_port``, for instance behind NAT. ``features``
+    are the optional parts that operators switch on or off. ``data_centres`` are all
+    data centres of the deployment, empty if unknown.
     """
 
     name: str
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/recorder.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/recorder.py
@@ -1,7 +1,7 @@
-"""Keeps the record of where routes have led, for daemons that start.
+"""The stored record of the services that routes have led to.
 
-Whoever looks at the store writes it, and whoever has read its first
-configuration there reads it; see `zinniahook_core.packets.formers`.
+Daemons that poll the store write the record. A daemon that starts reads it after it
+has read its first configuration. See `zinniahook_core.packets.formers`.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 __all__ = ["Recorder"]
 
 RETRY_SECONDS = 1.0
-"""Seconds until the next try after the store has failed; each is paid for."""
+"""Seconds between retries while the store fails; each call is billed."""
 
 SETTLE_SECONDS = 1.0
-"""Seconds of looking at the store after which this daemon writes: after a start
-of everything all look for a moment, and each would write the same."""
+"""Seconds for which a daemon polls the store before it writes. After a restart of all
+processes every daemon polls for a moment, and each would write the same."""
 
 REREAD_SECONDS = 2.0
-"""Seconds until a record that may lack something is read again: a daemon that has
-lived through the restore writes it again within the time to settle."""
+"""Seconds until a possibly incomplete record is read again. A daemon that was running
+during the restore writes it again within `SETTLE_SECONDS`."""
 
 CHECKED_ERA_NAME = "era"
-"""Under it stands the latest era in which a daemon that lacked nothing has written
-or checked the record."""
+"""Name of the value that holds the latest era in which a daemon with complete
+knowledge has written or checked the record."""
 
 
 class Recorder:
@@ -41,11 +41,11 @@
     Parameters
     ----------
     node : Node
-        The core whose former services are told and recorded.
+        The core whose former services are read and recorded.
     store : Store
         The platform's store.
     journal : Journal
-        For what was read and written.
+        Records reads and writes of the record.
     """
 
     def __init__(self, node: Node, store: Store, journal: Journal) -> None:
@@ -54,7 +54,7 @@
         self._journal = journal
         self._values_by_name: dict[str, StoredValue] = {}
         self._recorded = Record({})
-        # The era of the revisions read, and the latest one under `CHECKED_ERA_NAME`.
+        # The era of the revisions read, and the era stored as `CHECKED_ERA_NAME`.
         self._era = 0
         self._checked_era = 0
         self._last_recorded: tuple[int, int] | None = None
@@ -62,12 +62,12 @@
         self._retry_at = float("-inf")
 
     def update(self, watching_since: float, era: int = 0) -> None:
-        """Read and write what is due, beside the look at the configuration.
+        """Start a read and write of the record in the background, if one is due.
 
-        ``watching_since`` is when this daemon began to look at the store, ``era`` the
-        store's as it has just told. What goes
-        wrong if the look waits for it: the store takes no writes for a while,
-        and changes of the configuration are seen late.
+        ``watching_since`` is when this daemon started to poll the store, ``era`` the
+        era that the store has just reported. Polling doesn't wait for the task:
+        otherwise, while the store accepts no writes, changes of the configuration
+        would be noticed late.
         """
         busy = self._task is not None and not self._task.done()
         if not busy and time.monotonic() >= self._retry_at:
@@ -84,7 +84,7 @@
             self._journal.event("record.failed", error=str(error))
 
     async def read(self, era: int = 0) -> None:
-        """Learn former services, if this daemon may lack any.
+        """Read the former services from the record, if any may be unknown here.
 
         Raises
         ------
@@ -104,16 +104,16 @@
 
     @property
     def _is_complete(self) -> bool:
-        """Whether the record lacks nothing that was written into it.
+        """Whether the record contains everything that was written into it.
 
-        What goes wrong without: the store is restored, everything restarts before
-        anybody has written the record again, and a flow at a service recorded in
-        the lost seconds passes for one that nobody owns.
+        Guards against this failure: the store is restored, and all processes restart
+        before any daemon has written the record again. A flow at a service that was
+        recorded in the lost seconds would then be considered one without an owner.
         """
         return not self._values_by_name or self._checked_era >= self._era
 
     async def write(self, watching_since: float, era: int = 0) -> None:
-        """Record what the configuration in force leads to, if that is new.
+        """Record the services of the configuration in force, if the record lacks any.
 
         Raises
         ------
@@ -130,7 +130,7 @@
         if not self._values_by_name or era > self._era:
             await self._read(era)
         if self._checked_era < self._era:
-            # The first to write in an era: others may know what this one doesn't.
+            # This is the era's first write. Keep the stored entries of other daemons.
             wanted = formers.merged([self._recorded, wanted])
         if not await self._write_missing(wanted):
             return
@@ -146,16 +146,16 @@
         self._checked_era = _parse_number(stored_era.value) if stored_era else 0
 
     async def _write_missing(self, wanted: Record) -> bool:
-        """Write what is missing.
+        """Write the parts that the store lacks.
 
-        Return False if somebody else wrote meanwhile or the store was restored.
+        Return False if another daemon wrote concurrently or the store was restored.
         """
         changes = []
         if not self._recorded.covers(wanted):
             changes = _missing_parts(wanted, self._values_by_name)
         must_mark = self._checked_era < self._era and self._node.formers.is_complete
         if must_mark and len(changes) < BUCKETS:
-            # Else at the next look: a transaction takes no more parts.
+            # Otherwise at the next update: a transaction takes `BUCKETS` parts at most.
             former = self._values_by_name.get(
                 CHECKED_ERA_NAME, StoredValue(CHECKED_ERA_NAME, b"", 0)
             )
@@ -164,8 +164,8 @@
             return True
         written = await self._store.write_values(changes)
         if written is None or written.era != self._era:
-            # Read again at the next look. In another era the conditions meant
-            # revisions of a history that is over.
+            # Read again at the next update. In another era the conditions compared
+            # revisions of an abandoned history.
             self._values_by_name.clear()
             return False
         for change in changes:
@@ -184,14 +184,14 @@
 
 
 def _parse_number(value: bytes) -> int:
-    """Read a stored number; 0 if it isn't one."""
+    """Parse a stored number; return 0 if it is malformed."""
     return int(value) if value.isdigit() else 0
 
 
 def _missing_parts(
     wanted: Record, by_name: dict[str, StoredValue]
 ) -> list[StoredValue]:
-    """Return the parts of the record that lack something."""
+    """Return the parts of the record that must be written."""
     changes = []
     for number in range(BUCKETS):
         name, part = str(number), wanted.bucket(number)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
@@ -1,4 +1,4 @@
-"""The two roles of the packet service as processes."""
+"""The processes of the packet service's two roles, entry and agent."""
 
 from __future__ import annotations
 
@@ -16,29 +16,28 @@
 
 DRAIN_POLL_SECONDS = 0.05
 GRACE_RESERVE_SECONDS = 0.5
-"""Seconds of the grace period that stay unused."""
+"""Seconds of the grace period that a drain leaves unused."""
 
 ROUTER_DETECTION_SECONDS = 1.2
-"""Seconds until routers have seen two failed probes of readiness."""
+"""Seconds in which routers see two failed readiness probes."""
 
 QUIET_SECONDS = 0.3
-"""Seconds without a client's packet after which an entry may end."""
+"""Seconds without a client's packet after which an entry may stop."""
 
 HANDOVER_SECONDS = 0.3
-"""Seconds in which the others learn that an agent leaves."""
-
+"""Seconds in which the other daemons learn that an agent is leaving."""
 
 TARGET_CONNECT_TIMEOUT_SECONDS = 0.2
-"""Seconds for a connection to the target, on the same instance."""
+"""Seconds to connect to the target, which runs on the same instance."""
 
 MIN_TARGET_PROBE_SECONDS = 0.05
 MAX_TARGET_PROBE_SECONDS = 1.0
-"""Seconds between two looks whether a process runs where the target should: twice
-as long after each that finds none."""
+"""Longest pause between probes for a process at the target's address. The pause
+doubles after each probe that finds none."""
 
 
 class EntryDaemon(Daemon):
-    """An entry as a process."""
+    """The process of an entry."""
 
     core: Entry
 
@@ -58,7 +57,7 @@
         return self.core.is_ready and not self._leaving
 
     def make_core(self) -> Entry:
-        """Return the core."""
+        """Return a new entry core."""
         return Entry(
             self.settings.address,
             self.settings.data_centre,
@@ -70,11 +69,11 @@
         )
 
     def open(self) -> None:
-        """Open the socket that routers send to."""
+        """Open the socket on which routers deliver clients' packets."""
         self.client_socket = self.udp(self.settings.listen, self._from_client)
 
     def knows_peers(self, answered: bool) -> bool:
-        """Tell whether any agent is known; others are looked up when needed."""
+        """Return whether any agent is known; others are looked up on demand."""
         return self.core.is_ready
 
     def gauges(self, now: float) -> dict[str, float]:
@@ -88,11 +87,11 @@
         }
 
     def to_target(self, raw: bytes) -> None:
-        """Entries have no target."""
+        """Raise an error: an entry has no target."""
         raise NotImplementedError
 
     async def drain(self) -> None:
-        """Stay until the routers have moved on."""
+        """Keep forwarding until the routers no longer send packets here."""
         self._leaving = True
         began = time.monotonic()
         until = began + self.settings.grace - GRACE_RESERVE_SECONDS
@@ -108,13 +107,13 @@
 
 
 class AgentDaemon(Daemon):
-    """An agent as a process."""
+    """The process of an agent."""
 
     core: Agent
     _announcer: Announcer | None = None
 
     def make_core(self) -> Agent:
-        """Return the core."""
+        """Return a new agent core."""
         target = Target(self.settings.service, self.settings.beat_interval)
         return Agent(
             self.settings.address,
@@ -130,7 +129,7 @@
         )
 
     def open(self) -> None:
-        """Open the socket that the target sends to, and announce the agent."""
+        """Open the target's socket, and start to announce the agent."""
         settings = self.settings
         self._record = AgentRecord(
             settings.service, settings.address, settings.data_centre
@@ -142,29 +141,30 @@
         self.start(self._wait_for_target())
 
     def knows_peers(self, answered: bool) -> bool:
-        """Tell whether the store has listed the peers.
+        """Return whether the store has listed the peers.
 
-        What goes wrong if it is enough to know some: the one answer of the store got
-        lost, agents that announced themselves before are never heard of, and homes
-        that don't know each other's owners reset their flows.
+        It isn't enough to know some peers. If the store's answer got lost, this agent
+        would never learn of agents that announced themselves earlier, and homes that
+        don't know each other's owners would reset their flows.
         """
         return answered
 
     def needs_renewal(self, era: int) -> bool:
-        """Tell whether the agent was announced in an earlier era alone."""
+        """Return whether the agent was last announced in an earlier era."""
         return self._announcer is not None and self._announcer.needs_renewal(era)
 
     def renewed_items(self) -> list[str]:
-        """Return what this daemon writes again once the store was restored."""
+        """Return what this daemon writes again after a restore of the store."""
         return ["announcement"]
 
     async def renew(self, era: int, revision: int) -> None:
-        """Announce the agent again, and take out peers that have ended.
+        """Announce the agent again, and remove peers that have ended.
 
-        A peer that withdrew in the seconds that the store lost is announced
-        again in the copy, and its process is gone. What goes wrong if it stays:
-        a daemon that starts asks it, and waits for its answer before it ends a
-        flow that nobody owns.
+        If a peer withdrew in the seconds that the store has lost, the restored copy
+        still lists it, but its process is gone. If the entry stayed, a starting
+        daemon would query that peer, and wait for its answer before it ends a flow
+        without an owner. Only the present agent with the lowest address removes
+        peers.
         """
         if await self._announcer.renew(era):
             self.journal.event("announcement.renewed", era=era)
@@ -177,10 +177,11 @@
                 await self._remove_peer(address, era, revision)
 
     async def _remove_peer(self, address: str, era: int, revision: int) -> None:
-        """Take a peer out whose key is the copy's.
+        """Remove a peer's key if it dates from the restored copy.
 
-        A process that runs there has written its key again meanwhile, at a later
-        revision. One try: what stays costs a question at the next start.
+        A process that runs at that address has written its key again at a later
+        revision. The removal is tried once: a key that stays only costs a starting
+        daemon one query.
         """
         peer = AgentRecord(self.settings.service, address, "")
         try:
@@ -214,7 +215,7 @@
         }
 
     def _health_gauges(self, now: float) -> dict[str, float]:
-        """Return what the target's answers show, where it is judged by them."""
+        """Return the health and capacity gauges that are enabled for the target."""
         target, gauges = self.core.target, {}
         if target.health is not None:
             gauges["target_failed_share"] = target.health.failed_share()
@@ -226,22 +227,22 @@
         return gauges
 
     def to_target(self, raw: bytes) -> None:
-        """Give a packet to the target."""
+        """Send a packet to the target."""
         self.client_socket.send(raw, tuple(self.settings.target))
 
     def beat(self, beat: Beat) -> bool:
-        """Take a heartbeat of the target; return False if it can't be one."""
+        """Handle a heartbeat of the target; return False if it is rejected."""
         return self.core.beat(time.monotonic(), beat)
 
     def left(self, target: str, born: int | None) -> None:
-        """Take that the target has ended."""
+        """Handle the target's notice that it has ended."""
         self.core.left(time.monotonic(), target, born)
 
     async def drain(self) -> None:
-        """Hand openings over, and end at a moment without a request.
+        """Hand over new openings, and stop when no request is in progress.
 
-        A process that starts in this one's place can go on with open flows,
-        but what the target sends meanwhile is late by the time that takes.
+        A process that replaces this one continues open flows. Packets that the
+        target sends in between are delayed until the new process runs.
         """
         began = time.monotonic()
         self.core.leave(began)
@@ -258,7 +259,7 @@
             await self._announcer.withdraw(self.core.evacuations.era)
 
     async def _wait_for_target(self) -> None:
-        """Look for the target until it runs, or has told of itself."""
+        """Probe for the target until it runs or has sent a heartbeat."""
         pause = MIN_TARGET_PROBE_SECONDS
         await asyncio.sleep(pause)
         while not await self._probe_target():
@@ -266,16 +267,17 @@
             pause = min(MAX_TARGET_PROBE_SECONDS, 2 * pause)
 
     async def _probe_target(self) -> bool:
-        """Find out whether a target that was never seen runs at all.
+        """Check whether a target that hasn't sent a heartbeat runs at all.
 
-        What goes wrong without: an instance comes back without its target and is
-        taken away at once; for seconds its peers end no flow, as it might hold
-        them. An address that refuses connections has no process.
+        An address that refuses connections has no process. Without this check, an
+        instance that comes back without its target and is removed at once would keep
+        its peers from ending flows for seconds, as it might hold them.
 
         Returns
         -------
         bool
-            Whether a process accepts connections there, or has told of itself.
+            Whether a process accepts connections at the address or has sent a
+            heartbeat. False if the connection attempt fails.
         """
         if self.core.target.is_known:
             return True
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/watcher.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/watcher.py
@@ -1,8 +1,8 @@
-"""Keeps a daemon's configuration fresh, and its agent announced.
+"""Polling of the store, and the announcement of an agent in it.
 
-Few daemons look at the store: whoever heard no fresh confirmation for a while
-does, until another one's confirmations arrive. See
-`zinniahook_core.packets.freshness`.
+Only a few daemons poll the store. A daemon starts to poll when it has received no
+fresh confirmation for a while, and stops when confirmations of another watcher
+arrive. See `zinniahook_core.packets.freshness`.
 """
 
 from __future__ import annotations
@@ -29,56 +29,55 @@
 __all__ = ["Announcer", "Watcher"]
 
 POLL_INTERVAL_SECONDS = 0.4
-"""Seconds between reads of the store's revision. A waiting watch would cost as
-many calls, and a store that has just dropped its history answers watches with
-"nothing new" for a second while changes are made."""
+"""Seconds between reads of the store's revision. A long-polling watch would cost as
+many calls, and a store that has just compacted its history answers watches with
+"nothing new" for a second although changes are made."""
 
 MIN_IDLE_SECONDS = 0.1
 MIN_RETRY_SECONDS = 0.2
 MAX_RETRY_SECONDS = 1.5
-"""Seconds between tries while the store is down: a change must be in force 3 s
-after the store is back, and each try is paid for."""
+"""Longest pause between retries while the store is down. A change must be in force
+3 s after the store is back, and each call is billed."""
 
 RENEWAL_DELAY_SECONDS = 2.0
-"""Seconds between a restore of the store and the first agents that announce
-themselves again: all daemons have heard of it by then, and the store has answered
-those that look at it."""
+"""Seconds between a restore of the store and the first renewed announcements. By
+then every daemon knows of the restore, and the store has answered the watchers."""
 
 RENEWAL_JITTER_SECONDS = 5.0
-"""Seconds over which agents announce themselves again. 300 of them are 60 writes a
-second, a sixth of what a small store takes, and nobody but a daemon that starts
-meanwhile reads them."""
+"""Seconds over which agents spread their renewed announcements. 300 agents make 60
+writes a second, a sixth of what a small store takes. Only daemons that start in this
+time read them."""
 
 
 class Backoff:
-    """Growing, spread pauses between tries."""
+    """Exponential backoff with jitter between retries."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._pause = MIN_RETRY_SECONDS
 
     def reset(self) -> None:
-        """Begin with short pauses again."""
+        """Return to the shortest pause."""
         self._pause = MIN_RETRY_SECONDS
 
     async def wait(self) -> None:
-        """Pause."""
+        """Sleep for the next pause, and double it for the next call."""
         pause = self._pause * (0.5 + self._rng.random())
         self._pause = min(MAX_RETRY_SECONDS, self._pause * 2)
         await asyncio.sleep(pause)
 
 
 class Watcher:
-    """Looks at the store when this daemon must.
+    """Polls the store while no other daemon does.
 
     Parameters
     ----------
     node : Node
-        The core whose configuration is kept.
+        The core that receives configurations and evacuations.
     store : Store
         The platform's store.
     journal : Journal
-        For lost and regained contact.
+        Records when the store becomes unreachable and reachable.
     """
 
     def __init__(self, node: Node, store: Store, journal: Journal) -> None:
@@ -90,7 +89,7 @@
         self._is_connected: bool | None = None
 
     async def run(self) -> None:
-        """Watch whenever needed, for ever."""
+        """Poll the store whenever it is needed, without end."""
         while True:
             now = time.monotonic()
             if not self._must_poll(now):
@@ -109,7 +108,7 @@
         return node.freshness.must_look(now) or node.evacuations.must_read(now)
 
     async def _watch(self) -> None:
-        """Read what the store has, as long as nobody else does."""
+        """Poll the store until another watcher's confirmations arrive."""
         freshness = self._node.freshness
         latest: EvacuationSnapshot | None = None
         watching_since = time.monotonic()
@@ -122,9 +121,9 @@
                 continue
             latest = snapshot
             freshness.confirmed(began)
-            # What goes wrong without: while no client sends, confirmations are
-            # half a second old before another watcher hears them, so it doesn't
-            # yield, and a third of the entries go on reading the store.
+            # Announce the confirmation at once. Otherwise, while no client sends,
+            # it is half a second old when another watcher receives it. That watcher
+            # then doesn't yield, and a third of the entries keep polling.
             self._node.show(time.monotonic())
             self._recorder.update(watching_since, latest.era)
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
@@ -133,22 +132,28 @@
     async def _poll(
         self, latest: EvacuationSnapshot | None
     ) -> EvacuationSnapshot | None:
-        """Read what the operator wants; return what the store listed.
+        """Read the evacuations, and the configuration if anything has changed.
 
-        None if the store was restored meanwhile: what came is of its former
-        history and confirms nothing.
+        Evacuations are read first, in the call that returns the revision. With the
+        configuration first, a starting daemon would route openings to targets of
+        an evacuated data centre until it had read the evacuations.
 
-        The evacuations come first, in the call that tells the revision. What
-        goes wrong the other way round: a daemon that starts routes openings to
-        targets of an evacuated data centre until it knows better.
+        Returns
+        -------
+        EvacuationSnapshot or None
+            What the store listed; None if the store was restored during the call.
+            The answer then belongs to the former history and confirms nothing.
         """
         position = self._node.evacuations.position
         snapshot = await self._store.evacuation_snapshot()
         self._check_era(snapshot.era, era_of(position))
         if position_of(snapshot.era, max(1, snapshot.revision)) < position:
-            # It lost what it had shown and doesn't say so. What goes wrong if it
-            # counts as fresh: orders that aren't taken pass for known everywhere.
-            raise StoreUnavailableError("store: older than what it has shown")
+            # The store has lost changes without reporting a new era. If the answer
+            # were taken as fresh, orders that no daemon has installed would be
+            # considered known everywhere.
+            raise StoreUnavailableError(
+                "store: answered with an older revision than before"
+            )
         self._node.evacuate(time.monotonic(), *snapshot)
         if snapshot.era < self._node.evacuations.era:
             return None
@@ -159,7 +164,7 @@
         return snapshot
 
     def _check_era(self, era: int, known: int) -> None:
-        """Refuse an answer of an era below the one known as it was asked for."""
+        """Raise an error if an answer's era is below the one known at the request."""
         if era < known:
             self._journal.event(
                 "store.era_fell", era=era, known=known, code=int(Code.STORE_ERA_FELL)
@@ -177,10 +182,10 @@
 
 
 class Announcer:
-    """Writes an agent into the store, and takes it out at its end.
+    """Announces an agent in the store, and withdraws it when the agent ends.
 
-    Once, and once more in each later era of the store: a restored one may lack
-    what it had taken.
+    The agent is written once, and again in each later era: a restored store may lack
+    the earlier write.
     """
 
     def __init__(self, store: Store, agent: AgentRecord, rng: random.Random) -> None:
@@ -193,19 +198,19 @@
         self._lock = asyncio.Lock()
 
     async def run(self) -> None:
-        """Announce the agent, trying until it is done."""
+        """Announce the agent, and retry until the store has accepted it."""
         async with self._lock:
             await self._announce()
 
     def needs_renewal(self, era: int) -> bool:
-        """Tell whether the agent was written in an earlier era alone."""
+        """Return whether the agent was last written in an earlier era."""
         return self._last_write is not None and self._last_write.era < era
 
     async def renew(self, era: int) -> bool:
         """Announce the agent again in a later era; return whether it was needed.
 
-        What goes wrong without the pause: all agents write within a second, and
-        the store refuses most of them.
+        A random delay spreads the writes. Otherwise all agents would write within a
+        second, and the store would refuse most of them.
         """
         await asyncio.sleep(
             RENEWAL_DELAY_SECONDS + RENEWAL_JITTER_SECONDS * self._rng.random()
@@ -226,12 +231,12 @@
                 await self._backoff.wait()
 
     async def withdraw(self, era: int = 0) -> None:
-        """Take the agent out; one try, since nobody relies on it.
+        """Withdraw the agent. It is tried once, as no process depends on it.
 
-        ``era`` is the store's latest one. If the agent wasn't written in it, the
-        condition is what is there now: this process still has its address, so
-        nobody else has written the key. What goes wrong with a revision of a
-        former era: it may be that of a later process by chance.
+        ``era`` is the store's latest era. If the agent was last written in an earlier
+        era, the delete is conditioned on the key's present revision: this process
+        still holds its address, so no other process has written the key. A revision
+        of a former era could by chance equal that of a later process's key.
         """
         self._is_withdrawn = True
         if self._last_write is None:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/web.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/web.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 for a process that must start fast.
+"""A small HTTP/1.1 server and client for processes that must start fast.
 
-After a kill of every process callers wait until the processes run again, and
-imports are most of that time: an agent imports for 103 ms with Tornado's HTTP
-classes and for 71 ms with h11 on the loop's own transports (processor time
-above that of the bare interpreter, least of 25 starts).
+After all processes were killed, callers wait until they run again, and most of that
+time is spent on imports. An agent's imports take 103 ms with Tornado's HTTP classes,
+and 71 ms with h11 on the event loop's own transports (processor time above that of the
+bare interpreter, minimum of 25 starts).
 """
 
 from __future__ import annotations
@@ -26,31 +26,31 @@
 TOO_LARGE = 413
 
 MAX_BODY_BYTES = 16 << 20
-"""Bytes of a body: the largest value of the store is one megabyte, a page of
-the store's up to as much, and base64 adds a third."""
+"""Largest body. The store's largest value is one megabyte, a page of its results is up
+to as much, and base64 adds a third."""
 
 BACKLOG = 128
-"""Connections that wait to be accepted; a daemon has fewer callers."""
+"""Connections that may wait to be accepted; a daemon has fewer clients."""
 
 READ_BYTES = 64 << 10
 JSON = "application/json"
 
 
 class Answer(NamedTuple):
-    """An answer, given or received."""
+    """A response, sent or received."""
 
     status: int
     body: bytes = b""
     content_type: str = JSON
     headers: Mapping[bytes, bytes] = MappingProxyType({})
-    """Those of an answer received, by their names in small letters."""
+    """Headers of a received response by their names in lower case."""
 
 
 Handler = Callable[[re.Match[str], bytes], Answer]
 
 
 class Route(NamedTuple):
-    """A method, a pattern that the whole path must match, and who answers."""
+    """A method, a pattern that must match the whole path, and the handler."""
 
     method: str
     path: re.Pattern[str]
@@ -58,18 +58,18 @@
 
 
 class ClientError(Exception):
-    """A call got no answer: refused, reset, malformed, or too slow."""
+    """A call got no response: it was refused, reset, malformed, or timed out."""
 
 
 class Server:
-    """Serves routes at an address.
+    """Serves HTTP routes at an address.
 
     Parameters
     ----------
     address : Address
         Where to listen; port 0 picks a free one.
     routes : iterable of Route
-        What is served; everything else is answered with 404.
+        The routes to serve; any other request is answered with 404.
 
     Raises
     ------
@@ -88,7 +88,7 @@
         )
 
     def answer(self, method: str, path: str, body: bytes) -> Answer:
-        """Return the answer to a request."""
+        """Return the response to a request."""
         for known, pattern, handler in self._routes:
             match = pattern.fullmatch(path)
             if match and known == method:
@@ -96,14 +96,14 @@
         return Answer(NOT_FOUND)
 
     async def close(self) -> None:
-        """Stop listening and close what is open."""
+        """Stop listening, and close open connections."""
         (await self._starting).close()
         for connection in list(self.connections):
             connection.close()
 
 
 class _Connection(asyncio.Protocol):
-    """One connection to a server, with one request after the other."""
+    """A server's connection, which handles one request after the other."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -112,16 +112,16 @@
         self._body = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin."""
+        """Register the connection with the server."""
         self._transport = transport
         self._server.connections.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End."""
+        """Remove the connection from the server."""
         self._server.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes, and answer the requests that are whole."""
+        """Parse received bytes, and answer complete requests."""
         self._http.receive_data(data)
         try:
             self._process_events()
@@ -129,7 +129,7 @@
             self._refuse(BAD_REQUEST)
 
     def close(self) -> None:
-        """Close the connection once what was written is out."""
+        """Close the connection after its buffered data is sent."""
         self._transport.close()
 
     def _process_events(self) -> None:
@@ -160,7 +160,7 @@
             self._http.start_next_cycle()
 
     def _refuse(self, status: int) -> None:
-        """Answer something that can't be read, and close."""
+        """Reject a request that can't be served, and close the connection."""
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self._write(Answer(status))
         self.close()
@@ -178,7 +178,7 @@
 
 
 class _Stream:
-    """A client's connection."""
+    """A connection of a client."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -189,17 +189,17 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the next call may use it."""
+        """Whether another call may use the connection."""
         return not (self._reader.at_eof() or self._writer.is_closing())
 
     def close(self) -> None:
-        """Close it, and drop what wasn't sent."""
+        """Close the connection, and discard unsent data."""
         self._writer.transport.abort()
 
     async def exchange(
         self, host: str, method: str, path: str, body: bytes
     ) -> Answer | None:
-        """Make one call; return None if the answer isn't whole."""
+        """Make one call; return None if the response is incomplete or too large."""
         headers = [("Host", host), ("Content-Length", str(len(body)))]
         if body:
             headers.append(("Content-Type", JSON))
@@ -239,14 +239,14 @@
 
 
 class Client:
-    """Calls one server, over kept connections where that works.
+    """Calls one server, and reuses idle connections.
 
     Parameters
     ----------
     address : Address
         IP address and port of the server.
     timeout : float
-        Seconds for a whole call.
+        Seconds for a whole call, connecting included.
     """
 
     def __init__(self, address: Address, timeout: float) -> None:
@@ -255,14 +255,14 @@
         self._idle: list[_Stream] = []
 
     async def call(self, method: str, path: str, body: bytes = b"") -> Answer:
-        """Make a call and return its answer, whatever its status.
+        """Make a call and return its response, whatever its status.
 
-        A connection that has failed or been silent once isn't used again.
+        A connection on which a call failed or timed out isn't used again.
 
         Raises
         ------
         ClientError
-            If there is no answer in time.
+            If there is no complete response in time.
         """
         stream = self._take_idle()
         try:
@@ -277,12 +277,12 @@
             raise ClientError(f"{self._address}: {error!r}") from None
         if answer is None:
             stream.close()
-            raise ClientError(f"{self._address}: the answer broke off")
+            raise ClientError(f"{self._address}: incomplete or too large response")
         self._idle.append(stream)
         return answer
 
     def close(self) -> None:
-        """Close what is kept."""
+        """Close idle connections."""
         while self._idle:
             self._idle.pop().close()
 
