--- a/packages/zinniahook-daemon/src/zinniahook_daemon/agents.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/agents.py
@@ -1,8 +1,8 @@
-"""The agent: owns the flows of one target and runs its requests.
+"""The agent, which owns the flows of one target and runs its requests.
 
-It feeds everything that happens to the core and carries out what the core
-decides. What it adds itself is I/O: QUIC towards callers, HTTP/1.1 towards
-the target, gRPC and datagrams towards peers.
+It passes every event to the core and executes the effects that the core returns. The
+agent itself only does I/O: QUIC with callers, HTTP/1.1 with the target, gRPC and
+datagrams with peers.
 """
 
 from __future__ import annotations
@@ -45,16 +45,17 @@
 
 TICK_SECONDS = 0.1
 PROBE_INTERVAL_SECONDS = 1.0
-"""Seconds between questions to the target's own health endpoint."""
+"""Seconds between probes of the target's health endpoint."""
 
 KEEP_ALIVE_INTERVAL_SECONDS = 1.0
-"""Seconds between looks for silent connections."""
+"""Seconds between checks for silent connections."""
 
 FINAL_GO_AWAY_SECONDS = 1.0
-"""Seconds from the GOAWAY that asks to the one that rejects."""
+"""Seconds from the first GOAWAY, which only asks callers to reconnect, to the final
+one, after which new requests are rejected."""
 
 CLOSING_SECONDS = 0.2
-"""Seconds left to the last datagrams before the process ends."""
+"""Seconds in which the last datagrams are sent before the process stops."""
 
 Handler = Callable[["Agent", Any], None]
 
@@ -83,7 +84,7 @@
 
 
 def _executes(effect_type: type) -> Callable[[Handler], Handler]:
-    """Register what carries out one type of effect."""
+    """Register the decorated method as the handler of an effect type."""
 
     def register(handler: Handler) -> Handler:
         _HANDLERS_BY_EFFECT[effect_type] = handler
@@ -93,7 +94,7 @@
 
 
 class Agent:
-    """Drives the core of an agent.
+    """Runs the core of an agent and its I/O.
 
     Parameters
     ----------
@@ -140,10 +141,10 @@
     # Events and effects
 
     def feed(self, event: AgentEvent) -> None:
-        """Give an event to the core and carry out what it decides.
+        """Pass an event to the core and execute the effects that it returns.
 
-        Events that effects cause are handled after those effects, so that
-        the core never sees an order that didn't happen.
+        Events that arise from effects are queued and handled after those effects, so
+        that the core sees events in the order in which they happened.
         """
         self._events.append(event)
         if self._is_feeding:
@@ -160,19 +161,19 @@
             for effect in self.core.handle(self.node.now(), event):
                 self._execute(effect)
         except Exception:
-            # A fault in one decision would otherwise end the read of other
-            # flows' datagrams, or a timer, wherever it was fed from.
+            # An exception would otherwise propagate to the caller of `feed`, and
+            # stop a timer or the reading of other flows' datagrams.
             _logger.exception("decision failed")
             self.node.count("agent.faults")
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine on its own and keep it alive."""
+        """Run a coroutine as a task, and keep a reference to the task."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def drain(self, seconds: float) -> None:
-        """Leave within so many seconds; 0 for the service's own setting."""
+        """Drain within ``seconds``; 0 means the service's own setting."""
         self.feed(DrainRequested(seconds or self.service.drain))
         if self.leaving:
             return
@@ -182,7 +183,7 @@
         loop.call_later(FINAL_GO_AWAY_SECONDS, self.traffic.go_away, True)
 
     async def close(self) -> None:
-        """End what is left."""
+        """Close the remaining connections, and cancel running requests."""
         self.traffic.close()
         self.runs.cancel_all()
         await asyncio.sleep(CLOSING_SECONDS)
@@ -242,7 +243,7 @@
 
     async def _probe_target(self) -> None:
         if self.service.protocol is Protocol.UDP:
-            # A plain UDP target has no endpoint that could be asked.
+            # A plain UDP target has no health endpoint.
             self.feed(TargetReported(not self.traffic.flows.refused, None, True))
             return
         self.feed(await self.runs.target.probe())
@@ -263,13 +264,13 @@
             "streams": load.streams,
         }
 
-    # The life of the agent
+    # Lifecycle of the agent
 
     @_executes(effects.Restart)
     def _restart(self, effect: effects.Restart) -> None:
-        # Peers may have taken over what this agent owned while it was paused.
-        # Nothing from before may reach the core: exchanges are forgotten
-        # first, so that the ends of their tasks and connections are not news.
+        # Peers may have taken over this agent's flows while it was paused. No event
+        # from before the restart may reach the core. Exchanges are forgotten first,
+        # so that the ends of their tasks and connections cause no events.
         exchanges = self.runs.forget_all()
         self._events.clear()
         self.traffic.restart()
@@ -310,5 +311,5 @@
         self.node.count("agent.dropped", code=effect.code.name)
 
     def closed(self, flow: bytes) -> None:
-        """Learn that a flow has ended."""
+        """Notify the core that a flow has ended."""
         self.feed(FlowClosed(flow))
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/connections.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/connections.py
@@ -1,4 +1,4 @@
-"""All QUIC connections of one agent: by id, their timers, their datagrams."""
+"""The QUIC connections of one agent, with their timers and datagrams."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 __all__ = ["Connections"]
 
 KEEP_ALIVE_SECONDS = 10.0
-"""Seconds of silence after which an open request makes the agent PING."""
+"""Seconds without a packet after which a connection with an open request is pinged."""
 
 HANDSHAKE_TIMEOUT_SECONDS = 10.0
 
 MAX_HANDSHAKES = 512
-"""Connections that may be in their handshake at a time."""
+"""Connections that may be in their handshake at the same time."""
 
 
 class Connections:
@@ -35,21 +35,21 @@
     Parameters
     ----------
     configuration : QuicConfiguration
-        For new connections; may be replaced at any time.
+        Configuration of new connections; may be replaced at any time.
     issue : callable
-        Draws a connection id that names this agent.
+        Generates a connection id that encodes this agent.
     send : callable
         Sends a datagram of a connection to a caller's address.
     make_session : callable
-        Makes the session of a new connection.
+        Creates the session of a new connection.
     closed : callable
-        Told of each connection that has ended.
+        Called with each connection that has ended.
     unanswered : callable
-        Told of a connection whose answers get no acknowledgement, each time
-        that one more probe went unanswered.
+        Called with a connection whose packets aren't acknowledged, after each
+        further unanswered probe.
 
-    One heap of timers serves all of them, and datagrams are built once a
-    turn of the loop for the connections that were touched in it.
+    All connections share one timer heap. In each iteration of the event loop,
+    datagrams are built once for each connection that was touched.
     """
 
     def __init__(
@@ -85,25 +85,26 @@
 
     @property
     def handshakes(self) -> int:
-        """How many connections are in their handshake."""
+        """The number of connections in their handshake."""
         return len(self._handshaking)
 
     def open(
         self, flow: bytes, original: bytes = b"", retry_source: bytes | None = None
     ) -> ServerConnection | None:
-        """Make the connection of an opening.
+        """Create the connection of an opening.
 
         Parameters
         ----------
         flow : bytes
-            Its destination connection id.
+            The opening's destination connection id.
         original, retry_source : bytes
-            After a Retry: the first id of all, and that of the Retry.
+            After a Retry, the original destination connection id and the Retry's
+            source connection id.
 
         Returns
         -------
         ServerConnection or None
-            None if too many are in their handshake.
+            None if `MAX_HANDSHAKES` connections are in their handshake.
         """
         if len(self._handshaking) >= MAX_HANDSHAKES:
             return None
@@ -115,7 +116,7 @@
         connection.session = self._make_session(connection)
         self.by_number[connection.number] = connection
         self._handshaking[connection.number] = connection
-        # Until the handshake is over the caller may still use the id it drew.
+        # Until the handshake ends, the caller may use the id that it generated.
         self.by_id[flow] = connection
         return connection
 
@@ -126,7 +127,7 @@
         caller: Address,
         entry: Address,
     ) -> None:
-        """Feed a datagram that came by way of ``entry``."""
+        """Process a datagram that was forwarded by ``entry``."""
         if payload[0] & 0x80 and not connection.handshaking:
             return
         now = self._loop.time()
@@ -143,13 +144,13 @@
         self.touch(connection)
 
     def touch(self, connection: ServerConnection) -> None:
-        """Build datagrams for a connection at the end of this turn."""
+        """Schedule a connection to send datagrams after the present callbacks."""
         if not self._touched:
             self._loop.call_soon(self._flush)
         self._touched[connection.number] = connection
 
     def drop(self, connection: ServerConnection) -> None:
-        """Forget a connection without a word to its caller."""
+        """Remove a connection without notifying its caller."""
         if self.by_number.pop(connection.number, None) is None:
             return
         self._handshaking.pop(connection.number, None)
@@ -162,15 +163,15 @@
             session.ended()
 
     def close(self, connection: ServerConnection, error_code: int, reason: str) -> None:
-        """Tell the caller that the connection ends, and end it."""
+        """Close a connection, with a reason for the caller."""
         connection.close(error_code=error_code, reason_phrase=reason)
         self.touch(connection)
 
     def keep_alive(self) -> None:
-        """Ping connections with an open request; drop stuck handshakes.
+        """Ping silent connections with an open request; drop stuck handshakes.
 
-        Without PINGs a caller whose flow some middle box has forgotten would
-        wait for good on an answer; with them both ends find an idle timeout.
+        If a middlebox loses the state of a caller's flow, the caller would wait for
+        its answer for good. With PINGs, both ends detect the loss by an idle timeout.
         """
         now = self._loop.time()
         for connection in list(self._handshaking.values()):
@@ -188,9 +189,9 @@
                 self.touch(connection)
 
     def _fail(self, connection: ServerConnection) -> None:
-        # A caller's bytes reached a fault in a parser. Without this the error
-        # would end the turn of all other connections; it shows in the log and
-        # the counter, and only this connection pays.
+        # A caller's bytes have triggered a parser fault. Only this connection is
+        # dropped; otherwise the exception would stop the processing of all others.
+        # The fault is logged and counted.
         logging.getLogger(__name__).exception("connection failed")
         self.failures += 1
         self.drop(connection)
@@ -267,7 +268,7 @@
     def _time_out(self, connection: ServerConnection, now: float) -> None:
         before = connection.probes
         connection.handle_timer(now)
-        # One lost packet costs one probe; two in a row are no accident.
+        # A single lost packet causes one probe. Two in a row suggest a broken path.
         if connection.probes > max(before, 1) and not connection.handshaking:
             self._unanswered(connection)
         self.touch(connection)
@@ -278,7 +279,7 @@
         while self._timers and self._timers[0][0] <= now:
             at, number = heapq.heappop(self._timers)
             connection = self.by_number.get(number)
-            # An earlier timer has taken the place of this one.
+            # Skip timers of ended connections and superseded ones.
             if connection is None or connection.timer_at != at:
                 continue
             connection.timer_at = None
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/entries.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/entries.py
@@ -1,8 +1,8 @@
-"""The entry: takes callers' datagrams and hands them to agents.
+"""The entry, which forwards callers' datagrams to agents.
 
-It keeps no state of a flow, so it may be killed at any moment and any other
-entry goes on with the next datagram. Nothing is sent to a caller but what an
-authenticated agent answered, so an entry can't amplify.
+An entry keeps no state per flow. It may be killed at any moment, and any other entry
+forwards the flow's next datagram. Callers are only sent what an authenticated agent
+has answered, so an entry can't be used for amplification.
 """
 
 from __future__ import annotations
@@ -43,10 +43,10 @@
 """Seconds between the ticks of the core."""
 
 BIND_RETRY_SECONDS = 5.0
-"""Seconds between attempts to bind an address that was taken."""
+"""Seconds between attempts to bind an address that was in use."""
 
 MAX_PAYLOAD_BYTES = 65_507 - OVERHEAD
-"""Longest datagram taken from a caller, in bytes: what fits into the tunnel."""
+"""Largest datagram that is accepted from a caller: one that fits into the tunnel."""
 
 
 async def serve(node: Node) -> None:
@@ -61,18 +61,18 @@
     await node.ready()
     node.announce(services=entry.addresses())
     await node.stopping.wait()
-    # The fabric sends datagrams here until it notices; those that arrive
-    # meanwhile would be lost and each cost its caller a retransmission.
+    # The network fabric sends datagrams here until it notices the drain. Without
+    # the pause they would be lost, and each would cost a retransmission.
     node.log("entry-draining", seconds=node.settings.entry.drain)
     await asyncio.sleep(node.settings.entry.drain)
     entry.close()
 
 
 class ServiceSocket(UdpSocket):
-    """The socket of one service address, as the entry binds it.
+    """The socket that is bound to the address of one service.
 
-    ``prefix`` is what the tunnel headers of the service's QUIC packets share,
-    empty for another protocol.
+    ``prefix`` is the common start of the tunnel headers of the service's QUIC
+    packets; it is empty for other protocols.
     """
 
     __slots__ = ("_entry", "bound", "prefix", "service")
@@ -85,7 +85,7 @@
         super().__init__(address, partial(entry.forward, self))
 
     def _read(self) -> None:
-        """Read what has come in, packets of open connections by a shortcut."""
+        """Read waiting datagrams; route short-header packets on a faster path."""
         entry = self._entry
         buffer = entry.payload_buffer
         receive_into = self._socket.recvfrom_into
@@ -118,8 +118,8 @@
         self._tunnel: Tunnel
         self._generation = 0
         self._forwarded = 0
-        # One datagram at a time: it is read behind the room for its tunnel
-        # header, and sent from there without being copied.
+        # Holds one datagram at a time. It is read behind the space for its tunnel
+        # header, and sent from there without a copy.
         self._buffer = memoryview(bytearray(OVERHEAD + MAX_DATAGRAM_BYTES))
         self.payload_buffer = self._buffer[OVERHEAD:]
         node.on_tunnel(self._answer)
@@ -137,7 +137,7 @@
         }
 
     def forward(self, socket: ServiceSocket, payload: bytes, source: tuple) -> None:
-        """Route a caller's datagram; the packet path."""
+        """Route a caller's datagram to an agent."""
         if len(payload) > MAX_PAYLOAD_BYTES:
             self._drop(Code.DATAGRAM_TOO_LONG)
             return
@@ -156,7 +156,7 @@
     def forward_established(
         self, socket: ServiceSocket, size: int, source: tuple
     ) -> None:
-        """Route a short-header packet that stands in the payload room."""
+        """Route the short-header packet in the payload buffer to its owner."""
         if size > MAX_PAYLOAD_BYTES:
             self._drop(Code.DATAGRAM_TOO_LONG)
             return
@@ -175,7 +175,7 @@
             self._drop(Code.SOCKET_FULL)
 
     def prefix(self, service: Service) -> bytes:
-        """Return what the tunnel headers of a QUIC service's packets share."""
+        """Return the common prefix of the tunnel headers of a QUIC service."""
         if service.protocol is not Protocol.QUIC:
             return b""
         return self._tunnel.prefix(TO_AGENT, service.number, self._generation)
@@ -201,7 +201,7 @@
         self._sockets_by_number.clear()
 
     def _answer(self, datagram: TunnelDatagram, source: Address) -> None:
-        """Send an agent's answer out of the service's address."""
+        """Send an agent's answer to the caller from the service's address."""
         if datagram.kind is not TO_CALLER:
             self._drop(Code.TUNNEL_MALFORMED)
             return
@@ -222,7 +222,7 @@
         self._counters[f"entry.dropped.{code.name}"] += 1
 
     def _configure(self, configuration: Configuration) -> None:
-        # Kept here for the packet path, where each look-up counts.
+        # Cached for the packet path, where each attribute lookup costs time.
         self._tunnel = self._node.tunnel
         self._generation = configuration.generation
         self._handle(ConfigurationChanged(configuration))
@@ -252,7 +252,7 @@
         return Address(host, service.address.port)
 
     def _bind(self, service: Service) -> None:
-        """Bind a service's address; if it is taken, the others go on."""
+        """Bind a service's address; a failure doesn't affect other services."""
         try:
             socket = ServiceSocket(self, service, self._bind_address(service))
         except OSError as error:
@@ -296,7 +296,7 @@
                 self._node.log(effect.event, **dict(effect.fields))
 
     def _status(self) -> StatusFields:
-        """Return what `Control.Status` adds for an entry."""
+        """Return the entry's fields of `Control.Status`."""
         reasons = []
         if self._unbound:
             reasons.append(f"{len(self._unbound)} service addresses not bound")
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/exchanges.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/exchanges.py
@@ -1,9 +1,9 @@
-"""Requests on their way from a caller to a target, and answers back.
+"""Requests from a caller to a target, and their answers.
 
-An `Exchange` is one request at this agent, wherever it came from: an HTTP/3
-stream of a caller (`http3`) or a peer agent (`relays`). Whatever runs it (the
-target or a relay) reads its `body` and writes its answer; both sides wait for
-each other, so nothing large is ever held.
+An `Exchange` is one request at this agent. It comes from an HTTP/3 stream of a caller
+(`http3`) or from a peer agent (`relays`). The target or the relay that runs it reads
+its `body` and writes its answer. Back-pressure in both directions bounds the bytes that
+are buffered.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 Headers = tuple[tuple[bytes, bytes], ...]
 
 MAX_KEPT_ANSWER_BYTES = 32 * 1024
-"""Bytes of body up to which an answer is kept for a second copy."""
+"""Largest body of an answer that is kept for a repeat of its request."""
 
 MAX_KEY_BYTES = 128
-"""Longest Idempotency-Key."""
+"""Longest accepted Idempotency-Key."""
 
 BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
-"""Methods whose body counts though no content-length announces it."""
+"""Methods whose body is forwarded even without a content-length header."""
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"})
 
@@ -67,18 +67,18 @@
 
 
 class Head(NamedTuple):
-    """What a caller asks; header names are in lower case."""
+    """Method, path and headers of a request; header names are in lower case."""
 
     method: str
     path: str
     headers: Headers
 
     def get(self, name: bytes) -> bytes:
-        """Return the first value of a header, or nothing."""
+        """Return the first value of a header, or empty bytes."""
         return next((value for key, value in self.headers if key == name), b"")
 
     def number(self, name: bytes) -> float | None:
-        """Return a header that is a finite number from 0, or None."""
+        """Return a header as a finite, non-negative number, or None."""
         try:
             value = float(self.get(name))
         except ValueError:
@@ -87,7 +87,7 @@
 
 
 class Answer(NamedTuple):
-    """A whole answer, small enough to keep."""
+    """A complete answer, small enough to keep."""
 
     status: int
     headers: Headers
@@ -104,12 +104,12 @@
 
 
 def decode_answer(data: bytes) -> Answer:
-    """Decode what `encode_answer` made.
+    """Decode the result of `encode_answer`.
 
     Raises
     ------
     ValueError
-        If it is something else.
+        If ``data`` has another format.
     """
     size = int.from_bytes(data[:4], "big")
     head = RelayAnswer()
@@ -124,7 +124,7 @@
 
 
 def outcome_answer(outcome: Outcome) -> Answer:
-    """Return the answer that tells a caller of an outcome."""
+    """Return the answer that reports an outcome to a caller."""
     status = STATUS_BY_CODE.get(outcome.code) or STATUS_BY_KIND[outcome.kind]
     headers = [
         (b"zinniahook-outcome", outcome.kind.value.encode()),
@@ -159,7 +159,7 @@
     Parameters
     ----------
     taken : callable
-        Told how many bytes were taken, so that the caller may send more.
+        Called with the number of consumed bytes, so that the caller may send more.
     """
 
     def __init__(self, taken: Callable[[int], None]) -> None:
@@ -180,7 +180,7 @@
         self._wake()
 
     def abort(self) -> None:
-        """Tell the reader that the rest will not come, if there is a rest."""
+        """Make the reader raise `BodyAborted`, unless the body is complete."""
         if self.ended:
             return
         self.aborted = True
@@ -212,27 +212,27 @@
     Attributes
     ----------
     number : int
-        The core's name for the request.
+        The number by which the core refers to the request.
     head : Head
     kind : str
         Name of the request class.
     key : bytes
         Idempotency-Key, or empty.
     deadline : float or None
-        Monotonic time that the caller gave, if it gave one.
+        Monotonic time by which the caller wants the answer, if it set one.
     body : Body
     status : int
-        Of the answer, 0 until it was begun.
+        Status of the answer; 0 until the answer has begun.
     finished : bool
-        The answer is complete, or can't be completed any more.
+        The answer is complete, or can no longer be completed.
     started : bool
-        Bytes of the request went out to the target or a peer.
+        Bytes of the request were sent to the target or a peer.
     given_up : bool
-        The caller does not want the answer any more.
+        The caller has cancelled the request.
     relayed_by : str
-        The peer that passed the request on, or empty.
+        The peer that relayed the request to this agent, or empty.
     relayed_to : str
-        The peer that it was passed to, or empty.
+        The peer that the request was relayed to, or empty.
     """
 
     given_up = False
@@ -259,12 +259,12 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether HTTP says that the method may be repeated."""
+        """Whether HTTP defines the method as idempotent."""
         return self.head.method in IDEMPOTENT_METHODS
 
     @property
     def kept(self) -> bytes:
-        """The whole answer, encoded, or empty if it is too large to keep."""
+        """The complete encoded answer, or empty if it is too large to keep."""
         if self._kept is None or not self.status:
             return b""
         return encode_answer(Answer(self.status, self._headers, bytes(self._kept)))
@@ -279,9 +279,9 @@
             self.send_head(status, headers)
 
     def write(self, data: bytes) -> asyncio.Future[None] | None:
-        """Send a piece of the answer; wait for the future if there is one."""
+        """Send a piece; if a future is returned, await it before the next piece."""
         if self._kept is not None:
-            # Also when the caller is gone: it may come back for its answer.
+            # Kept even if the caller has gone: it may retry to get its answer.
             self._kept += data
             if len(self._kept) > MAX_KEPT_ANSWER_BYTES:
                 self._kept = None
@@ -296,34 +296,34 @@
             self.send_end()
 
     def fail(self) -> None:
-        """Break the answer off, so that the caller can't take it for whole."""
+        """Reset the answer, so that the caller doesn't consider it complete."""
         if not self.finished:
             self.finished = True
             self._kept = None
             self.send_reset()
 
     def replay(self, answer: Answer) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         self.begin(answer.status, answer.headers)
         self.write(answer.body)
         self.finish()
 
     def refuse(self, outcome: Outcome) -> None:
-        """Answer with an outcome, or break off an answer already begun."""
+        """Answer with an outcome, or reset an answer that has begun."""
         if self.status:
             self.fail()
             return
         self._kept = None
         self.replay(outcome_answer(outcome))
 
-    # How the answer goes out, and how the body comes in
+    # Transport, implemented by subclasses
 
     def send_head(self, status: int, headers: Headers) -> None:
         """Send the head of the answer."""
         raise NotImplementedError
 
     def send_piece(self, data: bytes) -> asyncio.Future[None] | None:
-        """Send a piece; return a future if the other side is behind."""
+        """Send a piece; return a future if the receiver has fallen behind."""
         raise NotImplementedError
 
     def send_end(self) -> None:
@@ -331,7 +331,7 @@
         raise NotImplementedError
 
     def send_reset(self) -> None:
-        """Break the answer off."""
+        """Reset the answer's stream."""
         raise NotImplementedError
 
     def body_taken(self, size: int) -> None:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/heads.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/heads.py
@@ -1,4 +1,4 @@
-"""Heads of requests as they come over HTTP/3, and what is wrong with them."""
+"""Parsing and validation of request heads received over HTTP/3."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 __all__ = ["MAX_BODY_BYTES", "refusal_code", "read_head"]
 
 MAX_BODY_BYTES = 1 << 30
-"""Largest body of a request, in bytes."""
+"""Largest body of a request."""
 
 METHOD = re.compile(r"[A-Z]{1,32}")
 PATH = re.compile(r"/[!-~]*|\*")
@@ -21,15 +21,15 @@
 
 
 def read_head(pairs: Iterable[tuple[bytes, bytes]]) -> Head | None:
-    """Return the head that a caller's header fields make.
+    """Return the request head in a caller's header fields.
 
     Returns
     -------
     Head or None
-        None if it would not stay one HTTP/1.1 request at the target. HTTP/3
-        carries method and path apart from each other. Written into one line,
-        a space in them would make the target read another request than the
-        one that was classed and admitted here.
+        None if the method or path is invalid as part of an HTTP/1.1 request line.
+        HTTP/3 carries method and path separately. A space in one of them would
+        make the target read another request from the line than the one that was
+        classified and admitted here.
     """
     fields = list(pairs)
     values = dict(fields)
@@ -44,7 +44,7 @@
 
 
 def refusal_code(head: Head) -> Code | None:
-    """Return why a request is refused for its form, if it is."""
+    """Return the code with which an invalid request is refused, or None."""
     if len(head.get(b"idempotency-key")) > MAX_KEY_BYTES:
         return Code.KEY_TOO_LONG
     if (head.number(b"content-length") or 0) > MAX_BODY_BYTES:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/http3.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/http3.py
@@ -1,4 +1,4 @@
-"""HTTP/3 on one connection of a caller."""
+"""HTTP/3 sessions on callers' connections."""
 
 from __future__ import annotations
 
@@ -32,59 +32,60 @@
 __all__ = ["CallerExchange", "Http3Session", "RequestHandler"]
 
 MAX_HEADER_BYTES = 16 * 1024
-"""Largest header block of a request, in bytes as sent."""
+"""Largest encoded header block of a request."""
 
 HIGH_WATER_BYTES = 256 * 1024
-"""Unacknowledged bytes of an answer at which its source has to wait."""
+"""Unacknowledged bytes of an answer at which its source has to pause."""
 
 LOW_WATER_BYTES = HIGH_WATER_BYTES // 2
 
 READY_BODY_BYTES = 64 * 1024
-"""Bytes of a body up to which a request waits for the whole of it."""
+"""Bytes of a body that a request waits for before it runs, unless the body is
+shorter."""
 
 BODY_TIMEOUT_SECONDS = 60.0
-"""Seconds that a caller has to send that much."""
+"""Seconds in which a caller must send `READY_BODY_BYTES` or the complete body."""
 
 LAST_STREAM_ID = (1 << 62) - 4
-"""Largest id of a request stream: a GOAWAY that rejects nothing yet."""
+"""Largest id of a request stream. A GOAWAY with it rejects no request yet."""
 
 
 class RequestHandler(Protocol):
-    """What a session needs of its agent."""
+    """The methods of an agent that a session calls."""
 
     def classify(self, path: str) -> str:
         """Return the request class of a path, or empty."""
 
     def arrived(self, exchange: Exchange) -> None:
-        """Take a new request."""
+        """Handle a new request."""
 
     def cancelled(self, exchange: Exchange) -> None:
-        """Learn that the caller does not want an answer any more."""
+        """Handle the cancellation of a request by its caller."""
 
     def refused(self, code: Code) -> None:
-        """Count a request that was refused for its form."""
+        """Count a request that was refused as invalid."""
 
 
 class _Http3(H3Connection):
-    """An HTTP/3 connection without a dynamic header table.
+    """An HTTP/3 connection without a dynamic QPACK table.
 
-    A table would let a caller's few bytes stand for megabytes of headers,
-    make one lost packet hold up other requests, and cost memory on every
-    open connection.
+    With a table, a few bytes of a caller could expand to megabytes of headers, a lost
+    packet could block other requests, and every open connection would use more
+    memory.
     """
 
     _max_table_capacity = property(lambda self: 0, lambda self, value: None)
     _blocked_streams = property(lambda self: 0, lambda self, value: None)
 
     def go_away(self, stream_id: int) -> None:
-        """Tell the caller that requests from ``stream_id`` on are rejected."""
+        """Send a GOAWAY, which rejects requests from ``stream_id`` on."""
         self._quic.send_stream_data(
             self._local_control_stream_id,
             encode_frame(FrameType.GOAWAY, encode_uint_var(stream_id)),
         )
 
     def buffered(self, stream_id: int) -> int:
-        """Return how much of an unfinished frame is or will be held."""
+        """Return the bytes of an incomplete frame that are or will be buffered."""
         stream = self._stream.get(stream_id)
         if stream is None:
             return 0
@@ -94,12 +95,12 @@
         return max(len(stream.buffer), announced)
 
     def awaits_head(self, stream_id: int) -> bool:
-        """Tell whether the head of a request is still to come."""
+        """Return whether the head of a request hasn't been received."""
         stream = self._stream.get(stream_id)
         return stream is not None and stream.headers_recv_state == HeadersState.INITIAL
 
     def forget(self, stream_id: int) -> None:
-        """Drop what is held of a stream."""
+        """Discard the state of a stream."""
         self._stream.pop(stream_id, None)
 
 
@@ -117,10 +118,10 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether enough of the request is here to run it.
+        """Whether enough of the request was received to run it.
 
-        A field device may take seconds to send a ticket. Run as soon as its
-        head is here, it would hold a slot of the target all that time.
+        A field device may take seconds to send a ticket. If the request ran as soon
+        as its head is received, it would occupy a slot of the target all that time.
         """
         if self.head.method not in BODY_METHODS or self.head.get(b"expect"):
             return True
@@ -132,7 +133,7 @@
         self.session.send_headers(self.stream_id, pairs)
 
     def send_piece(self, data: bytes) -> asyncio.Future[None] | None:
-        """Send a piece; return a future if the caller is behind."""
+        """Send a piece; return a future if the caller has fallen behind."""
         self.session.send_data(self.stream_id, data, end=False)
         if self.session.connection.unsent(self.stream_id) < HIGH_WATER_BYTES:
             return None
@@ -146,7 +147,7 @@
         self.session.done(self)
 
     def send_reset(self) -> None:
-        """Break the answer off."""
+        """Reset the answer's stream."""
         self.session.reset(self.stream_id, ErrorCode.H3_INTERNAL_ERROR)
         self.session.done(self)
 
@@ -155,23 +156,23 @@
         self.session.taken(self.stream_id, size)
 
     def release(self) -> None:
-        """Let a source that waits for this caller go on."""
+        """Resume a source that waits for this caller."""
         if self.drained is not None and not self.drained.done():
             self.drained.set_result(None)
         self.drained = None
 
 
 class Http3Session:
-    """The requests of one connection.
+    """The HTTP/3 requests of one connection.
 
     Parameters
     ----------
     connection : ServerConnection
-        What they arrive on.
+        The connection on which the requests arrive.
     handler : RequestHandler
-        The agent.
+        Handles the requests: the agent.
     touch : callable
-        Called after something was given to the connection to send.
+        Called after data was passed to the connection to send.
     """
 
     def __init__(
@@ -199,7 +200,7 @@
         return bool(self.by_stream)
 
     def handle(self, event: QuicEvent) -> None:
-        """Take an event of the connection."""
+        """Handle an event of the connection."""
         if isinstance(event, HandshakeCompleted):
             self._http = _Http3(self.connection)
             if self._pending_go_away is not None:
@@ -213,14 +214,14 @@
             self._reset(event)
 
     def flushed(self) -> None:
-        """Let sources go on whose callers have caught up."""
+        """Resume sources whose callers have caught up."""
         for stream_id, exchange in list(self.waiting.items()):
             if self.connection.unsent(stream_id) <= LOW_WATER_BYTES:
                 del self.waiting[stream_id]
                 exchange.release()
 
     def expire(self, now: float) -> None:
-        """Refuse requests whose bodies don't come."""
+        """Refuse requests whose bodies aren't received in time."""
         for exchange in list(self.by_stream.values()):
             late = now - exchange.arrived_at > BODY_TIMEOUT_SECONDS
             if late and not exchange.is_announced:
@@ -228,21 +229,21 @@
                 exchange.refuse(Outcome(OutcomeKind.NOT_RUN, Code.DEADLINE_EXPIRED))
 
     def ended(self) -> None:
-        """Cancel everything: the connection has ended."""
+        """Cancel all requests, as the connection has ended."""
         self._http = None
         for exchange in list(self.by_stream.values()):
             self._cancel(exchange)
 
     def go_away(self, final: bool) -> None:
-        """Ask the caller for a new connection.
+        """Send a GOAWAY, which asks the caller to open a new connection.
 
-        The first GOAWAY only asks; requests that crossed it are still taken.
-        After the ``final`` one, later requests are rejected, which HTTP/3
-        defines as certainly not processed.
+        The first GOAWAY rejects nothing; requests that crossed it are still accepted.
+        The ``final`` one rejects later requests, which HTTP/3 defines as not
+        processed.
         """
         if self._http is None:
-            # A caller in the middle of its handshake would never hear of it,
-            # and its feed would hold the leaving agent up.
+            # During a handshake the GOAWAY can't be sent yet. If it were dropped, the
+            # caller would never reconnect, and its feed would delay the leaving agent.
             self._pending_go_away = final
             return
         self._has_asked = True
@@ -253,19 +254,19 @@
         self._touch(self.connection)
 
     def notify_leaving(self, peers: Collection[str]) -> None:
-        """Ask the caller for a new connection if a request runs at ``peers``.
+        """Ask the caller to reconnect if one of its requests runs at ``peers``.
 
-        What goes wrong: a peer that leaves waits for the feeds that it runs
-        for callers of this agent, and those callers hear nothing of it.
+        A leaving peer waits for the feeds that it runs for callers of this agent.
+        Without this GOAWAY those callers wouldn't learn that it leaves.
         """
         running = (exchange.relayed_to for exchange in self.by_stream.values())
         if not self._has_asked and any(peer in peers for peer in running):
             self.go_away(final=False)
 
-    # What exchanges send
+    # Methods that exchanges call
 
     def send_headers(self, stream_id: int, headers: list[tuple[bytes, bytes]]) -> None:
-        """Send a head."""
+        """Send the head of an answer."""
         if self._http is not None:
             self._http.send_headers(stream_id, headers)
             self._touch(self.connection)
@@ -277,20 +278,20 @@
             self._touch(self.connection)
 
     def reset(self, stream_id: int, error_code: int) -> None:
-        """Break an answer off."""
+        """Reset a stream."""
         if self._http is not None:
             self.connection.reset_stream(stream_id, error_code)
             self._touch(self.connection)
 
     def taken(self, stream_id: int, size: int) -> None:
-        """Move a stream's window on."""
+        """Advance a stream's flow-control window by consumed bytes."""
         unread = self.connection.unread_by_stream
         if stream_id in unread:
             unread[stream_id] -= size
             self._touch(self.connection)
 
     def done(self, exchange: CallerExchange) -> None:
-        """Forget an exchange whose answer has ended."""
+        """Remove an exchange whose answer has ended."""
         stream_id = exchange.stream_id
         self.by_stream.pop(stream_id, None)
         self.waiting.pop(stream_id, None)
@@ -299,7 +300,7 @@
         if not exchange.body.ended and self._http is not None:
             self._ignore(stream_id, ErrorCode.H3_NO_ERROR)
 
-    # What the caller sends
+    # Events of the caller's streams
 
     def _data(self, event: StreamDataReceived) -> None:
         stream_id = event.stream_id
@@ -315,7 +316,7 @@
             self._next_stream = max(self._next_stream, stream_id + 4)
         for http_event in self._http.handle_event(event):
             self._http_event(http_event)
-        # A frame without end would be held as it grows.
+        # Bound the buffer of a frame whose end hasn't arrived.
         if self._http is None or self._http.buffered(stream_id) <= MAX_HEADER_BYTES:
             return
         if self._http.awaits_head(stream_id):
@@ -397,13 +398,13 @@
         self._touch(self.connection)
 
     def _abort(self, stream_id: int, error_code: int) -> None:
-        """Take a request back out of the connection, without an answer."""
+        """Reset a request's stream without an answer."""
         self.connection.reset_stream(stream_id, error_code)
         self._ignore(stream_id, error_code)
         self._touch(self.connection)
 
     def _ignore(self, stream_id: int, error_code: int) -> None:
-        """Take no more of a stream's data."""
+        """Discard further data of a stream, and ask the caller to stop sending."""
         self._http.forget(stream_id)
         if self.connection.stop_receiving(stream_id, error_code):
             self._ignored_streams.add(stream_id)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/node.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/node.py
@@ -1,8 +1,8 @@
-"""What every daemon has, whatever its role.
+"""The parts of a daemon that are common to both roles.
 
-A `Node` holds the settings, the store, the tunnel, the control server and
-the metrics of one process, and tells its role of new configurations and
-rosters. The role is served by `entries.serve` or `agents.serve`.
+A `Node` holds the settings, the store, the tunnel, the control server and the metrics
+of one process, and notifies the role of new configurations and rosters. The role is
+served by `entries.serve` or `agents.serve`.
 """
 
 from __future__ import annotations
@@ -47,12 +47,12 @@
     settings : Settings
     store : Store
     distribution : Distribution
-        What is known of the configuration and the rosters.
+        Receives the configuration and the rosters.
     control : ControlServer
     metrics : Metrics
     certificates : Certificates
     tunnel : Tunnel or None
-        Under the keys in force; None before the first configuration.
+        Uses the keys in force; None before the first configuration.
     generation : int
         Number of the configuration in force here; 0 before the first.
     loop : asyncio.AbstractEventLoop
@@ -95,7 +95,7 @@
         return self.distribution.configuration
 
     async def start(self) -> None:
-        """Bind the tunnel and the control server, start to learn.
+        """Bind the tunnel and the control server, and start the distribution.
 
         Raises
         ------
@@ -141,7 +141,7 @@
             wait.cancel()
 
     def announce(self, **addresses: Any) -> None:
-        """Print the line that tells that this daemon is ready."""
+        """Print the JSON line that reports that this daemon is ready."""
         ready = {
             "role": self.settings.role,
             "name": self.settings.name,
@@ -155,7 +155,7 @@
     # The tunnel
 
     def send_tunnel(self, address: Address, datagram: TunnelDatagram) -> None:
-        """Send a datagram to another daemon; it may get lost."""
+        """Send a datagram to another daemon, without a guarantee of delivery."""
         if self.tunnel is None or self._socket is None:
             self.count("tunnel.dropped", code=Code.NOT_READY.name)
             return
@@ -164,7 +164,7 @@
 
     @property
     def tunnel_sender(self) -> Callable[[bytes, Address], bool]:
-        """What sends encoded tunnel datagrams; False if one was lost."""
+        """A function that sends an encoded tunnel datagram; False if it was lost."""
         return self._socket.send
 
     def on_tunnel(self, callback: DatagramCallback) -> None:
@@ -188,17 +188,17 @@
     # Configuration and rosters
 
     def on_configuration(self, callback: ConfigurationCallback) -> None:
-        """Call back with each new configuration, and now if there is one."""
+        """Call back with each new configuration, and at once with a present one."""
         self._configuration_callbacks.append(callback)
         if self.configuration is not None:
             callback(self.configuration)
 
     def on_roster(self, callback: RosterCallback) -> None:
-        """Call back with each new roster; see `roster` for those known."""
+        """Call back with each new roster; `roster` returns those already known."""
         self._roster_callbacks.append(callback)
 
     def roster(self, service: str) -> Roster | None:
-        """Return the newest roster known of a service, if any."""
+        """Return the newest known roster of a service, if any."""
         return self.distribution.rosters.get(service)
 
     def configuration_changed(self, configuration: Configuration) -> None:
@@ -211,7 +211,7 @@
             callback(configuration)
 
     def roster_changed(self, roster: Roster) -> None:
-        """Tell of a new roster (called by the distribution)."""
+        """Notify the role of a new roster (called by the distribution)."""
         for callback in self._roster_callbacks:
             callback(roster)
 
@@ -220,7 +220,7 @@
         return await self.distribution.write_roster(effect)
 
     async def read_roster(self, service: str) -> Roster | None:
-        """Read a roster from the store, and tell of it if it is newer.
+        """Read a roster from the store, and report it if it is newer.
 
         Returns
         -------
@@ -237,7 +237,7 @@
         self.relay_handler = handler
 
     def on_drain(self, handler: Callable[[float], None]) -> None:
-        """Call back with the seconds allowed when a drain is asked for."""
+        """Call back with the allowed seconds when a drain is requested."""
         self.drain_handler = handler
 
     def on_status(self, handler: Callable[[], dict[str, Any]]) -> None:
@@ -249,7 +249,7 @@
         self._reload_callbacks.append(callback)
 
     def reload(self) -> None:
-        """Read the certificates again; those in use stay if they are broken."""
+        """Read the certificates again; keep the present ones if they are invalid."""
         try:
             self.certificates.reload()
             for callback in self._reload_callbacks:
@@ -271,20 +271,20 @@
         return self.metrics.histogram(service, kind)
 
     def log(self, event: str, **fields: Any) -> None:
-        """Write one structured line on a change of state."""
+        """Write a structured log line about a change of state."""
         logs.log(event, **fields)
 
     def now(self) -> float:
-        """Return monotonic seconds, as the cores expect them."""
+        """Return the monotonic time in seconds that the cores expect."""
         return clocks.now()
 
     def every(self, seconds: float, callback: Callable[[], None]) -> PeriodicCallback:
-        """Call back every so many seconds until the node stops.
+        """Call back periodically until the node stops.
 
         Returns
         -------
         PeriodicCallback
-            Its ``stop()`` ends the calls earlier.
+            Call its ``stop()`` to end the calls earlier.
         """
         timer = PeriodicCallback(callback, seconds * 1000)
         timer.start()
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/openings.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/openings.py
@@ -1,4 +1,4 @@
-"""What a caller's first datagram may open, and what is answered without it."""
+"""Checks of callers' first datagrams, version negotiation and Retry."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 __all__ = ["Opening", "Openings", "RetryTokens"]
 
 MIN_INITIAL_BYTES = 1200
-"""Least size of a datagram that may open a connection."""
+"""Smallest datagram that may open a connection."""
 
 RETRY_HANDSHAKES = 64
-"""Handshakes in progress from which a caller has to show its address first."""
+"""Handshakes in progress from which callers must validate their address first."""
 
 TOKEN_KEY_BYTES = 16
 
@@ -35,8 +35,8 @@
 class Opening(NamedTuple):
     """A first datagram that may open a connection.
 
-    ``flow`` is its destination connection id. After a Retry ``original`` is
-    the one before it, and ``retry_source`` is ``flow``.
+    ``flow`` is its destination connection id. After a Retry, ``original`` is the
+    destination connection id before the Retry, and ``retry_source`` equals ``flow``.
     """
 
     flow: bytes
@@ -45,10 +45,10 @@
 
 
 class RetryTokens(QuicRetryTokenHandler):
-    """Retry tokens that every agent under the same key accepts.
+    """Retry tokens that every agent with the same key accepts.
 
-    An opening may be handed to a peer after its caller was asked to retry,
-    so a key of one process alone, as aioquic draws it, will not do.
+    An opening may be handed to a peer after its caller got a Retry, so a key of a
+    single process, as aioquic generates it, isn't sufficient.
 
     Parameters
     ----------
@@ -64,14 +64,14 @@
 
 
 class Openings:
-    """Checks first datagrams, without any state of a caller.
+    """Checks first datagrams, without state per caller.
 
     Parameters
     ----------
     versions : list of int
-        QUIC versions that are spoken.
+        Supported QUIC versions.
     issue : callable
-        Draws a connection id that leads back to this agent.
+        Generates a connection id that encodes this agent.
     answer : callable
         Sends a datagram to a caller's address.
     """
@@ -90,23 +90,23 @@
     def check(
         self, payload: bytes, caller: Address, handshakes: int, handed: bool
     ) -> Opening | Code:
-        """Tell what a datagram without a connection opens.
+        """Return the opening in a datagram that belongs to no connection.
 
         Parameters
         ----------
         payload : bytes
-            The datagram; its header is long.
+            The datagram, which has a long header.
         caller : Address
-            Where it came from.
+            Source address of the datagram.
         handshakes : int
-            How many handshakes are in progress here.
+            Number of handshakes in progress at this agent.
         handed : bool
-            A peer has already taken this opening on.
+            Whether a peer has handed the opening to this agent.
 
         Returns
         -------
         Opening or Code
-            A code if it opens nothing, now or ever.
+            The code if the datagram opens no connection.
         """
         if len(payload) < MIN_INITIAL_BYTES:
             return Code.CONNECTION_ID_UNKNOWN
@@ -128,8 +128,8 @@
         return Opening(header.destination_cid, header.destination_cid)
 
     def _negotiate(self, header: QuicHeader, caller: Address) -> None:
-        # Version 0 is itself a negotiation; answering it could go on for ever
-        # between two servers.
+        # Version 0 is itself a negotiation packet. If it were answered, two servers
+        # could answer each other without end.
         if not header.version:
             return
         answer = encode_quic_version_negotiation(
@@ -140,9 +140,9 @@
         self._answer(answer, caller)
 
     def _retry(self, header: QuicHeader, caller: Address) -> None:
-        # Openings with forged addresses would otherwise fill the handshakes
-        # and keep true callers out. A token costs no memory here, and only
-        # who gets the Retry can return it.
+        # Openings with forged addresses would otherwise use up the handshakes and
+        # keep genuine callers out. A token costs no memory here, and only the
+        # receiver of the Retry can return it.
         source = self._issue()
         token = self.tokens.create_token(
             address=caller,
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/origin.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/origin.py
@@ -1,4 +1,4 @@
-"""Learning from the store itself, and writing rosters to it."""
+"""The store as a source of configurations and rosters, and writes of rosters."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
 __all__ = ["Origin"]
 
 ALL_KEYS_PREFIX = "/zinniahook/"
-"""Prefix of every key; an entry watches it with one watch."""
+"""Prefix of all keys; an entry watches it with a single watch."""
 
 FIRST_READ_SECONDS = 5.0
-"""Seconds that the first read of a watch may take."""
+"""Seconds that a watch may take to answer for the first time."""
 
 AGE_INTERVAL_SECONDS = 0.5
-"""Seconds between looks at when the watches last heard of the store."""
+"""Seconds between updates of the time since the store's last answer."""
 
 MIN_CATCH_UP_SECONDS = 0.5
 MAX_CATCH_UP_SECONDS = 8.0
-"""Seconds between attempts to read what a generation still lacks, doubled after
-each that fails."""
+"""Longest pause between attempts to read missing values of a generation. The pause
+doubles after each failure."""
 
 
 class Origin(Source):
@@ -52,9 +52,9 @@
     Parameters
     ----------
     distribution : Distribution
-        Where what is learned goes.
+        Receives what is read from the store.
     store : Store
-        The client.
+        The store's client.
     """
 
     name = "store"
@@ -64,7 +64,7 @@
         self._store = store
 
     async def follow(self) -> None:
-        """Learn from the store.
+        """Follow the store until it fails.
 
         Raises
         ------
@@ -86,7 +86,7 @@
             await end(set(readers))
 
     def _prefixes(self) -> list[str]:
-        """Return what to watch: for an agent little, for an entry all."""
+        """Return the prefixes to watch: an agent's few keys, or all for an entry."""
         services = self._distribution.generations.services
         if services is None:
             return [ALL_KEYS_PREFIX]
@@ -98,7 +98,7 @@
         started = time.monotonic()
         while True:
             heard = min(watch.heard for watch in watches)
-            # Before its first answer a watch says that it never heard.
+            # Before its first answer a watch reports the time 0.
             if heard > 0 or time.monotonic() - started > FIRST_READ_SECONDS:
                 self._distribution.heard(time.monotonic() - heard, depth=1)
             for reader in readers:
@@ -112,17 +112,17 @@
                 try:
                     await self._apply_change(change)
                 except ZinniahookError as error:
-                    # One value that can't be read, or a read that failed:
-                    # what is in force stays so until `_catch_up` succeeds.
+                    # A value is invalid, or a read failed. The configuration in
+                    # force stays until `_catch_up` succeeds.
                     self._distribution.unusable(change.key, error)
 
     async def _catch_up(self) -> None:
-        """Try again to read what the pointer names.
+        """Retry the reads of the generations that the pointer names.
 
-        The watch tells a pointer once. If the reads that follow it fail, this
-        daemon would keep the old generation until the next change, seen as
-        one that lags behind for hours with the store up; and a peer's newer
-        generation wouldn't wake it, as it holds the pointer already.
+        The watch reports a pointer once. If the reads that follow it failed and
+        weren't retried, this daemon would keep the old generation until the next
+        change, for hours although the store is up. A peer's newer generation
+        wouldn't trigger the reads either, as the daemon already has the pointer.
         """
         pause = MIN_CATCH_UP_SECONDS
         while True:
@@ -137,7 +137,7 @@
                 pause = min(MAX_CATCH_UP_SECONDS, pause * 2)
 
     def _is_complete(self) -> bool:
-        """Whether all that the pointer names is held, and what is due in force."""
+        """Return whether the pointer's generations are complete and in force."""
         generations = self._distribution.generations
         configuration = self._distribution.configuration
         in_force = configuration.generation if configuration else 0
@@ -171,7 +171,7 @@
         self._distribution.take_roster(roster, change.value or b"")
 
     async def _complete(self) -> None:
-        """Read what the generations of the pointer still need."""
+        """Read the missing values of the pointer's generations, and apply them."""
         generations = self._distribution.generations
         for generation in generations.named():
             if generations.stored(generation) is None:
@@ -183,8 +183,8 @@
                 generations.add_manifest(item.value)
             await self._read_values(generations.missing(generation))
         self._distribution.apply()
-        # The rosters that came with the pointer are taken before the next
-        # turn of the loop.
+        # The rosters that came with the pointer are applied before the next
+        # iteration of the event loop.
         asyncio.get_running_loop().call_soon(self._distribution.caught_up)
 
     async def _read_values(self, digests: list[str]) -> None:
@@ -205,25 +205,24 @@
         Raises
         ------
         ZinniahookError
-            If the store gives no answer or the value can't be read.
+            If the store doesn't answer or the value is invalid.
         """
         item = await self._store.get(documents.roster_key(service))
         return _roster(service, item)
 
     async def write_roster(self, effect: WriteRoster) -> RosterWritten:
-        """Compare-and-swap a roster, and settle a lost answer if possible."""
+        """Compare-and-swap a roster, and resolve a lost answer if possible."""
         try:
             return await self._write_roster(effect.operation, effect.roster)
         except ZinniahookError as error:
-            # Nothing has been sent to be written: only the read failed, or
-            # the new value is too large.
+            # No write was sent: the read failed, or the new value is too large.
             return RosterWritten(effect.operation, error.code, None)
 
     async def _write_roster(self, operation: str, roster: Roster) -> RosterWritten:
         service = roster.service
         key = documents.roster_key(service)
-        # The ids of earlier writes have to be handed on in the value, or
-        # their writers would take a lost answer for a write that failed.
+        # The value must keep the ids of earlier writes. Otherwise their writers
+        # would consider a write with a lost answer as failed.
         item = await self._store.get(key)
         stored = _roster(service, item)
         if stored.revision != roster.revision:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/quic.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/quic.py
@@ -1,7 +1,7 @@
-"""QUIC connections whose ids name the agent that owns them.
+"""QUIC connections whose ids encode the agent that owns them.
 
-What is overridden here are private parts of aioquic, so its version is pinned
-and test_connections.py holds each of them to what this module expects.
+This module overrides private parts of aioquic. Its version is therefore pinned, and
+test_connections.py checks that these parts exist as expected.
 """
 
 from __future__ import annotations
@@ -34,52 +34,52 @@
 __all__ = ["PacketWindow", "ServerConnection", "Session", "make_configuration"]
 
 IDLE_TIMEOUT_SECONDS = 30.0
-"""Seconds without a packet after which a connection has ended."""
+"""Seconds without a packet after which a connection ends."""
 
 ACTIVE_CONNECTION_IDS = 4
-"""Ids kept ready for a caller, so that it can change its address."""
+"""Connection ids issued to a caller, so that it can migrate to a new address."""
 
 STREAM_WINDOW_BYTES = 128 * 1024
-"""Bytes that a caller may send on a stream ahead of what was taken."""
+"""Bytes that a caller may send on a stream beyond those consumed."""
 
 MAX_OPEN_REQUESTS = 64
 """Requests that a caller may have open on one connection."""
 
 WINDOW_BITS = 256
-"""Packet numbers below the highest that are told apart from duplicates."""
+"""Packet numbers up to the highest for which duplicates are recognised."""
 
-# It logs at INFO for each connection, and warns of what any caller can send.
+# aioquic logs each connection at INFO, and any caller can cause its warnings.
 logging.getLogger("quic").setLevel(logging.ERROR)
 
 
 class Session(Protocol):
-    """What a connection carries; `Connections` calls it."""
+    """The application on a connection; its methods are called by `Connections`."""
 
     busy: bool
     """Whether a request is open, so that the connection must be kept alive."""
 
     def handle(self, event: QuicEvent) -> None:
-        """Take an event of the connection."""
+        """Handle an event of the connection."""
 
     def flushed(self) -> None:
-        """Go on sending: datagrams left and acknowledgements came."""
+        """Resume sending, after datagrams were sent or acknowledgements received."""
 
     def expire(self, now: float) -> None:
-        """Give up what has waited too long; called about once a second."""
+        """Refuse requests that have waited too long; called about once a second."""
 
     def ended(self) -> None:
-        """Learn that the connection has ended; nothing can be sent any more."""
+        """Handle the end of the connection; nothing can be sent any more."""
 
 
 def make_configuration(certificate: Path, key: Path) -> QuicConfiguration:
-    """Read the certificate and key that callers see.
+    """Return a server configuration with the certificate and key that callers see.
 
-    Every connection shares the object; a reload makes a new one.
+    All connections share the object; a reload creates a new one.
 
     Raises
     ------
     ZinniahookError
-        If a file can't be read, isn't PEM, or the two don't belong together.
+        If a file can't be read or isn't PEM, or the key doesn't match.
     """
     configuration = QuicConfiguration(
         alpn_protocols=["h3"],
@@ -87,7 +87,7 @@
         connection_id_length=CONNECTION_ID_LENGTH,
         idle_timeout=IDLE_TIMEOUT_SECONDS,
         max_stream_data=STREAM_WINDOW_BYTES,
-        # Each further version costs a handshake three more key derivations.
+        # Each further version adds three key derivations to a handshake.
         supported_versions=[QuicProtocolVersion.VERSION_1],
     )
     try:
@@ -97,7 +97,7 @@
     except (OSError, ValueError, TypeError, UnsupportedAlgorithm) as error:
         raise _unusable(certificate, key, str(error)) from None
     if not matching:
-        # Every handshake would fail, and only callers would see why.
+        # Otherwise every handshake would fail, and only callers would see why.
         raise _unusable(certificate, key, "the key is not the certificate's")
     return configuration
 
@@ -110,9 +110,9 @@
 
 
 class PacketWindow(QuicPacketNumberWindow):
-    """The packet numbers received lately, as the bits of one integer.
+    """The recently received packet numbers, as the bits of one integer.
 
-    aioquic keeps them in a set, which grows to about 40 KB a connection.
+    aioquic keeps them in a set, which grows to about 40 KB per connection.
     """
 
     def __init__(self) -> None:
@@ -120,7 +120,7 @@
         self._bits = 0
 
     def add(self, packet_number: int) -> None:
-        """Note that a packet was received."""
+        """Record a received packet number."""
         ahead = packet_number - self._highest
         if ahead > 0:
             shifted = self._bits << ahead if ahead < WINDOW_BITS else 0
@@ -137,7 +137,7 @@
 
 
 class _FinishedHandshake:
-    """Stands in for the TLS context of a connection whose handshake is over.
+    """Replaces the TLS context of a connection after its handshake.
 
     A TLS 1.3 client sends no handshake message after its Finished.
     """
@@ -145,7 +145,7 @@
     state = tls.State.SERVER_POST_HANDSHAKE
 
     def handle_message(self, data: bytes, buffers: object) -> None:
-        """Refuse whatever comes."""
+        """Raise an error for any message."""
         raise tls.AlertUnexpectedMessage("no handshake message was expected")
 
 
@@ -154,7 +154,7 @@
 
 
 class _FrameHandlers:
-    """The frame handlers of one connection, bound when they are looked up."""
+    """The frame handlers of one connection, which are bound at lookup."""
 
     __slots__ = ("_connection",)
 
@@ -171,7 +171,7 @@
 
 
 class ServerConnection(QuicConnection):
-    """A QUIC connection whose ids name this agent as its owner.
+    """A QUIC connection whose ids encode this agent as its owner.
 
     Parameters
     ----------
@@ -180,9 +180,10 @@
     flow : bytes
         The caller's first destination connection id.
     issue : callable
-        Draws a new connection id and registers it for this connection.
+        Generates a new connection id and registers it for this connection.
     original, retry_source : bytes
-        After a Retry: the first id of all, and that of the Retry.
+        After a Retry, the original destination connection id and the Retry's
+        source connection id.
     """
 
     def __init__(
@@ -211,7 +212,7 @@
         self.handshaking = True
         self.unread_by_stream: dict[int, int] = {}
         self._issue = issue
-        # Nothing was fed yet, so the caller has seen no id of ours.
+        # No datagram was processed yet, so the caller knows no id of this server.
         first = issue(self)
         self._host_cids[0].cid = first
         self.host_cid = first
@@ -225,8 +226,8 @@
 
     @_QuicConnection__frame_handlers.setter
     def _QuicConnection__frame_handlers(self, handlers: dict[int, Any]) -> None:  # noqa: N802
-        # A dictionary of 33 bound methods, each with its own set, would cost
-        # every open connection 12 KB.
+        # aioquic's dictionary of 33 bound methods, each with its own set, takes
+        # 12 KB per open connection.
         if not _FrameHandlers.by_type:
             _FrameHandlers.by_type = {
                 frame_type: (handler.__func__, epochs)
@@ -235,17 +236,17 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing can be sent or received any more."""
+        """Whether the connection can neither send nor receive any more."""
         return self._state in END_STATES
 
     @property
     def probes(self) -> int:
-        """How often in a row a probe went unanswered."""
+        """The number of consecutive unanswered probes."""
         return self._loss._pto_count
 
     @property
     def connection_ids(self) -> list[bytes]:
-        """Every id of ours that the caller may use."""
+        """The connection ids of this server that the caller may use."""
         return [host.cid for host in self._host_cids]
 
     def unsent(self, stream_id: int) -> int:
@@ -255,12 +256,12 @@
 
     @property
     def unacknowledged(self) -> bool:
-        """Whether the caller may still lack a part of some answer.
+        """Whether the caller may not have received some answer completely.
 
-        What goes wrong: an exchange has ended here while its last bytes are
-        on their way, and a close by a leaving agent cuts them off. The caller
-        notices a closed connection in the middle of its answer. Streams whose
-        number is a multiple of four carry requests.
+        An exchange may have ended here while its last bytes are in transit. If a
+        leaving agent closed the connection then, the caller would see it close in
+        the middle of an answer. Requests use the streams whose ids are multiples
+        of four.
         """
         return any(
             stream.sender.highest_offset > 0 and not stream.sender.is_finished
@@ -269,7 +270,7 @@
         )
 
     def stop_receiving(self, stream_id: int, error_code: int) -> bool:
-        """Ask the caller to send no more; False if it has sent everything."""
+        """Ask the caller to stop sending; False if nothing more can arrive."""
         stream = self._streams.get(stream_id)
         if stream is None or stream.receiver.is_finished:
             return False
@@ -277,7 +278,7 @@
         return True
 
     def release_handshake(self) -> None:
-        """Free what only the handshake needed, about 60 KB."""
+        """Free the state that only the handshake needs, about 60 KB."""
         self.handshaking = False
         application = self._spaces[tls.Epoch.ONE_RTT]
         window = PacketWindow()
@@ -291,7 +292,8 @@
             tls.Epoch.ONE_RTT: self._crypto_streams[tls.Epoch.ONE_RTT]
         }
         self._cryptos = {tls.Epoch.ONE_RTT: self._cryptos[tls.Epoch.ONE_RTT]}
-        # aioquic tears the 0-RTT keys down when the first 1-RTT packet comes.
+        # aioquic discards the 0-RTT keys at the first 1-RTT packet, so an entry
+        # must exist.
         self._cryptos[tls.Epoch.ZERO_RTT] = _NO_EARLY_KEYS
         self._spaces = {tls.Epoch.ONE_RTT: application}
         self._loss.spaces = [application]
@@ -311,9 +313,9 @@
     def _write_stream_limits(
         self, builder: QuicPacketBuilder, space: QuicPacketSpace, stream: QuicStream
     ) -> None:
-        # aioquic doubles the window whatever was done with the data. A target
-        # that reads slower than its caller sends would then make the agent
-        # hold the whole body. The window moves with what was taken instead.
+        # aioquic extends the window whether or not the data was consumed. If a
+        # target read slower than its caller sends, the agent would buffer the whole
+        # body. Here the window follows the consumed bytes instead.
         if not stream.max_stream_data_local or stream.receiver.is_finished:
             return
         unread = self.unread_by_stream.get(stream.stream_id, 0)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/relays.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/relays.py
@@ -1,4 +1,4 @@
-"""Requests that one agent passes to a peer, over gRPC with mutual TLS."""
+"""Relaying of requests from one agent to a peer, over gRPC with mutual TLS."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 __all__ = ["RelayedExchange", "Relays", "serve_relay"]
 
 HIGH_WATER_BYTES = 256 * 1024
-"""Bytes waiting in either direction at which the source has to wait."""
+"""Queued bytes of an answer at which its source has to pause."""
 
 STREAM_WINDOW_BYTES = 256 * 1024
-"""Bytes that a peer may send ahead on one relayed request."""
+"""Unread bytes that a peer may send on one relayed request."""
 
 CONNECTION_WINDOW_BYTES = 4 * 1024 * 1024
 
@@ -46,14 +46,14 @@
 
 
 class Relays:
-    """The calling side: passes requests to peers.
+    """The client side: relays requests to peers.
 
     Parameters
     ----------
     context : ssl.SSLContext
         Authenticates both sides.
     name, service : str
-        This agent and its service.
+        Names of this agent and its service.
     """
 
     def __init__(self, context: ssl.SSLContext, name: str, service: str) -> None:
@@ -64,7 +64,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def run(self, exchange: Exchange, peer: Address) -> Result:
-        """Pass a request on and stream its answer back.
+        """Relay a request to a peer and stream its answer back.
 
         Cancelling the task that awaits this cancels the request at the peer.
         """
@@ -73,7 +73,7 @@
         result = None
         try:
             async with stub.Relay.open() as stream:
-                # Nothing of the request has left before this is through.
+                # Until this returns, no part of the request was sent.
                 await stream.send_request()
                 exchange.started = True
                 await stream.send_message(RelayFrame(head=self._head(exchange)))
@@ -82,7 +82,7 @@
                 if result is None or not sender.done():
                     await stream.cancel()
         except BROKEN:
-            # The channel connects again by itself; the verdict tells the rest.
+            # The channel reconnects by itself, and `_verdict` returns the outcome.
             pass
         finally:
             if sender is not None:
@@ -90,10 +90,10 @@
         return _verdict(exchange, result)
 
     def keep(self, addresses: set[Address]) -> None:
-        """Close the channels to all but these peers.
+        """Close the channels to all peers except these.
 
-        A peer that is gone without closing its connections would otherwise
-        keep its relays waiting for good; closing the channel ends them.
+        A peer may disappear without closing its connections. Its relays would then
+        wait for good; closing the channel ends them.
         """
         for address in set(self._channels_by_address) - addresses:
             self._channels_by_address.pop(address).close()
@@ -144,7 +144,7 @@
 
 
 async def _send_body(stream: Any, exchange: Exchange) -> None:
-    """Send the body; the peer's window holds it back."""
+    """Send the body, at the rate that the peer's window allows."""
     with contextlib.suppress(BodyAborted, *BROKEN):
         async for piece in exchange.body:
             await stream.send_message(RelayFrame(body=piece))
@@ -152,7 +152,7 @@
 
 
 async def _receive(stream: Any, exchange: Exchange) -> Result | None:
-    """Take the answer; None if it broke off before its end frame."""
+    """Receive the answer; return None if it ended before its end frame."""
     while True:
         frame = await stream.recv_message()
         if frame is None:
@@ -180,14 +180,14 @@
 
 
 class RelayedExchange(Exchange):
-    """A request that a peer passed to this agent.
+    """A request that a peer relays to this agent.
 
     Parameters
     ----------
     head : RelayHead
-        The first frame.
+        The first frame of the call.
     now : float
-        Monotonic time.
+        Present monotonic time.
     """
 
     def __init__(self, head: RelayHead, now: float) -> None:
@@ -210,7 +210,7 @@
         self._queue(RelayFrame(answer=RelayAnswer(status=status, headers=pairs)))
 
     def send_piece(self, data: bytes) -> asyncio.Future[None] | None:
-        """Send a piece; return a future if the peer is behind."""
+        """Send a piece; return a future if the peer has fallen behind."""
         self._waiting += len(data)
         self._queue(RelayFrame(body=data))
         if self._waiting < HIGH_WATER_BYTES:
@@ -223,11 +223,11 @@
         self._end(Outcome(OutcomeKind.DONE, Code.OK), True)
 
     def send_reset(self) -> None:
-        """Break the answer off."""
+        """Report that the answer broke off."""
         self._end(Outcome(OutcomeKind.UNKNOWN, Code.TARGET_FAILED), True)
 
     def refuse(self, outcome: Outcome) -> None:
-        """Leave it to the relaying agent to answer the caller."""
+        """Send the outcome to the relaying agent, which answers the caller."""
         if self.finished:
             return
         self.finished = True
@@ -241,7 +241,7 @@
             self._window_open.set()
 
     async def serve(self, stream: Any) -> None:
-        """Send the answer as it comes, until its end."""
+        """Stream the answer to the peer until its end."""
         receiver = asyncio.ensure_future(self._take_body(stream))
         try:
             while True:
@@ -264,7 +264,7 @@
                 self._unread += len(frame.body)
                 self.body.feed(frame.body)
                 if self._unread > STREAM_WINDOW_BYTES:
-                    # Not reading is what closes the peer's window.
+                    # The peer's window closes while no message is read.
                     self._window_open.clear()
                     await self._window_open.wait()
             self.body.feed(b"", end=True)
@@ -297,16 +297,16 @@
     arrived: Callable[[Exchange], None],
     cancelled: Callable[[Exchange], None],
 ) -> None:
-    """Serve one call of a peer.
+    """Serve one `Control.Relay` call of a peer.
 
     Parameters
     ----------
     stream : grpclib.server.Stream
         The call.
     arrived : callable
-        Called with the exchange as soon as its head is here.
+        Called with the exchange as soon as its head is received.
     cancelled : callable
-        Called with the exchange if the call ends before it.
+        Called with the exchange if the call ends before the answer.
     """
     frame = await stream.recv_message()
     if frame is None or frame.WhichOneof("frame") != "head":
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/runs.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/runs.py
@@ -1,4 +1,4 @@
-"""The requests of an agent: who runs them, and who waits for which answer."""
+"""The open requests of an agent, the tasks that run them, and joined repeats."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def _executes(effect_type: type) -> Callable[[Handler], Handler]:
-    """Register what carries out one type of effect."""
+    """Register the decorated method as the handler of an effect type."""
 
     def register(handler: Handler) -> Handler:
         _HANDLERS_BY_EFFECT[effect_type] = handler
@@ -44,7 +44,7 @@
     Parameters
     ----------
     agent : Agent
-        Decides what becomes of each request.
+        Passes events of requests to the core, which decides on them.
     """
 
     def __init__(self, agent: Agent) -> None:
@@ -63,7 +63,7 @@
         return len(self._exchanges_by_number)
 
     def execute(self, effect: effects.AgentEffect) -> bool:
-        """Carry out an effect on requests; False if it is none."""
+        """Execute an effect on requests; return False for other effects."""
         handler = _HANDLERS_BY_EFFECT.get(type(effect))
         if handler is None:
             return False
@@ -71,14 +71,14 @@
         return True
 
     def forget_all(self) -> list[Exchange]:
-        """Forget every request and return them; what runs is not ended."""
+        """Remove and return all requests, without cancelling running tasks."""
         exchanges = list(self._exchanges_by_number.values())
         self._exchanges_by_number.clear()
         self._joined_by_number.clear()
         return exchanges
 
     def cancel_all(self) -> None:
-        """Cancel whatever runs."""
+        """Cancel all running tasks."""
         for task in list(self._tasks_by_number.values()):
             task.cancel()
 
@@ -87,7 +87,7 @@
         return classify(self._agent.service, path)
 
     def arrived(self, exchange: Exchange) -> None:
-        """Take a new request."""
+        """Register a new request, and pass it to the core."""
         self._exchanges_by_number[exchange.number] = exchange
         self._node.count("agent.requests")
         self._feed(
@@ -103,7 +103,7 @@
         )
 
     def cancelled(self, exchange: Exchange) -> None:
-        """Learn that the caller does not want an answer any more."""
+        """Handle the cancellation of a request by its caller."""
         if exchange.number not in self._exchanges_by_number:
             return
         exchange.given_up = True
@@ -113,14 +113,14 @@
             self._forget(exchange)
 
     def refused(self, code: Code) -> None:
-        """Count a request that was refused for its form."""
+        """Count a request that was refused as invalid."""
         self._node.count("agent.refused", code=code.name)
 
     def _start(self, exchange: Exchange, work: Coroutine[Any, Any, Result]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks_by_number[exchange.number] = task
-        # A callback and not an await: a task that is cancelled before its
-        # first step never gets to one, and its end would go unnoticed.
+        # A task that is cancelled before its first step runs none of its own code.
+        # A callback also sees the end of such a task.
         task.add_done_callback(partial(self._done, exchange))
 
     def _done(self, exchange: Exchange, task: asyncio.Task[Result]) -> None:
@@ -133,8 +133,8 @@
         if error is None:
             self._ended(exchange, task.result())
             return
-        # A fault here must not leave a request without an end: its slot
-        # would never be free again.
+        # The request must end even after a fault; otherwise its slot would never
+        # become free.
         _logger.error("request failed", exc_info=error)
         self._node.count("agent.faults")
         exchange.fail()
@@ -156,12 +156,12 @@
         self._feed(
             RequestFinished(exchange.number, result.outcome, result.started, answer)
         )
-        # The core has nothing more to say to a caller that is gone.
+        # The core sends nothing more to a caller that has gone.
         if exchange.finished and exchange.number not in self._tasks_by_number:
             self._forget(exchange)
 
     def _log_cut(self, exchange: Exchange, code: Code) -> None:
-        """Write a line about an answer that its caller doesn't get whole."""
+        """Log an answer that its caller receives incompletely."""
         self._node.log(
             "answer-cut",
             request_class=exchange.kind,
@@ -176,7 +176,7 @@
             self._reply(joined, answer)
 
     def _reply(self, exchange: Exchange, answer: bytes) -> None:
-        """Answer with a kept answer, if there is one."""
+        """Replay a kept answer; without one, refuse the request as unknown."""
         if answer:
             exchange.replay(decode_answer(answer))
         else:
@@ -214,9 +214,10 @@
         self._start(exchange, self.relays.run(exchange, peer.control))
 
     def _startable(self, request: int) -> Exchange | None:
-        """Return a request that an attempt can still answer whole.
+        """Return a request that an attempt can still answer completely.
 
-        For any other the core is told at once; it would hold a slot for good.
+        Otherwise return None, and report to the core at once that the request has
+        finished; its slot would stay taken for good.
         """
         exchange = self._exchanges_by_number.get(request)
         if exchange is None:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/sockets.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/sockets.py
@@ -12,10 +12,10 @@
 __all__ = ["UdpSocket"]
 
 MAX_READS_PER_WAKEUP = 64
-"""Most datagrams read per wake-up, so that a flood can't hold the loop."""
+"""Datagrams read per wake-up, so that a flood can't block the event loop."""
 
 BUFFER_BYTES = 4 << 20
-"""Bytes asked of the kernel for each direction; it may grant less."""
+"""Kernel buffer to request for each direction; the kernel may grant less."""
 
 MAX_DATAGRAM_BYTES = 65_535
 
@@ -26,7 +26,7 @@
     Parameters
     ----------
     address : Address
-        Where to bind; port 0 picks a free one.
+        Address to bind; port 0 selects a free port.
     receive : callable
         Called with each datagram (bytes) and its source, a tuple that starts
         with host and port. It must not raise.
@@ -37,7 +37,7 @@
         If the address can't be bound.
     """
 
-    # An entry has one for each of thousands of services.
+    # An entry has a socket for each of thousands of services.
     __slots__ = ("_loop", "_receive", "_socket", "address")
 
     def __init__(
@@ -59,13 +59,13 @@
         self._loop.add_reader(self._socket.fileno(), self._read)
 
     def send(self, data: bytes, destination: tuple) -> bool:
-        """Send one datagram without waiting.
+        """Send one datagram without blocking.
 
         Returns
         -------
         bool
-            False if the kernel took no more or refused the destination; the
-            datagram is lost, as it may be anywhere on its way.
+            False if the kernel's buffer is full or it refused the destination. The
+            datagram is then lost, as it may be anywhere on its path.
         """
         try:
             self._socket.sendto(data, destination)
@@ -74,19 +74,19 @@
         return True
 
     def close(self) -> None:
-        """Stop reading and release the address."""
+        """Stop reading and close the socket."""
         if self._socket.fileno() < 0:
             return
         self._loop.remove_reader(self._socket.fileno())
         self._socket.close()
 
     def _read(self) -> None:
-        """Read what has come in, up to a bound."""
+        """Read waiting datagrams, at most `MAX_READS_PER_WAKEUP`."""
         receive_from = self._socket.recvfrom
         receive = self._receive
-        # An earlier datagram that met a closed port is reported here as
-        # ECONNREFUSED; it is no fault of this socket, and the loop would
-        # otherwise end its reader. BlockingIOError ends the batch.
+        # An earlier datagram that reached a closed port is reported here as
+        # ECONNREFUSED. It isn't a fault of this socket, but the exception would make
+        # the event loop remove the reader. BlockingIOError ends the batch.
         with contextlib.suppress(OSError):
             for _ in range(MAX_READS_PER_WAKEUP):
                 data, source = receive_from(MAX_DATAGRAM_BYTES)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/targets.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/targets.py
@@ -1,9 +1,8 @@
-"""HTTP/1.1 to the target on loopback.
+"""HTTP/1.1 client for the target on loopback.
 
-What matters here is to know whether a request that failed may have run. A
-request certainly didn't if no byte of it went out, or if the target says so
-itself: status 503 with ``zinniahook-outcome: not-run``. Everything else that
-fails may have run.
+For each failed request it must be known whether it may have run. A request didn't run
+if no byte of it was sent, or if the target answers with status 503 and
+``zinniahook-outcome: not-run``. Any other failed request may have run.
 """
 
 from __future__ import annotations
@@ -39,14 +38,14 @@
 
 MAX_IDLE_CONNECTIONS = 4
 MAX_IDLE_SECONDS = 3.0
-"""Seconds after which an unused connection isn't used again."""
+"""Seconds after which an idle connection isn't reused."""
 
 CHUNK_BYTES = 64 * 1024
 MAX_HEADER_BYTES = 64 * 1024
 UNBOUNDED = 1 << 62
 
 SHED_RETRY_AFTER_SECONDS = 0.5
-"""Seconds to wait after a target shed a request without saying for how long."""
+"""Retry-After of a target that shed a request without a valid one of its own."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -72,7 +71,7 @@
 
 
 class Result(NamedTuple):
-    """How a request ended; ``started`` is false if it certainly never ran."""
+    """The result of a request; ``started`` is False if it certainly didn't run."""
 
     outcome: Outcome
     started: bool
@@ -86,14 +85,14 @@
 
 
 class _Idle(NamedTuple):
-    """A connection that may be used again, and since when it is idle."""
+    """An idle connection, and the time since which it is idle."""
 
     stream: IOStream
     since: float
 
 
 class _Reader(HTTPMessageDelegate):
-    """Passes the target's answer to an exchange."""
+    """Forwards the target's answer to an exchange."""
 
     def __init__(self, exchange: Exchange) -> None:
         self.exchange = exchange
@@ -104,7 +103,7 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Pass the head on, unless the request was shed."""
+        """Forward the head, unless the request was shed."""
         if start_line.code < 200:
             return
         self.keeps_open = (
@@ -117,24 +116,24 @@
         self.exchange.begin(start_line.code, _answer_headers(headers))
 
     def data_received(self, chunk: bytes) -> asyncio.Future[None] | None:
-        """Pass a piece on; the target waits while the caller is behind."""
+        """Forward a piece; a returned future pauses the target until it is done."""
         return None if self.shed is not None else self.exchange.write(chunk)
 
     def finish(self) -> None:
-        """Note that the answer is whole."""
+        """Record that the answer is complete."""
         self.finished = True
 
     def on_connection_close(self) -> None:
-        """Leave the verdict to the end of the read."""
+        """Do nothing: `_verdict` decides after the read has ended."""
 
 
 class Target:
-    """The target beside this agent.
+    """The target of this agent, on the same instance.
 
     Parameters
     ----------
     address : Address
-        Where it listens.
+        Address on which the target listens.
     """
 
     def __init__(self, address: Address) -> None:
@@ -146,13 +145,13 @@
     async def run(self, exchange: Exchange) -> Result:
         """Run a request and stream its answer.
 
-        To cancel the task that awaits this closes the connection, which is
-        how the target learns of it. ``exchange.started`` is set before the
-        first byte goes out.
+        Cancelling the task that awaits this closes the connection, which signals
+        the cancellation to the target. ``exchange.started`` is set before the first
+        byte is sent.
         """
-        # A target may close an idle connection just as a request goes out on
-        # it, and nobody could tell whether it ran. So only what may be
-        # repeated goes over a used one.
+        # A target may close an idle connection while a request is sent on it, and
+        # then it is unknown whether the request ran. So only idempotent requests
+        # reuse a connection.
         stream = self._reuse() if exchange.idempotent else None
         if stream is not None:
             result = await self._run_on(stream, exchange)
@@ -167,7 +166,7 @@
         return await self._run_on(stream, exchange)
 
     async def probe(self) -> TargetReported:
-        """Ask the target's own health and load endpoints."""
+        """Query the target's health and load endpoints."""
         health = await self._fetch("/health")
         if health is None:
             return TargetReported(None, None, await self._accepts())
@@ -175,7 +174,7 @@
         return TargetReported(health is not False, _load(load), True)
 
     async def _accepts(self) -> bool:
-        """Tell whether the target's port accepts a connection."""
+        """Return whether the target's port accepts a connection."""
         try:
             stream = await asyncio.wait_for(
                 self._client.connect(*self.address), CONNECT_TIMEOUT_SECONDS
@@ -186,7 +185,7 @@
         return True
 
     async def _fetch(self, path: str) -> object:
-        """Return the JSON at ``path``; None if unanswered, False if refused."""
+        """Return the JSON at ``path``; None if unanswered, False if not status 200."""
         url = f"http://{self.address}{path}"
         try:
             answer = await AsyncHTTPClient().fetch(
@@ -245,7 +244,7 @@
                     await connection.write(piece)
             connection.finish()
         except (StreamClosedError, HTTPOutputError, ValueError, BodyAborted):
-            # The read of the answer ends with the connection and decides.
+            # Closing ends the read of the answer, which decides the result.
             connection.close()
 
 
@@ -291,7 +290,7 @@
 
 
 def _load(document: object) -> Load | None:
-    """Return the load that a target reports, or None if it isn't one."""
+    """Return the load in a target's report, or None if it is malformed."""
     if not isinstance(document, dict):
         return None
     try:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/traffic.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/traffic.py
@@ -1,4 +1,4 @@
-"""Datagrams of an agent: callers' flows, openings handed on, peers' messages."""
+"""An agent's datagrams: callers' flows, forwarded openings and peers' messages."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def _executes(effect_type: type) -> Callable[[Handler], Handler]:
-    """Register what carries out one type of effect."""
+    """Register the decorated method as the handler of an effect type."""
 
     def register(handler: Handler) -> Handler:
         _HANDLERS_BY_EFFECT[effect_type] = handler
@@ -42,12 +42,12 @@
 
 
 class Traffic:
-    """The datagrams of one agent.
+    """Receives and sends the datagrams of one agent.
 
     Parameters
     ----------
     agent : Agent
-        Decides on what isn't known here.
+        Handles flows and events that aren't known here.
     """
 
     def __init__(self, agent: Agent) -> None:
@@ -77,7 +77,7 @@
         agent.node.on_tunnel(self._receive)
 
     def configure(self, configuration: Configuration) -> None:
-        """Take the keys of a new configuration."""
+        """Use the keys of a new configuration."""
         self._ids = ConnectionIds(
             configuration.flow_keys_by_number, configuration.flow_key, self.agent.rng
         )
@@ -87,7 +87,7 @@
     def reload(self) -> None:
         """Read the certificate again, for new connections.
 
-        One that can't be used leaves the old one in force.
+        If it isn't usable, the old one stays in force.
         """
         settings = self.node.settings.agent
         try:
@@ -98,44 +98,44 @@
             self.node.log("certificate-refused", reason=str(error), code=error.code)
 
     def execute(self, effect: Any) -> None:
-        """Carry out an effect on flows or peers."""
+        """Execute an effect on flows or peers."""
         _HANDLERS_BY_EFFECT[type(effect)](self, effect)
 
     def keep_alive(self) -> None:
-        """Look for silent connections."""
+        """Check for silent connections."""
         self.connections.keep_alive()
 
     def go_away(self, final: bool) -> None:
-        """Ask every caller for a new connection."""
+        """Send every caller a GOAWAY, which asks for a new connection."""
         self._leaving = final
         for connection in self.connections:
             connection.session.go_away(final)
 
     def notify_leaving(self, peers: Collection[str]) -> None:
-        """Ask the callers whose requests run at leaving peers."""
+        """Ask callers to reconnect whose requests run at leaving peers."""
         for connection in self.connections:
             connection.session.notify_leaving(peers)
 
     def close_idle(self) -> None:
-        """End connections that were asked to go and have nothing open."""
+        """Close connections that got the final GOAWAY and have no open request."""
         for connection in self.connections:
             busy = connection.session.busy or connection.unacknowledged
             if connection.session.gone and not busy:
                 self.connections.close(connection, ErrorCode.H3_NO_ERROR, "leaving")
 
     def close(self) -> None:
-        """End every flow."""
+        """Close every flow."""
         for connection in self.connections:
             self.connections.close(connection, ErrorCode.H3_NO_ERROR, "leaving")
         self.flows.close()
 
     def restart(self) -> None:
-        """Drop every flow; the core already knows."""
+        """Drop every flow without notifying the core, which caused the restart."""
         self._restarting = True
         try:
             for connection in self.connections:
-                # Callers go on over a new connection at once, instead of
-                # waiting for this one to fall silent.
+                # The close lets callers reconnect at once, instead of waiting
+                # for an idle timeout.
                 connection.close(error_code=ErrorCode.H3_INTERNAL_ERROR)
                 now = self.agent.node.loop.time()
                 for datagram, caller in connection.datagrams_to_send(now):
@@ -145,7 +145,7 @@
         finally:
             self._restarting = False
 
-    # What connections ask for
+    # Callbacks of connections
 
     def _issue(self) -> bytes:
         agent = self.agent
@@ -157,9 +157,10 @@
         self, connection: ServerConnection, payload: bytes, caller: Address
     ) -> None:
         self._to_caller(caller, connection.entry, payload)
-        # While nothing is acknowledged nobody knows which entry still works,
-        # and to try them one by one, with a probe timer that doubles, takes
-        # longer than a caller waits. QUIC drops what arrives twice.
+        # While no answer is acknowledged it is unknown which entry still works, so
+        # the datagram goes out by two. To try one entry after the other, with a
+        # doubling probe timer, takes longer than a caller waits. QUIC discards
+        # duplicates.
         other = connection.other_entry
         if connection.probes and other is not None and other != connection.entry:
             self._to_caller(caller, other, payload)
@@ -171,7 +172,7 @@
         return session
 
     def _switch_entry(self, connection: ServerConnection) -> None:
-        """Answer by way of another entry: this one's answers get lost."""
+        """Answer by another entry, as answers by the present one are lost."""
         now = self.node.now()
         if not connection.is_switched:
             connection.is_switched = True
@@ -188,7 +189,7 @@
         if not self._restarting:
             self.agent.closed(connection.flow)
 
-    # Datagrams in
+    # Incoming datagrams
 
     def _receive(self, datagram: TunnelDatagram, source: Address) -> None:
         if datagram.service != self.agent.service.number:
@@ -249,7 +250,7 @@
     def _note_path(self, connection: ServerConnection, entry: Address) -> None:
         if connection.probes and entry != connection.entry:
             connection.other_entry = entry
-        # Only a flow that had to switch needs a memory of its own.
+        # Only a flow that has switched entries needs path state of its own.
         if not connection.is_switched:
             self._paths.heard(self.node.now(), entry)
             return
@@ -268,7 +269,7 @@
         if isinstance(opening, Code):
             self._drop(opening)
             return
-        # The core answers an opening in the same call, so one is enough.
+        # The core decides on an opening within `feed`, so one slot is enough.
         self._checked_opening = opening
         service = self.agent.service.name
         self.agent.feed(FlowOpening(service, opening.flow, datagram.caller, handed_by))
@@ -338,7 +339,7 @@
         )
         self._forward(effect.peer, datagram)
 
-    # Datagrams out
+    # Outgoing datagrams
 
     def _forward(self, peer: str, datagram: TunnelDatagram) -> None:
         member = self.agent.core.roster.by_name.get(peer)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/udpflows.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/udpflows.py
@@ -1,4 +1,4 @@
-"""Plain UDP flows: one socket towards the target for each."""
+"""Plain UDP flows, each with its own socket to the target."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 __all__ = ["UdpFlows"]
 
 MAX_FLOWS = 16 * 1024
-"""Flows an agent holds at a time; each is a socket of the process."""
+"""Flows that an agent holds at a time; each uses a socket."""
 
 MAX_READS_PER_WAKEUP = 32
-"""Most datagrams read of one flow per wake-up."""
+"""Datagrams read from one flow per wake-up."""
 
 MAX_DATAGRAM_BYTES = 65_535
 
 REFUSED_SECONDS = 3.0
-"""Seconds for which a refusal counts as evidence that the target is down."""
+"""Seconds for which a refused datagram indicates that the target is down."""
 
 
 class _Flow:
-    """One flow and the way its answers go."""
+    """A flow's socket, its caller, and the entry to which answers go."""
 
     __slots__ = ("caller", "entry", "socket")
 
@@ -39,9 +39,9 @@
     Parameters
     ----------
     target : Address
-        Where payloads go.
+        Address to which payloads are sent.
     answer : callable
-        Called with flow, caller, entry and payload of each answer.
+        Called with the flow, caller, entry and payload of each answer.
     """
 
     def __init__(
@@ -58,13 +58,13 @@
 
     @property
     def refused(self) -> bool:
-        """Whether nobody listened at the target's port lately."""
+        """Whether the target's port was closed within `REFUSED_SECONDS`."""
         return self._loop.time() - self._refused_at < REFUSED_SECONDS
 
     def deliver(
         self, flow: bytes, caller: Address, entry: Address, payload: bytes
     ) -> bool:
-        """Give a payload to the target; False if it is lost."""
+        """Send a payload to the target; return False if it is lost."""
         found = self._by_flow.get(flow) or self._open(flow, caller)
         if found is None:
             return False
@@ -72,7 +72,7 @@
         try:
             found.socket.send(payload)
         except ConnectionRefusedError:
-            # An earlier payload met a closed port; this one wasn't sent.
+            # An earlier payload reached a closed port; this one wasn't sent.
             self._refused_at = self._loop.time()
             return False
         except OSError:
@@ -80,14 +80,14 @@
         return True
 
     def end(self, flow: bytes) -> None:
-        """Release a flow."""
+        """Close a flow's socket."""
         found = self._by_flow.pop(flow, None)
         if found is not None:
             self._loop.remove_reader(found.socket.fileno())
             found.socket.close()
 
     def close(self) -> None:
-        """Release every flow."""
+        """Close the sockets of all flows."""
         for flow in list(self._by_flow):
             self.end(flow)
 
@@ -101,8 +101,8 @@
             return None
         try:
             connected.setblocking(False)
-            # Connected, the socket takes datagrams of the target alone, and
-            # tells of a closed port.
+            # A connected socket receives datagrams from the target only, and
+            # reports a closed port.
             connected.connect(tuple(self._target))
         except OSError:
             connected.close()
@@ -122,5 +122,5 @@
         except ConnectionRefusedError:
             self._refused_at = self._loop.time()
         except OSError:
-            # BlockingIOError ends the batch; the rest is as good as a loss.
+            # BlockingIOError ends the batch. Other errors count as packet loss.
             return
