--- a/packages/zinniahook-daemon/tests/http3_benches.py
+++ b/packages/zinniahook-daemon/tests/http3_benches.py
@@ -23,7 +23,7 @@
 from zinniahook_daemon.sockets import UdpSocket
 from zinniahook_daemon.targets import Result, Target
 
-PATIENCE = 20.0
+TIMEOUT_SECONDS = 20.0
 NOWHERE = Address("0.0.0.0", 0)
 
 
@@ -127,7 +127,7 @@
     async def answer(self) -> tuple[dict[bytes, bytes], bytes]:
         headers, body = {}, bytearray()
         while True:
-            event = await asyncio.wait_for(self.events.get(), PATIENCE)
+            event = await asyncio.wait_for(self.events.get(), TIMEOUT_SECONDS)
             if isinstance(event, HeadersReceived):
                 headers = dict(event.headers)
             elif isinstance(event, DataReceived):
--- a/packages/zinniahook-daemon/tests/quic_links.py
+++ b/packages/zinniahook-daemon/tests/quic_links.py
@@ -17,12 +17,12 @@
 from zinniahook_daemon.openings import Openings, RetryTokens
 from zinniahook_daemon.quic import ServerConnection
 
-PATIENCE = 20.0
+TIMEOUT_SECONDS = 20.0
 ENTRY = Address("127.0.1.1", 4433)
 OWNER = Owner(7, Address("10.1.2.3", 4000), 99)
 
 
-class Recorder:
+class RecordingSession:
     """A session that notes its events and answers nothing."""
 
     busy = False
@@ -99,7 +99,7 @@
             configuration,
             lambda: self.ids.encode(OWNER),
             self.to_caller,
-            lambda connection: Recorder(),
+            lambda connection: RecordingSession(),
             self.closed.append,
             self.unanswered.append,
         )
@@ -141,7 +141,7 @@
                 self.loop.call_soon(caller.receive, datagram)
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        deadline = self.now() + PATIENCE
+        deadline = self.now() + TIMEOUT_SECONDS
         while not condition():
             assert self.now() < deadline, "the condition didn't come true"
             self._moved.clear()
--- a/packages/zinniahook-daemon/tests/test_connections.py
+++ b/packages/zinniahook-daemon/tests/test_connections.py
@@ -107,7 +107,7 @@
 
 
 class TestSilence:
-    def test_unanswered_probes_are_told(self, quic_configuration):
+    def test_unanswered_probes_are_reported(self, quic_configuration):
         """Answers by way of one entry get lost.
 
         Symptom: a caller waits though its own datagrams arrive. Sequence: an
@@ -157,16 +157,16 @@
             link.to_agent = keep
             caller, _ = await link.connect()
             check = link.openings.check
-            thief = Address("127.0.0.9", 5001)
+            stranger = Address("127.0.0.9", 5001)
             opened = [check(datagram, caller.address, 0, False) for datagram in sent]
             assert sum(isinstance(each, Opening) for each in opened) >= 1
             (returned,) = {each for each in opened if getattr(each, "retry_source", 0)}
             with_token = sent[opened.index(returned)]
-            assert check(with_token, thief, 0, False) is Code.CONNECTION_ID_UNKNOWN
+            assert check(with_token, stranger, 0, False) is Code.CONNECTION_ID_UNKNOWN
 
         run(quic_configuration, scenario)
 
-    def test_an_unknown_version_is_told_ours(self, quic_configuration):
+    def test_an_unknown_version_is_answered_with_ours(self, quic_configuration):
         async def scenario(link: Link) -> None:
             answers: list[bytes] = []
             link.openings._answer = lambda data, _: answers.append(data)
@@ -195,7 +195,7 @@
 
 
 class TestCertificate:
-    def test_a_file_that_is_none(self, tmp_path):
+    def test_a_file_that_is_not_pem(self, tmp_path):
         files = Authority(tmp_path).issue("service")
         nothing = tmp_path / "nothing.pem"
         nothing.write_text("no certificate")
--- a/packages/zinniahook-daemon/tests/test_exchanges.py
+++ b/packages/zinniahook-daemon/tests/test_exchanges.py
@@ -8,7 +8,7 @@
 import pytest
 from aioquic.h3.connection import ErrorCode, FrameType, encode_frame
 from aioquic.quic.events import StreamReset
-from http3_benches import NOWHERE, PATIENCE, Bench, PlainClient
+from http3_benches import NOWHERE, TIMEOUT_SECONDS, Bench, PlainClient
 from zinniahook_core.codes import Code, Outcome, OutcomeKind
 from zinniahook_core.models import RequestClass, Service
 from zinniahook_daemon.exchanges import (
@@ -95,10 +95,10 @@
         async def scenario(bench: Bench, client: PlainClient) -> None:
             client._quic._write_stream_limits = lambda *args, **kwargs: None
             client.ask("GET", f"/?size={LARGE}")
-            await asyncio.wait_for(client.events.get(), PATIENCE)
+            await asyncio.wait_for(client.events.get(), TIMEOUT_SECONDS)
             quiet, before = 0, -1
             while quiet < QUIET_PINGS:
-                await asyncio.wait_for(client.ping(), PATIENCE)
+                await asyncio.wait_for(client.ping(), TIMEOUT_SECONDS)
                 stands = bench.session.waiting and before == bench.seen["sent"]
                 quiet = quiet + 1 if stands else 0
                 before = bench.seen["sent"]
@@ -125,7 +125,7 @@
             sender = client._quic._streams[stream_id].sender
             quiet, before = 0, -1
             while quiet < QUIET_PINGS:
-                await asyncio.wait_for(client.ping(), PATIENCE)
+                await asyncio.wait_for(client.ping(), TIMEOUT_SECONDS)
                 quiet = quiet + 1 if before == sender.highest_offset else 0
                 before = sender.highest_offset
             assert sender.highest_offset < LARGE // 2
@@ -151,7 +151,7 @@
             stream_id = client.ask("POST", "/tickets", end=False)
             client.http.send_data(stream_id, bytes(500), end_stream=False)
             client.transmit()
-            await asyncio.wait_for(client.ping(), PATIENCE)
+            await asyncio.wait_for(client.ping(), TIMEOUT_SECONDS)
             assert not bench.owner.tasks_by_number
             client.http.send_data(stream_id, bytes(500), end_stream=True)
             client.transmit()
@@ -162,7 +162,7 @@
     def test_is_refused_in_the_end(self, run):
         async def scenario(bench: Bench, client: PlainClient) -> None:
             client.ask("POST", "/tickets", end=False)
-            await asyncio.wait_for(client.ping(), PATIENCE)
+            await asyncio.wait_for(client.ping(), TIMEOUT_SECONDS)
             now = asyncio.get_running_loop().time()
             bench.session.expire(now + BODY_TIMEOUT_SECONDS / 2)
             assert bench.session.busy
@@ -180,13 +180,13 @@
     def test_reaches_the_target(self, run, way):
         async def scenario(bench: Bench, client: PlainClient) -> None:
             stream_id = client.ask("DELETE", "/", end=False)
-            await asyncio.wait_for(bench.seen["deleting"].wait(), PATIENCE)
+            await asyncio.wait_for(bench.seen["deleting"].wait(), TIMEOUT_SECONDS)
             if way == "reset":
                 client._quic.reset_stream(stream_id, ErrorCode.H3_REQUEST_CANCELLED)
                 client.transmit()
             else:
                 client.close()
-            await asyncio.wait_for(bench.seen["gone"].wait(), PATIENCE)
+            await asyncio.wait_for(bench.seen["gone"].wait(), TIMEOUT_SECONDS)
 
         run(scenario)
 
@@ -257,7 +257,7 @@
 
         async def scenario(bench: Bench, client: PlainClient) -> None:
             client.ask(method, path)
-            event = await asyncio.wait_for(client.events.get(), PATIENCE)
+            event = await asyncio.wait_for(client.events.get(), TIMEOUT_SECONDS)
             assert isinstance(event, StreamReset)
             assert event.error_code == ErrorCode.H3_MESSAGE_ERROR
             assert not bench.owner.tasks_by_number
@@ -275,7 +275,7 @@
             await client.answer()
             bench.session.go_away(final=True)
             client.ask("GET", "/")
-            event = await asyncio.wait_for(client.events.get(), PATIENCE)
+            event = await asyncio.wait_for(client.events.get(), TIMEOUT_SECONDS)
             assert isinstance(event, StreamReset)
             assert event.error_code == ErrorCode.H3_REQUEST_REJECTED
 
--- a/packages/zinniahook-daemon/tests/test_packet_differences.py
+++ b/packages/zinniahook-daemon/tests/test_packet_differences.py
@@ -64,14 +64,14 @@
         former, new = document(1, 5800), document(2, 5800, changed={4000})
         assert len(differences.difference(former, new)) < MAX_BYTES_PER_CHANGE / 10
 
-    def test_to_another_version_it_gives_an_error(self):
+    def test_another_base_raises_an_error(self):
         """A daemon has moved on while it asked, or its version is another one."""
         made = differences.difference(document(1), document(2))
         with pytest.raises(DifferenceError) as raised:
             differences.apply(document(3), made)
         assert raised.value.code is Code.CONFIGURATION_INVALID
 
-    def test_damaged_it_gives_an_error(self):
+    def test_damage_raises_an_error(self):
         """Never a mixture of two versions: the digest is that of the whole."""
         former = document(1)
         made = differences.zlib.decompress(differences.difference(former, document(2)))
@@ -125,29 +125,29 @@
         assert kind != DIFFERENCE_TYPE
 
     @pytest.mark.parametrize("asked", [b"", b"{", b"[]", b'{"digest": 7}', b"\xff"])
-    def test_a_question_that_cannot_be_read_gets_the_whole(self, asked):
+    def test_a_malformed_request_gets_the_whole(self, asked):
         answer = Documents().answer(routes(3), asked)
         assert Documents().read(Routes.none(), answer) == document(3)
 
-    def test_without_a_configuration_there_is_nothing_to_tell(self):
+    def test_without_a_configuration_the_answer_is_not_found(self):
         assert Documents().answer(Routes.none(), b"").status == web.NOT_FOUND
 
 
-class LyingPeer:
+class WrongBasePeer:
     """Answers with a difference that doesn't fit, then with the whole."""
 
     def __init__(self):
-        self.questions = []
+        self.requests = []
 
     async def call(self, method, path, body=b""):
-        self.questions.append(body)
+        self.requests.append(body)
         if body:
             made = differences.difference(document(8), document(9))
             return web.Answer(web.OK, made, DIFFERENCE_TYPE)
         return Documents().answer(routes(9), b"")
 
 
-class AskingDaemon(Daemon):
+class RequestingDaemon(Daemon):
     """Has a version in force, and no sockets."""
 
     def __init__(self, in_force):
@@ -163,9 +163,9 @@
 
 class TestDifferenceThatDoesNotFit:
     async def fetched(self):
-        asking, peer = AskingDaemon(routes(5)), LyingPeer()
-        found = await asking._fetch_document(peer, "10.0.0.1")
-        return asking, peer, found
+        daemon, peer = RequestingDaemon(routes(5)), WrongBasePeer()
+        found = await daemon._fetch_document(peer, "10.0.0.1")
+        return daemon, peer, found
 
     def test_the_whole_is_asked_for(self):
         """Symptom: a daemon stays at its version for good.
@@ -173,9 +173,9 @@
         Sequence: its peer tells a difference to a version that this daemon doesn't
         have. Cause: it is refused, and each further question gets the same.
         """
-        asking, peer, found = asyncio.run(self.fetched())
+        daemon, peer, found = asyncio.run(self.fetched())
         assert found == document(9)
-        assert peer.questions == [encode_request(routes(5)), b""]
-        assert asking.events == [
+        assert peer.requests == [encode_request(routes(5)), b""]
+        assert daemon.events == [
             ("fetch.difference_refused", int(Code.CONFIGURATION_INVALID))
         ]
--- a/packages/zinniahook-daemon/tests/test_packet_fetches.py
+++ b/packages/zinniahook-daemon/tests/test_packet_fetches.py
@@ -63,7 +63,7 @@
         assert name == "failed"
 
 
-class TestFailureInside:
+class TestInternalFailure:
     """Symptom: a process ends by a fault of its own, and its status is 0.
 
     Sequence: work that goes on for ever raises. Cause: the process ends as if it
--- a/packages/zinniahook-daemon/tests/test_packet_journal.py
+++ b/packages/zinniahook-daemon/tests/test_packet_journal.py
@@ -8,7 +8,7 @@
 from zinniahook_daemon.packets.journal import Journal
 
 
-def opened():
+def open_journal():
     reading, writing = os.pipe()
     os.set_blocking(reading, False)
     return Journal("edge-1", writing), reading
@@ -25,8 +25,8 @@
 
 
 class TestLines:
-    def test_tell_who_and_what(self):
-        journal, reading = opened()
+    def test_name_the_instance_and_the_event(self):
+        journal, reading = open_journal()
         flow = bytes((100, 64, 0, 7, 4, 1, 198, 18, 0, 1, 0, 80))
         journal.event("flow.opened", flow=flow, opening=7)
         (line,) = lines(reading)
@@ -35,8 +35,8 @@
         assert line["flow"] == "100.64.0.7:1025>198.18.0.1:80"
         assert line["opening"] == 7
 
-    def test_are_bounded_by_kind_and_tell_what_was_left_out(self, monkeypatch):
-        journal, reading = opened()
+    def test_are_limited_by_event_and_count_omitted_lines(self, monkeypatch):
+        journal, reading = open_journal()
         clock = [50.0]
         monkeypatch.setattr(journals.time, "monotonic", lambda: clock[0])
         for _ in range(1000):
@@ -59,7 +59,7 @@
     """
 
     def test_lines_are_dropped_and_counted(self, monkeypatch):
-        journal, reading = opened()
+        journal, reading = open_journal()
         monkeypatch.setattr(journals, "BURST_LINES", 1e9)
         for _ in range(5000):
             journal.event("flow.opened", text="x" * 100)
@@ -68,8 +68,8 @@
         journal.event("flow.opened")
         assert len(lines(reading)) == 1
 
-    def test_a_closed_reader_ends_nothing(self):
-        journal, reading = opened()
+    def test_a_closed_reader_raises_no_error(self):
+        journal, reading = open_journal()
         os.close(reading)
         journal.event("flow.opened")
         assert journal.dropped == 1
@@ -77,7 +77,7 @@
 
 class TestExposition:
     def test_counters_histograms_and_gauges(self):
-        journal, _ = opened()
+        journal, _ = open_journal()
         journal.count("packets.forwarded", 3)
         journal.observe("answer_seconds", 0.06, route="r-1")
         journal.observe("answer_seconds", 9.0, route="r-1")
@@ -89,7 +89,7 @@
         assert "zinniahook_flows 7" in text
 
     def test_routes_without_end_are_refused(self):
-        journal, _ = opened()
+        journal, _ = open_journal()
         for number in range(journals.MAX_HISTOGRAMS + 5):
             journal.observe("answer_seconds", 0.1, route=f"r-{number}")
         assert len(journal.histograms_by_key) == journals.MAX_HISTOGRAMS
--- a/packages/zinniahook-daemon/tests/test_packet_recorder.py
+++ b/packages/zinniahook-daemon/tests/test_packet_recorder.py
@@ -89,7 +89,7 @@
         self.events.append(name)
 
 
-def written(store, node):
+def write_record(store, node):
     """Let a daemon that has looked at the store for long write the record."""
     recorder = Recorder(node, store, Journal())
     asyncio.run(recorder.write(float("-inf")))
@@ -102,10 +102,10 @@
     before any installs it. Cause: nobody remembers where it led.
     """
 
-    def test_one_that_starts_learns_where_a_route_led(self):
+    def test_a_starting_daemon_reads_former_services(self):
         store, node = KeepingStore(), Node()
         node.configure(0.0, routes(4, floor=["floor", "docs"], docs=["docs"]))
-        written(store, node)
+        write_record(store, node)
         fresh = Node(known=False)
         fresh.configure(0.0, routes(7, floor=["floor"], docs=["docs"]))
         asyncio.run(Recorder(fresh, store, Journal()).read())
@@ -116,7 +116,7 @@
     def test_a_former_service_stays_in_it_for_as_long_as_flows_live(self):
         store, node = KeepingStore(), Node()
         node.configure(0.0, routes(4, floor=["docs"]))
-        written(store, node)
+        write_record(store, node)
         node.formers.learn(0.0, [Former(FLOOR, "docs", 1e9)])
         node.configure(0.0, routes(5, floor=["floor"]))
         record = Record.of(1.0, node.routes, node.formers)
@@ -128,13 +128,13 @@
     def test_what_changes_no_service_costs_no_call(self):
         store, node = KeepingStore(), Node()
         node.configure(0.0, routes(4, floor=["floor"]))
-        recorder = written(store, node)
+        recorder = write_record(store, node)
         before = list(store.calls)
         node.configure(0.0, routes(5, floor=["floor"]))
         asyncio.run(recorder.write(float("-inf")))
         assert store.calls == before == ["stored_values", "write_values"]
 
-    def test_two_that_write_at_once_lose_nothing(self):
+    def test_concurrent_writers_lose_nothing(self):
         store = KeepingStore()
         nodes = [Node(), Node()]
         nodes[0].configure(0.0, routes(4, floor=["floor"]))
@@ -171,7 +171,7 @@
     def test_a_change_writes_only_the_parts_that_change(self):
         store, node = KeepingStore(), Node()
         node.configure(0.0, routes(4, floor=["floor"], docs=["docs"]))
-        recorder = written(store, node)
+        recorder = write_record(store, node)
         former = dict(store.by_name)
         node.configure(0.0, routes(5, floor=["docs"], docs=["docs"]))
         asyncio.run(recorder.write(float("-inf")))
@@ -194,10 +194,10 @@
         assert formers.decode(value) == Record({})
         assert formers.decode(zlib.compress(value)) == Record({})
 
-    def test_daemons_tell_each_other_how_long_one_counts_yet(self):
+    def test_rows_keep_the_remaining_time(self):
         rows = [Former(FLOOR, "docs", 12.5)]
         assert formers.decode_rows(formers.encode_rows(rows)) == rows
 
     @pytest.mark.parametrize("value", [b"", b"{", b"[1]", b'[["zz","a",1]]', b"3"])
-    def test_what_another_version_tells_is_refused(self, value):
+    def test_rows_of_another_format_are_refused(self, value):
         assert formers.decode_rows(value) is None
--- a/packages/zinniahook-daemon/tests/test_packet_restored.py
+++ b/packages/zinniahook-daemon/tests/test_packet_restored.py
@@ -50,7 +50,7 @@
 
         return asyncio.run(run())
 
-    def test_are_taken_out_by_one_agent(self):
+    def test_are_removed_by_one_agent(self):
         store = RestorableStore()
         store.revisions_by_agent[PEER.address] = 9
         made = self.renewed(store)
@@ -90,7 +90,7 @@
     @pytest.mark.parametrize(
         ("role", "renewed"), [(AgentDaemon, ["announcement"]), (EntryDaemon, [])]
     )
-    def test_one_line_tells_of_it(self, role, renewed):
+    def test_is_logged_once(self, role, renewed):
         async def run():
             made = daemon(role, RestorableStore())
             made.started = []
@@ -139,7 +139,7 @@
         assert asyncio.run(run()) == again
 
 
-def wrote(recorder, era, times=1):
+def write_record(recorder, era, times=1):
     async def run():
         for _ in range(times):
             await recorder.write(LONG_AGO, era)
@@ -158,14 +158,14 @@
         store, node = RestorableStore(), FakeNode()
         node.configure(0.0, routes(4, "floor"))
         recorder = Recorder(node, store, FakeJournal())
-        wrote(recorder, 1)
+        write_record(recorder, 1)
         copy = store.copy()
         node.configure(0.0, routes(5, "docs"))
         node.formers.learn(0.0, [Former(FLOOR, "floor", 1e9)])
-        wrote(recorder, 1)
+        write_record(recorder, 1)
         store.restore(copy)
         assert store.recorded() == {"floor"}
-        wrote(recorder, 2)
+        write_record(recorder, 2)
         assert store.recorded() >= {"docs"}
 
     def test_what_only_the_copy_has_stays(self):
@@ -174,19 +174,19 @@
         """
         store, other, node = RestorableStore(), FakeNode(), FakeNode()
         other.configure(0.0, routes(4, "ledger"))
-        wrote(Recorder(other, store, FakeJournal()), 1)
+        write_record(Recorder(other, store, FakeJournal()), 1)
         store.restore(store.copy())
         node.configure(0.0, routes(5, "floor"))
-        wrote(Recorder(node, store, FakeJournal()), 2)
+        write_record(Recorder(node, store, FakeJournal()), 2)
         assert store.recorded() == {"ledger", "floor"}
 
     def test_nothing_lost_costs_one_write_an_era(self):
         store, node = RestorableStore(), FakeNode()
         node.configure(0.0, routes(4, "floor"))
         recorder = Recorder(node, store, FakeJournal())
-        wrote(recorder, 1, times=3)
+        write_record(recorder, 1, times=3)
         store.restore(store.copy())
-        wrote(recorder, 2, times=5)
+        write_record(recorder, 2, times=5)
         assert store.calls == [
             "stored_values",
             "write_values",
@@ -199,7 +199,7 @@
         store, node = RestorableStore(), FakeNode()
         store.era = 0
         node.configure(0.0, routes(4, "floor"))
-        wrote(Recorder(node, store, FakeJournal()), 0, times=3)
+        write_record(Recorder(node, store, FakeJournal()), 0, times=3)
         assert store.calls == ["stored_values", "write_values"]
         assert CHECKED_ERA_NAME not in store.kept_by_name
 
@@ -219,8 +219,8 @@
             return await keep(values)
 
         store.write_values = restored
-        wrote(recorder, 1)
-        wrote(recorder, 2, times=2)
+        write_record(recorder, 1)
+        write_record(recorder, 2, times=2)
         assert store.calls == [
             "stored_values",
             "write_values",
@@ -236,39 +236,39 @@
         asyncio.run(recorder.read(era))
         return fresh, journal
 
-    def test_one_that_starts_does_not_take_a_copy_for_complete(self):
+    def test_a_starting_daemon_does_not_consider_a_copy_complete(self):
         """Symptom: a living flow is reset. Sequence: a former service is recorded,
         the store loses it, everything is killed within the same second. Cause: who
         starts takes the record for all that there was.
         """
         store, node = RestorableStore(), FakeNode()
         node.configure(0.0, routes(4, "floor"))
-        wrote(Recorder(node, store, FakeJournal()), 1)
+        write_record(Recorder(node, store, FakeJournal()), 1)
         store.restore(store.copy())
         fresh, journal = self.started(store, 2)
         assert not fresh.formers.is_complete
         assert [row.service for row in fresh.formers.rows(0.0)] == ["floor"]
         assert journal.events[-1][1]["whole"] is False
 
-    def test_it_does_once_somebody_has_checked_it(self):
+    def test_it_does_after_another_daemon_has_checked_it(self):
         store, node = RestorableStore(), FakeNode()
         node.configure(0.0, routes(4, "floor"))
         recorder = Recorder(node, store, FakeJournal())
-        wrote(recorder, 1)
+        write_record(recorder, 1)
         store.restore(store.copy())
-        wrote(recorder, 2)
+        write_record(recorder, 2)
         assert self.started(store, 2)[0].formers.is_complete
 
-    def test_one_that_lacks_something_does_not_vouch_for_it(self):
+    def test_an_incomplete_daemon_does_not_mark_the_record(self):
         store, node = RestorableStore(), FakeNode()
         node.configure(0.0, routes(4, "floor"))
-        wrote(Recorder(node, store, FakeJournal()), 1)
+        write_record(Recorder(node, store, FakeJournal()), 1)
         store.restore(store.copy())
         fresh = FakeNode(known=False)
         fresh.configure(0.0, routes(5, "docs"))
-        wrote(Recorder(fresh, store, FakeJournal()), 2)
+        write_record(Recorder(fresh, store, FakeJournal()), 2)
         assert store.recorded() == {"floor", "docs"}
         assert store.kept_by_name[CHECKED_ERA_NAME].value == b"1"
 
-    def test_an_empty_one_is_complete(self):
+    def test_an_empty_record_is_complete(self):
         assert self.started(RestorableStore(), 1)[0].formers.is_complete
--- a/packages/zinniahook-daemon/tests/test_packet_restores.py
+++ b/packages/zinniahook-daemon/tests/test_packet_restores.py
@@ -29,7 +29,7 @@
     """
 
     @pytest.mark.parametrize("told", [None, "", "x", "-1", "1.5", " 3", "9" * 30, "٣"])
-    def test_what_is_none_counts_as_the_one_known(self, told):
+    def test_an_invalid_era_counts_as_the_known_one(self, told):
         journal = FakeJournal()
         eras = Eras(journal)
         assert eras.resolve("3", 0) == 3
@@ -37,12 +37,12 @@
         assert journal.events[0][0] == "store.era_unknown"
         assert journal.events[0][1]["code"] == 308
 
-    def test_a_store_without_eras_is_told_of_nowhere(self):
+    def test_a_store_without_eras_is_not_logged(self):
         journal = FakeJournal()
         assert Eras(journal).resolve(None, 0) == 0
         assert journal.events == []
 
-    def test_one_that_falls_is_an_error_with_its_code(self):
+    def test_a_falling_era_raises_an_error(self):
         journal = FakeJournal()
         eras = Eras(journal)
         eras.resolve("3", 0)
@@ -54,7 +54,7 @@
         ]
         assert eras.latest == 3
 
-    def test_a_late_answer_is_of_the_era_that_it_was_asked_in(self):
+    def test_a_late_answer_belongs_to_the_era_of_its_request(self):
         eras = Eras(FakeJournal())
         eras.resolve("3", 0)
         assert eras.resolve("2", 2) == 2
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.usefixtures("quick")
-class TestLooking:
+class TestPolling:
     def test_a_restore_to_the_same_revision_is_read(self):
         """Symptom: a new configuration isn't seen. Sequence: the store is restored,
         writes follow until its revision is the one seen last. Cause: the same
@@ -78,7 +78,7 @@
 
         run_watcher(scenario)
 
-    def test_an_older_configuration_is_never_gone_back_to(self):
+    def test_an_older_configuration_is_never_installed(self):
         async def scenario(node, store, journal):
             store.version = 5
             await until(lambda: node.routes.version == 5)
@@ -106,7 +106,7 @@
 
         run_watcher(scenario)
 
-    def test_a_look_that_a_restore_overtook_confirms_nothing(self):
+    def test_a_read_overtaken_by_a_restore_confirms_nothing(self):
         """Symptom: an old set passes for fresh. Sequence: a look is sent, others
         tell of the restore, the look is answered. Cause: any answer confirms.
         """
@@ -177,7 +177,7 @@
 
         assert asyncio.run(run()).calls.count("announce") == 5
 
-    def test_are_not_made_again_by_one_that_leaves(self):
+    def test_are_not_made_again_by_a_leaving_agent(self):
         """Symptom: an agent that is gone is announced. Sequence: it leaves as the
         store is restored; its second announcement follows its withdrawal.
         """
@@ -212,16 +212,16 @@
             store = RestorableStore()
             rng = random.Random(agents)
             addresses = [f"10.0.{n // 250}.{n % 250}" for n in range(agents)]
-            all_of_them = [
+            announcers = [
                 Announcer(store, OWN._replace(address=address), rng)
                 for address in addresses
             ]
-            for announcer in all_of_them:
+            for announcer in announcers:
                 await announcer.run()
             store.restore((10, {}, {}))
             store.calls.clear()
             monkeypatch.setattr(watchers.asyncio, "sleep", sleep)
-            for announcer in all_of_them:
+            for announcer in announcers:
                 await announcer.renew(2)
             return store
 
--- a/packages/zinniahook-daemon/tests/test_packet_roles.py
+++ b/packages/zinniahook-daemon/tests/test_packet_roles.py
@@ -57,10 +57,10 @@
         listener.close()
         assert probed_state(agent(address)) is State.ENDED
 
-    def test_one_that_listens_may_hold_flows(self, listener):
+    def test_a_listening_target_may_hold_flows(self, listener):
         assert probed_state(agent(Address(*listener.getsockname()))) is State.STARTING
 
-    def test_one_that_told_of_itself_is_not_looked_for(self, listener):
+    def test_a_target_that_sent_a_heartbeat_is_not_probed(self, listener):
         address = Address(*listener.getsockname())
         listener.close()
         daemon = agent(address)
@@ -80,11 +80,11 @@
 
     def __init__(self, *peers):
         self.peers = peers
-        self.asked = 0
+        self.lookups = 0
 
     async def announced_agents(self, service):
-        self.asked += 1
-        if self.asked == 1:
+        self.lookups += 1
+        if self.lookups == 1:
             raise StoreUnavailableError("no answer")
         return [AgentRecord(service, peer, "a") for peer in self.peers]
 
@@ -97,5 +97,5 @@
         daemon._peer_socket = SilentLink()
         daemon.core.members(0.0, "tally", "127.0.0.2", "a")
         asyncio.run(asyncio.wait_for(daemon._discover_peers(), 10.0))
-        assert daemon.store.asked == 2
+        assert daemon.store.lookups == 2
         assert "127.0.0.3" in daemon.core.roster.by_address
--- a/packages/zinniahook-daemon/tests/test_packet_watcher.py
+++ b/packages/zinniahook-daemon/tests/test_packet_watcher.py
@@ -132,7 +132,7 @@
         _, store, _ = run_watcher(scenario)
         assert store.calls.count("configuration") == 2
 
-    def test_an_evacuation_is_told_before_the_configuration(self):
+    def test_an_evacuation_is_read_before_the_configuration(self):
         """Symptom: a daemon that starts opens flows in an evacuated data centre.
 
         Sequence: it reads the configuration, takes openings, and reads the
@@ -150,7 +150,7 @@
             ("configured", 1),
         ]
 
-    def test_a_newer_set_that_nobody_tells_is_read(self):
+    def test_a_newer_set_that_no_peer_sends_is_read(self):
         """Symptom: a target gets nothing for as long as its agent runs.
 
         Sequence: a daemon shows that it has newer orders and dies before it is
@@ -182,7 +182,7 @@
         assert store.calls.count("configuration") == 1
         assert set(store.calls) <= {"evacuation_snapshot", "configuration"}
 
-    def test_each_confirmation_is_shown_at_once(self):
+    def test_each_confirmation_is_announced_at_once(self):
         """Symptom: a third of the entries read the store though one would do.
 
         Sequence: no client sends, so few datagrams flow. Cause: a confirmation is
@@ -207,7 +207,7 @@
 
         run_watcher(scenario)
 
-    def test_its_own_confirmation_heard_again_stops_nothing(self):
+    def test_its_own_confirmation_received_back_is_ignored(self):
         freshness = Freshness("10.0.0.2", random.Random(1))
         freshness.installed(1)
         freshness.confirmed(5.0)
@@ -258,19 +258,19 @@
 
 
 class TestFreshness:
-    def test_a_newer_version_is_told(self):
+    def test_a_newer_version_is_reported(self):
         freshness = Freshness("10.0.0.2", random.Random(1))
         freshness.installed(4)
         assert freshness.heard(1.0, "10.0.0.1", 5, 0.1)
         assert not freshness.heard(1.0, "10.0.0.1", 3, 0.1)
 
-    def test_confirmations_of_another_version_count_for_nothing(self):
+    def test_confirmations_of_another_version_are_ignored(self):
         freshness = Freshness("10.0.0.2", random.Random(1))
         freshness.installed(4)
         freshness.heard(100.0, "10.0.0.1", 3, 0.0)
         assert freshness.must_look(100.0)
 
-    def test_who_hears_nothing_looks(self):
+    def test_a_daemon_without_confirmations_polls(self):
         freshness = Freshness("10.0.0.2", random.Random(1))
         freshness.installed(1)
         freshness.heard(10.0, "10.0.0.1", 1, 0.2)
--- a/packages/zinniahook-daemon/tests/test_relays.py
+++ b/packages/zinniahook-daemon/tests/test_relays.py
@@ -22,7 +22,7 @@
 from zinniahook_testkit.certificates import Authority
 from zinniahook_wire.control_grpc import ControlBase
 
-PATIENCE = 20.0
+TIMEOUT_SECONDS = 20.0
 LARGE = 8 * 1024 * 1024
 
 Work = Callable[[RelayedExchange], Awaitable[None]]
@@ -96,7 +96,7 @@
         await server.start("127.0.0.1", 0, ssl=certificates.server)
         address = Address(*server._server.sockets[0].getsockname())
         relays = Relays(certificates.client, "tally-1", "tally")
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             yield peer, relays, address
         relays.close()
         server.close()
@@ -121,7 +121,7 @@
     exchange.finish()
 
 
-async def pour(exchange: RelayedExchange) -> None:
+async def send_large_answer(exchange: RelayedExchange) -> None:
     exchange.begin(200, ())
     for _ in range(0, LARGE, 65536):
         drained = exchange.write(bytes(65536))
@@ -191,7 +191,7 @@
             assert (await task).outcome.kind is OutcomeKind.DONE
             assert caller.sent == LARGE
 
-        run(pour, scenario)
+        run(send_large_answer, scenario)
 
 
 class TestBrokenRelay:
@@ -262,6 +262,6 @@
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await task
-            await asyncio.wait_for(peer.cancelled.wait(), PATIENCE)
+            await asyncio.wait_for(peer.cancelled.wait(), TIMEOUT_SECONDS)
 
         run(stall, scenario)
--- a/packages/zinniahook-daemon/tests/test_runs.py
+++ b/packages/zinniahook-daemon/tests/test_runs.py
@@ -16,7 +16,7 @@
 from zinniahook_daemon.targets import DONE, FAILED
 
 NOWHERE = Address("127.0.0.1", 1)
-PATIENCE = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
 class Caller(Exchange):
@@ -45,7 +45,7 @@
         pass
 
 
-class Work:
+class FakeTarget:
     """Stands in for the target: a request runs until the test ends it."""
 
     def __init__(self) -> None:
@@ -91,12 +91,12 @@
             service=Service("tally", 1, NOWHERE, classes_by_name=classes),
         )
         self.agent = agent
-        self.work = Work()
+        self.work = FakeTarget()
         self.runs = Runs(agent)
         self.runs.target = self.work
 
     async def event(self) -> object:
-        return await asyncio.wait_for(self.events.get(), PATIENCE)
+        return await asyncio.wait_for(self.events.get(), TIMEOUT_SECONDS)
 
     async def arrive(self, caller: Caller) -> Caller:
         self.runs.arrived(caller)
@@ -106,7 +106,7 @@
     async def running(self) -> Caller:
         caller = await self.arrive(Caller())
         self.runs.execute(effects.Run(caller.number))
-        await asyncio.wait_for(self.work.started.get(), PATIENCE)
+        await asyncio.wait_for(self.work.started.get(), TIMEOUT_SECONDS)
         return caller
 
 
@@ -212,7 +212,7 @@
         run(scenario)
 
     @pytest.mark.parametrize("given_up", [True, False])
-    def test_of_a_begun_answer_is_told_unless_its_caller_left(self, given_up):
+    def test_of_a_begun_answer_is_logged_unless_its_caller_left(self, given_up):
         """Guards against cuts that nobody can explain, and a line for each caller."""
 
         async def scenario(bench: Bench) -> None:
@@ -223,8 +223,8 @@
                 assert await bench.event() == RequestCancelled(caller.number)
             bench.runs.execute(effects.CancelRequest(caller.number))
             await bench.event()
-            told = [(event, fields["code"]) for event, fields in bench.lines]
-            assert told == ([] if given_up else [("answer-cut", "CANCELLED_AFTER")])
+            logged = [(event, fields["code"]) for event, fields in bench.lines]
+            assert logged == ([] if given_up else [("answer-cut", "CANCELLED_AFTER")])
 
         run(scenario)
 
@@ -287,7 +287,7 @@
 
 
 class TestForgetAll:
-    def test_what_ends_later_is_no_news(self):
+    def test_later_ends_cause_no_event(self):
         """A fenced agent's old work ends after it was forgotten.
 
         Symptom: the core hears of requests of its former incarnation.
@@ -299,10 +299,10 @@
             caller = await bench.running()
             assert bench.runs.forget_all() == [caller]
             bench.work.results.put_nowait(DONE)
-            next_one = await bench.running()
+            following = await bench.running()
             bench.work.results.put_nowait(DONE)
             event = await bench.event()
-            assert event.request == next_one.number
+            assert event.request == following.number
 
         run(scenario)
 
--- a/packages/zinniahook-daemon/tests/test_targets.py
+++ b/packages/zinniahook-daemon/tests/test_targets.py
@@ -12,7 +12,7 @@
 from zinniahook_daemon.exchanges import Exchange, Head
 from zinniahook_daemon.targets import Target
 
-PATIENCE = 20.0
+TIMEOUT_SECONDS = 20.0
 LOOPBACK = "127.0.0.1"
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
@@ -21,7 +21,7 @@
 Script = Callable[[Reader, Writer], Awaitable[None]]
 
 
-class Plain(Exchange):
+class RecordingExchange(Exchange):
     """An exchange whose answer is only noted."""
 
     def __init__(self, method: str, *headers: tuple[bytes, bytes]) -> None:
@@ -46,7 +46,7 @@
         pass
 
 
-class Scripted:
+class ScriptedServer:
     """A server that says what a script says, and notes what it got."""
 
     def __init__(self, script: Script) -> None:
@@ -54,7 +54,7 @@
         self.heads: list[bytes] = []
         self.connections = 0
 
-    async def __aenter__(self) -> Scripted:
+    async def __aenter__(self) -> ScriptedServer:
         self.server = await asyncio.start_server(self.serve, LOOPBACK, 0)
         self.target = Target(Address(*self.server.sockets[0].getsockname()))
         return self
@@ -110,15 +110,15 @@
     writer.write(b"HTTP/1.1 503 Broken\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n")
 
 
-def run(script: Script, scenario: Callable[[Scripted], Awaitable[None]]) -> None:
+def run(script: Script, scenario: Callable[[ScriptedServer], Awaitable[None]]) -> None:
     async def main() -> None:
-        async with asyncio.timeout(PATIENCE), Scripted(script) as server:
+        async with asyncio.timeout(TIMEOUT_SECONDS), ScriptedServer(script) as server:
             await scenario(server)
 
     asyncio.run(main())
 
 
-def ended(exchange: Plain) -> Plain:
+def ended(exchange: RecordingExchange) -> RecordingExchange:
     exchange.body.feed(b"", end=True)
     return exchange
 
@@ -130,7 +130,7 @@
             address = Address(*server.sockets[0].getsockname())
             server.close()
             await server.wait_closed()
-            result = await Target(address).run(ended(Plain("POST")))
+            result = await Target(address).run(ended(RecordingExchange("POST")))
             assert result.outcome.kind is OutcomeKind.NOT_RUN
             assert result.outcome.code is Code.TARGET_FAILED
             assert not result.started
@@ -139,8 +139,8 @@
 
     @pytest.mark.parametrize("script", [hang_up, nonsense])
     def test_no_answer_may_have_run(self, script):
-        async def scenario(server: Scripted) -> None:
-            exchange = ended(Plain("POST"))
+        async def scenario(server: ScriptedServer) -> None:
+            exchange = ended(RecordingExchange("POST"))
             result = await server.target.run(exchange)
             assert result.outcome.kind is OutcomeKind.UNKNOWN
             assert result.started
@@ -149,8 +149,8 @@
         run(script, scenario)
 
     def test_half_an_answer_is_broken_off(self):
-        async def scenario(server: Scripted) -> None:
-            exchange = ended(Plain("POST", (b"idempotency-key", b"k")))
+        async def scenario(server: ScriptedServer) -> None:
+            exchange = ended(RecordingExchange("POST", (b"idempotency-key", b"k")))
             result = await server.target.run(exchange)
             assert result.outcome.code is Code.TARGET_FAILED
             assert result.started
@@ -160,8 +160,8 @@
         run(half, scenario)
 
     def test_only_the_target_itself_says_not_run(self):
-        async def scenario(server: Scripted) -> None:
-            exchange = ended(Plain("POST"))
+        async def scenario(server: ScriptedServer) -> None:
+            exchange = ended(RecordingExchange("POST"))
             result = await server.target.run(exchange)
             assert result.outcome.code is Code.TARGET_SHED
             assert result.outcome.retry_after == pytest.approx(0.7)
@@ -171,8 +171,8 @@
         run(shed, scenario)
 
     def test_a_plain_503_is_an_answer(self):
-        async def scenario(server: Scripted) -> None:
-            exchange = ended(Plain("POST"))
+        async def scenario(server: ScriptedServer) -> None:
+            exchange = ended(RecordingExchange("POST"))
             result = await server.target.run(exchange)
             assert result.outcome.kind is OutcomeKind.DONE
             assert exchange.status == 503
@@ -183,8 +183,8 @@
 
 class TestRequests:
     def test_headers(self):
-        async def scenario(server: Scripted) -> None:
-            exchange = Plain(
+        async def scenario(server: ScriptedServer) -> None:
+            exchange = RecordingExchange(
                 "POST",
                 (b"connection", b"close"),
                 (b"zinniahook-attempt", b"2"),
@@ -203,8 +203,8 @@
         run(answer, scenario)
 
     def test_an_informational_answer_is_not_the_answer(self):
-        async def scenario(server: Scripted) -> None:
-            exchange = ended(Plain("GET"))
+        async def scenario(server: ScriptedServer) -> None:
+            exchange = ended(RecordingExchange("GET"))
             await server.target.run(exchange)
             assert (exchange.status, exchange.sent) == (200, b"ok")
 
@@ -218,8 +218,8 @@
         target answers. Cause: the answer of a caller that is gone is lost.
         """
 
-        async def scenario(server: Scripted) -> None:
-            exchange = ended(Plain("POST", (b"idempotency-key", b"k")))
+        async def scenario(server: ScriptedServer) -> None:
+            exchange = ended(RecordingExchange("POST", (b"idempotency-key", b"k")))
             exchange.finished = True
             result = await server.target.run(exchange)
             assert result.outcome.kind is OutcomeKind.DONE
@@ -231,11 +231,11 @@
 
 class TestReuse:
     def test_only_what_may_be_repeated(self):
-        async def scenario(server: Scripted) -> None:
+        async def scenario(server: ScriptedServer) -> None:
             for _ in range(3):
-                await server.target.run(ended(Plain("GET")))
+                await server.target.run(ended(RecordingExchange("GET")))
             assert server.connections == 1
-            await server.target.run(ended(Plain("POST")))
+            await server.target.run(ended(RecordingExchange("POST")))
             assert server.connections == 2
 
         run(answer, scenario)
@@ -258,9 +258,9 @@
             else:
                 writer.write(OK)
 
-        async def scenario(server: Scripted) -> None:
-            await server.target.run(ended(Plain("GET")))
-            result = await server.target.run(ended(Plain("GET")))
+        async def scenario(server: ScriptedServer) -> None:
+            await server.target.run(ended(RecordingExchange("GET")))
+            result = await server.target.run(ended(RecordingExchange("GET")))
             assert result.outcome.kind is OutcomeKind.DONE
             assert (served, server.connections) == (3, 2)
 
@@ -279,7 +279,7 @@
         return script
 
     def test_load(self):
-        async def scenario(server: Scripted) -> None:
+        async def scenario(server: ScriptedServer) -> None:
             report = await server.target.probe()
             assert report == (True, Load(4, 2, 1, 0, 0), True)
 
@@ -287,13 +287,13 @@
 
     @pytest.mark.parametrize("document", [[], {"slots": "many"}, None, {"busy": 1}])
     def test_a_load_that_is_none(self, document):
-        async def scenario(server: Scripted) -> None:
+        async def scenario(server: ScriptedServer) -> None:
             assert (await server.target.probe()).load is None
 
         run(self.serve_json(document), scenario)
 
     def test_a_port_that_only_accepts(self):
-        async def scenario(server: Scripted) -> None:
+        async def scenario(server: ScriptedServer) -> None:
             report = await server.target.probe()
             assert report == (None, None, True)
 
--- a/packages/zinniahook-daemon/tests/test_udpflows.py
+++ b/packages/zinniahook-daemon/tests/test_udpflows.py
@@ -9,7 +9,7 @@
 from zinniahook_core.models import Address
 from zinniahook_daemon.udpflows import UdpFlows
 
-PATIENCE = 10.0
+TIMEOUT_SECONDS = 10.0
 ENTRY = Address("127.0.1.1", 7000)
 OTHER_ENTRY = Address("127.0.1.2", 7000)
 CALLER = Address("127.0.0.9", 5000)
@@ -30,10 +30,10 @@
     async def taken(self) -> tuple[bytes, tuple]:
         loop = asyncio.get_running_loop()
         taking = loop.sock_recvfrom(self.target, 2048)
-        return await asyncio.wait_for(taking, PATIENCE)
+        return await asyncio.wait_for(taking, TIMEOUT_SECONDS)
 
     async def answer(self) -> tuple:
-        return await asyncio.wait_for(self.answers.get(), PATIENCE)
+        return await asyncio.wait_for(self.answers.get(), TIMEOUT_SECONDS)
 
 
 def run(scenario: Callable[[Bench], Awaitable[None]]) -> None:
@@ -96,7 +96,7 @@
         async def scenario(bench: Bench) -> None:
             assert not bench.flows.refused
             bench.target.close()
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 while not bench.flows.refused:
                     bench.flows.deliver(FLOW, CALLER, ENTRY, b"beat")
                     await asyncio.sleep(0)
