--- a/packages/zinniahook-core/src/zinniahook_core/packets/health.py
+++ b/packages/zinniahook-core/src/zinniahook_core/packets/health.py
@@ -106,8 +106,8 @@
 MIN_PROBE_SHARE = 0.01
 """Share of the usual openings that an ejected target gets, halved with each bad answer
 in a row, down to the minimum. Both are below `member.EJECTED_BELOW_SHARE`, by which
-others recognise an ejected target. A target that fails half of its requests still answers
-some; one that hangs loses every request it gets."""
+others recognise an ejected target. A target that fails half of its requests still
+answers some; one that hangs loses every request it gets."""
 
 MAX_ROUTES = 256
 MAX_FAILING_FLOWS = 1024
