--- a/packages/zinniahook-daemon/tests/http3_benches.py
+++ b/packages/zinniahook-daemon/tests/http3_benches.py
@@ -1,4 +1,4 @@
-"""An agent's connections between an ordinary client and a target, for tests."""
+"""Test helpers: an agent's connections between an HTTP/3 client and a target."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @tornado.web.stream_request_body
 class Echo(tornado.web.RequestHandler):
-    """Notes what it gets; ``gate`` holds it back before it reads on."""
+    """Records requests; ``gate`` pauses the reading of bodies."""
 
     def initialize(self, seen: dict) -> None:
         self.seen = seen
@@ -69,7 +69,7 @@
 
 
 class Owner:
-    """Runs each request at the target at once."""
+    """A request handler that runs each request at the target at once."""
 
     def __init__(self, target: Target) -> None:
         self.target = target
@@ -98,7 +98,7 @@
 
 
 class PlainClient(QuicConnectionProtocol):
-    """An ordinary HTTP/3 client: aioquic's classes and nothing of ours."""
+    """An HTTP/3 client that uses aioquic's classes only."""
 
     def __init__(self, *args, **kwargs) -> None:
         super().__init__(*args, **kwargs)
@@ -137,7 +137,7 @@
 
 
 class Bench:
-    """An agent's connections on a socket, and a target."""
+    """An agent's connections on a UDP socket, and a target."""
 
     def __init__(self, configuration: QuicConfiguration) -> None:
         self.seen = {
--- a/packages/zinniahook-daemon/tests/quic_links.py
+++ b/packages/zinniahook-daemon/tests/quic_links.py
@@ -1,4 +1,4 @@
-"""Callers and an agent's connections, joined in one process, for tests."""
+"""Test helpers: callers and an agent's connections in one process."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class RecordingSession:
-    """A session that notes its events and answers nothing."""
+    """A session that records its events and sends nothing."""
 
     busy = False
 
@@ -45,7 +45,7 @@
 
 
 class Caller:
-    """aioquic's own client; ``address`` is where its datagrams come from."""
+    """aioquic's own client; its datagrams come from ``address``."""
 
     def __init__(self, link: Link, address: Address) -> None:
         configuration = QuicConfiguration(
@@ -73,7 +73,7 @@
 
 
 class Link:
-    """Carries datagrams between callers and `Connections`, in one process."""
+    """Delivers datagrams between callers and `Connections` in one process."""
 
     def __init__(self, configuration: QuicConfiguration) -> None:
         key = Key(3, bytes(range(32)))
--- a/packages/zinniahook-daemon/tests/restore_fakes.py
+++ b/packages/zinniahook-daemon/tests/restore_fakes.py
@@ -1,4 +1,4 @@
-"""A store that comes back from an older copy, and what reads it."""
+"""Test helpers: a store that is restored from an older copy, and its readers."""
 
 import asyncio
 import random
@@ -26,7 +26,7 @@
 
 
 class RestorableStore:
-    """Keeps agents and values by revision; `restore` goes back to a copy."""
+    """Stores agents and values with revisions; `restore` returns to a copy."""
 
     def __init__(self):
         self.era = 1
--- a/packages/zinniahook-daemon/tests/test_connections.py
+++ b/packages/zinniahook-daemon/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections of our own ids, and what is expected of aioquic's inside."""
+"""QUIC connections with this server's ids, and the aioquic internals they use."""
 
 from __future__ import annotations
 
@@ -65,12 +65,10 @@
 
 class TestMigration:
     def test_every_datagram_comes_from_another_port(self, quic_configuration):
-        """A middle box gives each datagram of a caller a new source port.
+        """Guards against answers to a caller's former port.
 
-        Symptom: answers go to a port that nobody listens on any more.
-        Sequence: handshake on one port, then 20 PINGs from 20 ports.
-        Cause: the connection is found by its id, so it has to follow the
-        caller's newest address.
+        A middlebox gives each datagram of a caller a new source port. The connection
+        is found by its id, so it must follow the caller's newest address.
         """
 
         async def scenario(link: Link) -> None:
@@ -87,12 +85,10 @@
         run(quic_configuration, scenario)
 
     def test_a_silent_address_gets_three_times_what_it_sent(self, quic_configuration):
-        """A forged source address makes the agent flood a victim.
+        """Guards against amplification by a forged source address.
 
-        Symptom: a host that never asked gets far more than was sent in its
-        name. Sequence: an opening with the victim's address, no reply to
-        what the agent sends, all of its repetitions.
-        Cause: the address of a caller is validated only by the handshake.
+        An opening carries a victim's address, which never replies. The agent repeats
+        its answers. A caller's address is only validated by the handshake.
         """
 
         async def scenario(link: Link) -> None:
@@ -108,12 +104,11 @@
 
 class TestSilence:
     def test_unanswered_probes_are_reported(self, quic_configuration):
-        """Answers by way of one entry get lost.
+        """Guards against a caller that waits because one entry loses its answers.
 
-        Symptom: a caller waits though its own datagrams arrive. Sequence: an
-        established connection sends, no acknowledgement comes back.
-        Cause: only the agent can know that its answers get nowhere; each
-        further probe has to give it a reason to try another entry.
+        An established connection sends, and no acknowledgement comes back. Only the
+        agent can detect this, so each further probe must be reported: it is the
+        reason to try another entry.
         """
 
         async def scenario(link: Link) -> None:
@@ -129,11 +124,9 @@
 
 class TestOpenings:
     def test_a_busy_agent_asks_for_a_proof_of_the_address(self, quic_configuration):
-        """Openings with forged addresses keep true callers out.
+        """Guards against forged openings that keep genuine callers out for seconds.
 
-        Symptom: new callers get no answer for seconds. Sequence: many
-        openings that are never gone on with, then one of a true caller.
-        Cause: each holds a place among the handshakes until it times out.
+        Each opening that isn't continued counts as a handshake until it times out.
         """
 
         async def scenario(link: Link) -> None:
@@ -216,7 +209,7 @@
 
 
 class TestLibrary:
-    """What `quic` takes from aioquic's inside."""
+    """The private parts of aioquic that `quic` uses."""
 
     def test_version(self):
         assert aioquic.__version__.startswith("1.7.")
--- a/packages/zinniahook-daemon/tests/test_entry.py
+++ b/packages/zinniahook-daemon/tests/test_entry.py
@@ -37,7 +37,7 @@
 
 
 class Peer:
-    """A UDP socket that keeps what it gets: a caller or an agent."""
+    """A caller or an agent: a UDP socket that records received datagrams."""
 
     def __init__(self) -> None:
         self.received: asyncio.Queue[tuple[bytes, tuple]] = asyncio.Queue()
@@ -49,7 +49,7 @@
 
 
 class Bench(NamedTuple):
-    """An entry with two services, a caller, and an agent of the first."""
+    """An entry with two services, a caller, and an agent of the first service."""
 
     nodes: object
     node: Node
@@ -148,10 +148,10 @@
         asyncio.run(run())
 
     def test_a_flood_leaves_the_loop_its_turns(self, nodes):
-        """Symptom: an entry under a flood answers no status and no change.
+        """Guards against an entry that a flood keeps from status calls and changes.
 
-        Sequence: datagrams come in faster than they are routed.
-        Cause: the socket would be read until it is empty, which it never is.
+        Datagrams arrive faster than they are routed. If the socket were read until
+        it is empty, the event loop would never run anything else.
         """
 
         async def run():
@@ -182,10 +182,10 @@
 
 class TestDropping:
     def test_a_connection_id_of_another_service(self, nodes):
-        """Symptom: a packet meant for one service reaches another.
+        """Guards against a packet for one service that reaches another.
 
-        Sequence: a caller sends a connection id of tally to ledger's address.
-        Cause: the owner would be taken from the id alone.
+        A caller sends a connection id of tally to ledger's address. The owner must
+        not be determined by the id alone.
         """
 
         async def run():
@@ -200,10 +200,10 @@
         asyncio.run(run())
 
     def test_an_unauthenticated_answer(self, nodes):
-        """Symptom: a stranger sends datagrams out of a service's address.
+        """Guards against a stranger that sends datagrams from a service's address.
 
-        Sequence: it sends a tunnel datagram under a key of its own.
-        Cause: the entry would trust whatever comes to its tunnel socket.
+        It sends tunnel datagrams under a key of its own. The entry must not trust
+        every datagram that its tunnel socket receives.
         """
 
         async def run():
@@ -238,10 +238,10 @@
         asyncio.run(run())
 
     def test_garbage_is_answered_by_nothing(self, nodes):
-        """Symptom: an entry is used to flood someone else.
+        """Guards against an entry that is used to flood a third party.
 
-        Sequence: datagrams with any content and a forged source come in.
-        Cause: an answer of the entry itself would go to that source.
+        Datagrams with any content arrive from a forged source. Any answer of the
+        entry itself would go to that source.
         """
 
         async def run():
@@ -261,7 +261,7 @@
                     bytes(MAX_PAYLOAD_BYTES + 1),
                     source,
                 )
-                # The first datagram that comes is one that should.
+                # The first datagram that the caller receives is the agent's answer.
                 bench.answer(b"an answer")
                 data, _ = await bench.caller.get()
                 assert data == b"an answer"
@@ -293,10 +293,10 @@
         asyncio.run(run())
 
     def test_an_address_that_is_taken(self, nodes):
-        """Symptom: one wrong address stops every service of an entry.
+        """Guards against one wrong address that stops every service of an entry.
 
-        Sequence: a service is added whose address another process holds.
-        Cause: the failure to bind would end the whole change.
+        A service is added whose address another process holds. The failure to bind
+        must not end the whole change.
         """
 
         async def run():
@@ -318,7 +318,7 @@
 
 
 class TestImports:
-    """Each role carries only what it needs; memory is bounded."""
+    """Each role imports only the modules that it needs, as memory is bounded."""
 
     @pytest.mark.parametrize(
         ("module", "unwanted"),
--- a/packages/zinniahook-daemon/tests/test_exchanges.py
+++ b/packages/zinniahook-daemon/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""HTTP/3 with aioquic's plain client, HTTP/1.1 to a real tornado target."""
+"""HTTP/3 from aioquic's own client, HTTP/1.1 to a real Tornado target."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 LARGE = 24 * 1024 * 1024
 
 QUIET_PINGS = 10
-"""Round trips without progress after which a transfer counts as stopped."""
+"""Round trips without progress after which a transfer is considered stopped."""
 
 
 @pytest.fixture
@@ -85,11 +85,10 @@
 
 class TestBackPressure:
     def test_a_slow_caller_stops_the_target(self, run):
-        """A caller stops reading in the middle of a large ledger.
+        """Guards against an agent whose memory grows with a large answer.
 
-        Symptom: the agent's memory grows with the ledger. Sequence: the
-        caller grants no more credit, the target goes on writing.
-        Cause: nothing tells the target that the caller is behind.
+        A caller stops reading and grants no more credit, while the target keeps
+        writing. The target must be paused when the caller has fallen behind.
         """
 
         async def scenario(bench: Bench, client: PlainClient) -> None:
@@ -110,11 +109,10 @@
         run(scenario)
 
     def test_a_slow_target_stops_the_caller(self, run):
-        """A target stops reading in the middle of an upload.
+        """Guards against an agent whose memory grows with a large body.
 
-        Symptom: the agent's memory grows with the body. Sequence: the target
-        takes one piece and waits, the caller has far more to send.
-        Cause: the stream's credit doesn't depend on what the target took.
+        A target reads one piece of an upload and pauses, while the caller has far
+        more to send. The stream's credit must depend on what the target has read.
         """
 
         async def scenario(bench: Bench, client: PlainClient) -> None:
@@ -140,11 +138,10 @@
 
 class TestSlowCaller:
     def test_holds_no_slot_while_it_sends(self, run):
-        """A field device takes seconds to send a ticket.
+        """Guards against an idle target whose slots are all taken.
 
-        Symptom: a target idles while its slots are taken. Sequence: the head
-        of a request, then nothing, then its body. Cause: a request that runs
-        when its head is here waits for the body in a slot.
+        A field device sends the head of a request, and its body seconds later. If
+        the request ran when its head is received, it would wait in a slot.
         """
 
         async def scenario(bench: Bench, client: PlainClient) -> None:
@@ -206,11 +203,10 @@
         run(scenario)
 
     def test_a_header_without_end(self, run):
-        """A caller announces a header block of a gigabyte.
+        """Guards against an agent that buffers a header block without bound.
 
-        Symptom: the agent holds all that arrives of it. Sequence: a HEADERS
-        frame with a huge length, then bytes without end.
-        Cause: a frame is parsed only when it is whole.
+        A HEADERS frame announces a huge length, and bytes follow without end. A
+        frame is parsed only when it is complete.
         """
 
         async def scenario(bench: Bench, client: PlainClient) -> None:
@@ -248,11 +244,10 @@
         [("GET", "/a HTTP/1.1"), ("GET /b", "/a"), ("GET", "a"), ("get", "/a")],
     )
     def test_a_head_that_would_become_another(self, run, method, path):
-        """A path carries a space, and so a second request line.
+        """Guards against a request at the target that was never admitted.
 
-        Symptom: the target runs a request that was never admitted.
-        Sequence: HTTP/3 takes the path as it is, HTTP/1.1 splits the line.
-        Cause: method and path share one line at the target only.
+        A path or method contains a space. HTTP/3 carries both separately, but in
+        HTTP/1.1 they share one line, which is split at spaces.
         """
 
         async def scenario(bench: Bench, client: PlainClient) -> None:
--- a/packages/zinniahook-daemon/tests/test_origin.py
+++ b/packages/zinniahook-daemon/tests/test_origin.py
@@ -1,4 +1,4 @@
-"""Learning from the store while it fails."""
+"""Reading configurations from the store while it fails."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
     def test_a_generation_is_in_force_after_failed_reads(
         self, nodes, eventually, failures
     ):
-        """
-        Symptom: one daemon keeps the old generation for hours, store up.
-        Sequence: the watch tells an agent the new pointer; the reads of its
-        manifest or of its values fail; the store answers again; no other change comes.
-        Cause: the pointer was taken already, and nothing tried those again.
+        """Guards against a daemon that keeps an old generation for hours.
+
+        The watch reports the new pointer, the reads of its manifest or values fail,
+        and no other change follows. The pointer is already known, so the reads must
+        be retried although the store works again.
         """
 
         async def run():
@@ -53,7 +53,7 @@
 
 
 def fail_reads(store, failures):
-    """Let the next reads of generations and values fail; return their keys."""
+    """Make the next reads of generations and values fail; return their keys."""
     failed = []
     get, get_many = store.get, store.get_many
     watched = (documents.POINTER_KEY, documents.ROSTER_PREFIX)
--- a/packages/zinniahook-daemon/tests/test_packet_differences.py
+++ b/packages/zinniahook-daemon/tests/test_packet_differences.py
@@ -1,4 +1,4 @@
-"""Differences between configurations, and how daemons tell them."""
+"""Differences between configurations, and their exchange between daemons."""
 
 import asyncio
 import json
@@ -18,11 +18,11 @@
 )
 
 MAX_BYTES_PER_CHANGE = 8_000 * 86_400 / 13_000
-"""What a daemon may receive for one change: 8 KB/s, 13,000 changes a day."""
+"""Bytes that a daemon may receive per change: 8 KB/s at 13,000 changes a day."""
 
 
 def document(version, count=200, changed=()):
-    """Return a document of routes, some of them with another time-out."""
+    """Return a document of routes; those in ``changed`` have another time-out."""
     routes = [
         {
             "name": f"r-{random.Random(number).getrandbits(40):x}",
@@ -42,7 +42,7 @@
 class TestDifference:
     @pytest.mark.parametrize("seed", range(20))
     def test_makes_the_new_version(self, seed):
-        """Routes are changed, added, dropped and moved at random."""
+        """Routes are changed, added, removed and moved at random."""
         rng = random.Random(seed)
         pieces = [f'{{"route":{n}}}'.encode() for n in range(rng.randrange(60))]
         former = b"[" + b",".join(pieces) + b"]"
@@ -65,14 +65,14 @@
         assert len(differences.difference(former, new)) < MAX_BYTES_PER_CHANGE / 10
 
     def test_another_base_raises_an_error(self):
-        """A daemon has moved on while it asked, or its version is another one."""
+        """The daemon has another version than the difference's base."""
         made = differences.difference(document(1), document(2))
         with pytest.raises(DifferenceError) as raised:
             differences.apply(document(3), made)
         assert raised.value.code is Code.CONFIGURATION_INVALID
 
     def test_damage_raises_an_error(self):
-        """Never a mixture of two versions: the digest is that of the whole."""
+        """The digest covers the whole document, so versions are never mixed."""
         former = document(1)
         made = differences.zlib.decompress(differences.difference(former, document(2)))
         for at in range(differences.DIGEST_BYTES, len(made)):
@@ -118,7 +118,7 @@
         assert found == document(7)
 
     def test_other_text_of_the_same_version_is_no_base(self):
-        """Two histories of the store gave one number to unlike documents."""
+        """Two histories of the store gave the same version to different documents."""
         documents = Documents()
         documents.keep(routes(1))
         kind, _ = self.asked(documents, routes(1, changed={3}), routes(2))
@@ -134,7 +134,7 @@
 
 
 class WrongBasePeer:
-    """Answers with a difference that doesn't fit, then with the whole."""
+    """Answers with a difference of another base, then with the whole document."""
 
     def __init__(self):
         self.requests = []
@@ -148,7 +148,7 @@
 
 
 class RequestingDaemon(Daemon):
-    """Has a version in force, and no sockets."""
+    """A daemon with a version in force and without sockets."""
 
     def __init__(self, in_force):
         self._documents = Documents()
@@ -168,10 +168,10 @@
         return daemon, peer, found
 
     def test_the_whole_is_asked_for(self):
-        """Symptom: a daemon stays at its version for good.
+        """Guards against a daemon that stays at its version for good.
 
-        Sequence: its peer tells a difference to a version that this daemon doesn't
-        have. Cause: it is refused, and each further question gets the same.
+        Its peer sends a difference whose base this daemon doesn't have. It is
+        refused, and every further request would get the same answer.
         """
         daemon, peer, found = asyncio.run(self.fetched())
         assert found == document(9)
--- a/packages/zinniahook-daemon/tests/test_packet_documents.py
+++ b/packages/zinniahook-daemon/tests/test_packet_documents.py
@@ -1,4 +1,4 @@
-"""Configurations as daemons pass them on."""
+"""The unpacking of configurations from other daemons."""
 
 import zlib
 
--- a/packages/zinniahook-daemon/tests/test_packet_fetches.py
+++ b/packages/zinniahook-daemon/tests/test_packet_fetches.py
@@ -1,4 +1,4 @@
-"""From whom a daemon fetches a newer configuration."""
+"""Fetches of newer configurations, and failures of a daemon's tasks."""
 
 import asyncio
 import time
@@ -9,7 +9,7 @@
 
 
 class FetchingDaemon(Daemon):
-    """Notes whom it would ask, and asks nobody."""
+    """Records the peers that it would fetch from, and fetches nothing."""
 
     def __init__(self):
         self._fetching_since = {}
@@ -23,10 +23,10 @@
 
 
 class TestFetches:
-    """Symptom: a change of the configuration takes a daemon seconds of work.
+    """Guards against seconds of work for one change of the configuration.
 
-    Sequence: a hundred peers show the newer version within milliseconds. Cause:
-    the daemon fetched and read the same document from each of them.
+    A hundred peers announce the newer version within milliseconds. The daemon must not
+    fetch and parse the same document from each of them.
     """
 
     @pytest.fixture
@@ -51,7 +51,7 @@
 
 
 class FailingDaemon(Daemon):
-    """Has work in progress, and no sockets."""
+    """A daemon with tasks and without sockets."""
 
     def __init__(self):
         self._tasks = set()
@@ -64,10 +64,10 @@
 
 
 class TestInternalFailure:
-    """Symptom: a process ends by a fault of its own, and its status is 0.
+    """Guards against an exit status of 0 after an internal fault.
 
-    Sequence: work that goes on for ever raises. Cause: the process ends as if it
-    had been told to, and whoever watches it sees a planned stop.
+    A task that should run without end raises an exception. The process must not stop as
+    if it had received a signal, which its supervisor would consider a planned stop.
     """
 
     @pytest.mark.parametrize("fails", [False, True])
--- a/packages/zinniahook-daemon/tests/test_packet_journal.py
+++ b/packages/zinniahook-daemon/tests/test_packet_journal.py
@@ -1,4 +1,4 @@
-"""Log lines that never wait, and counters as text."""
+"""Log lines that never block, and the text format of metrics."""
 
 import json
 import os
@@ -52,10 +52,10 @@
 
 
 class TestStoppedReader:
-    """Symptom: a daemon stands still, with all its flows.
+    """Guards against a daemon that halts with all its flows.
 
-    Sequence: whoever reads standard output stops; the pipe fills. Cause: a
-    write that waits.
+    The reader of standard output stops, and the pipe fills. A blocking write would
+    halt the daemon.
     """
 
     def test_lines_are_dropped_and_counted(self, monkeypatch):
--- a/packages/zinniahook-daemon/tests/test_packet_recorder.py
+++ b/packages/zinniahook-daemon/tests/test_packet_recorder.py
@@ -1,4 +1,4 @@
-"""The record of where routes have led: who writes it, and who reads it."""
+"""The stored record of routes' services: its writes, reads and format."""
 
 import asyncio
 import random
@@ -33,7 +33,7 @@
 
 
 class KeepingStore:
-    """Keeps values under their revisions; ``failures`` calls are refused."""
+    """Stores values with revisions; the next ``failures`` calls are refused."""
 
     def __init__(self):
         self.by_name = {}
@@ -90,16 +90,17 @@
 
 
 def write_record(store, node):
-    """Let a daemon that has looked at the store for long write the record."""
+    """Let a daemon that has polled the store for a long time write the record."""
     recorder = Recorder(node, store, Journal())
     asyncio.run(recorder.write(float("-inf")))
     return recorder
 
 
 class TestRecord:
-    """Symptom: after a restart of everything in the moment of a change, flows at
-    the former service are reset. Sequence: a route is moved, all are killed
-    before any installs it. Cause: nobody remembers where it led.
+    """Guards against resets of flows at a former service after a full restart.
+
+    A route is moved, and all processes are killed before any installs the change. After
+    the restart no process knows the route's former service.
     """
 
     def test_a_starting_daemon_reads_former_services(self):
--- a/packages/zinniahook-daemon/tests/test_packet_restored.py
+++ b/packages/zinniahook-daemon/tests/test_packet_restored.py
@@ -1,4 +1,4 @@
-"""What a process writes again once the store has come back."""
+"""What a process writes again after a restore of the store."""
 
 import asyncio
 
@@ -28,10 +28,10 @@
 
 @pytest.mark.usefixtures("quick")
 class TestKeysOfEndedPeers:
-    """Symptom: a daemon that starts asks an agent that is long gone.
+    """Guards against starting daemons that query an agent that ended long ago.
 
-    Sequence: an agent withdraws and ends, the store loses that. Cause: its process
-    isn't there to withdraw again.
+    An agent withdraws and ends, and the store loses the withdrawal in a restore. The
+    process no longer exists to withdraw again.
     """
 
     def renewed(self, store, *present, ended=PEER.address, revision=10):
@@ -58,7 +58,7 @@
         assert "announcement.removed" in made.journal.names
 
     def test_but_not_if_written_since(self):
-        """What goes wrong: a new agent at the address is taken out."""
+        """Guards against the removal of a new agent at the same address."""
         store = RestorableStore()
         store.revisions_by_agent[PEER.address] = 11
         self.renewed(store)
@@ -117,11 +117,10 @@
 
 
 class TestStartAroundARestore:
-    """Symptom: a daemon that starts later doesn't know of an agent.
+    """Guards against daemons that start later and don't learn of an agent.
 
-    Sequence: the agent starts, announces itself, and the store is restored; the first
-    thing that it hears of the store is the new era. Cause: only a change from an era
-    that it knew made it write again.
+    The agent announces itself, the store is restored, and the first era that the agent
+    learns of is the new one. It must write again although it knew no former era.
     """
 
     @pytest.mark.parametrize(("written", "again"), [(0, [1]), (1, [])])
@@ -148,10 +147,10 @@
 
 
 class TestRecord:
-    """Symptom: after a restart of everything, flows at a former service are reset.
+    """Guards against resets of flows at a former service after a full restart.
 
-    Sequence: the record is written, the store comes back without it, everything
-    restarts. Cause: daemons believe that what they wrote is there.
+    The record is written, the store is restored without it, and all processes
+    restart. Daemons must not rely on their earlier write.
     """
 
     def test_what_was_lost_is_written_again(self):
@@ -169,8 +168,9 @@
         assert store.recorded() >= {"docs"}
 
     def test_what_only_the_copy_has_stays(self):
-        """Symptom: a former service that another daemon recorded is gone. Cause:
-        the first to write after the restore writes what it knows itself.
+        """Guards against the loss of a former service that another daemon recorded.
+
+        The first daemon to write after the restore must keep the stored entries.
         """
         store, other, node = RestorableStore(), FakeNode(), FakeNode()
         other.configure(0.0, routes(4, "ledger"))
@@ -204,9 +204,10 @@
         assert CHECKED_ERA_NAME not in store.kept_by_name
 
     def test_a_write_that_a_restore_overtook_is_made_again(self):
-        """Symptom: the record is thought to be written in the new era. Sequence: it
-        is restored between reading and writing, and the old revision stands there
-        by chance. Cause: the condition compares two histories.
+        """Guards against a record that is wrongly considered written in the new era.
+
+        The store is restored between the read and the write, and by chance has the
+        same revision. The write's condition then compares two histories.
         """
         store, node = RestorableStore(), FakeNode()
         node.configure(0.0, routes(4, "floor"))
@@ -237,9 +238,11 @@
         return fresh, journal
 
     def test_a_starting_daemon_does_not_consider_a_copy_complete(self):
-        """Symptom: a living flow is reset. Sequence: a former service is recorded,
-        the store loses it, everything is killed within the same second. Cause: who
-        starts takes the record for all that there was.
+        """Guards against the reset of a living flow.
+
+        A former service is recorded, the store loses it in a restore, and all
+        processes are killed within the same second. A starting daemon must not
+        consider the restored record complete.
         """
         store, node = RestorableStore(), FakeNode()
         node.configure(0.0, routes(4, "floor"))
--- a/packages/zinniahook-daemon/tests/test_packet_restores.py
+++ b/packages/zinniahook-daemon/tests/test_packet_restores.py
@@ -1,4 +1,4 @@
-"""What a process reads and writes as the store comes back from an older copy."""
+"""Reads and writes of a process while the store is restored from an older copy."""
 
 import asyncio
 import random
@@ -22,10 +22,10 @@
 
 
 class TestEras:
-    """Symptom: a bad header of one answer stops a daemon, or takes it back.
+    """Guards against one invalid header that stops a daemon or sets it back.
 
-    Sequence: something between daemon and store drops or garbles the header.
-    Cause: what can't be read passes for era 0, or ends the call.
+    A proxy between daemon and store drops or corrupts the era header. An invalid value
+    must neither count as era 0 nor end the call.
     """
 
     @pytest.mark.parametrize("told", [None, "", "x", "-1", "1.5", " 3", "9" * 30, "٣"])
@@ -65,9 +65,10 @@
 @pytest.mark.usefixtures("quick")
 class TestPolling:
     def test_a_restore_to_the_same_revision_is_read(self):
-        """Symptom: a new configuration isn't seen. Sequence: the store is restored,
-        writes follow until its revision is the one seen last. Cause: the same
-        number passes for nothing new.
+        """Guards against a new configuration that isn't noticed.
+
+        The store is restored, and writes follow until its revision equals the one
+        seen last. The same revision in another era isn't "nothing new".
         """
 
         async def scenario(node, store, journal):
@@ -90,8 +91,10 @@
         run_watcher(scenario)
 
     def test_an_era_that_falls_is_not_believed(self):
-        """Symptom: orders of a history that is over are in force again. Sequence:
-        the old store answers once more at its address. Cause: it answered last.
+        """Guards against evacuations of an abandoned history that come into force.
+
+        The old store answers once more at its address. Its answer is the latest, but
+        of a former era.
         """
 
         async def scenario(node, store, journal):
@@ -107,8 +110,10 @@
         run_watcher(scenario)
 
     def test_a_read_overtaken_by_a_restore_confirms_nothing(self):
-        """Symptom: an old set passes for fresh. Sequence: a look is sent, others
-        tell of the restore, the look is answered. Cause: any answer confirms.
+        """Guards against an old set of evacuations that is considered fresh.
+
+        A read is sent, peers report the restore, and then the read is answered. The
+        answer must not confirm anything.
         """
 
         async def scenario(node, store, journal):
@@ -130,10 +135,10 @@
 
 @pytest.mark.usefixtures("quick")
 class TestAnnouncements:
-    """Symptom: agents that live are in nobody's list after a start of everything.
+    """Guards against living agents that no daemon knows after a full restart.
 
-    Sequence: they announced themselves in the seconds that the store has lost.
-    Cause: each does so once.
+    They announced themselves in the seconds that the store has lost. Each agent
+    otherwise announces itself only once.
     """
 
     def test_are_made_again_once_an_era(self):
@@ -178,8 +183,10 @@
         assert asyncio.run(run()).calls.count("announce") == 5
 
     def test_are_not_made_again_by_a_leaving_agent(self):
-        """Symptom: an agent that is gone is announced. Sequence: it leaves as the
-        store is restored; its second announcement follows its withdrawal.
+        """Guards against an announcement of an agent that has ended.
+
+        It leaves while the store is restored, and its second announcement would
+        follow its withdrawal.
         """
 
         async def run():
@@ -200,8 +207,10 @@
     def test_writes_a_second_stay_far_below_what_a_store_takes(
         self, agents, monkeypatch
     ):
-        """Load: every agent of a deployment hears of a restore at the same moment;
-        a small store takes 400 writes a second.
+        """Guards against an overloaded store after a restore.
+
+        All agents of a deployment learn of the restore at the same moment. A small
+        store accepts 400 writes a second.
         """
         pauses = []
 
@@ -233,11 +242,10 @@
 
 
 class TestWithdrawals:
-    """Symptom: a key of another process is deleted.
+    """Guards against the deletion of another process's key.
 
-    Sequence: an agent withdraws with its revision of the former era; by chance a
-    later process's key has that revision in the new one. Cause: revisions of
-    different histories are compared.
+    An agent withdraws with its revision of the former era. By chance, the key of a
+    later process has the same revision in the new era.
     """
 
     def test_are_conditioned_on_a_revision_of_the_present_era(self):
--- a/packages/zinniahook-daemon/tests/test_packet_roles.py
+++ b/packages/zinniahook-daemon/tests/test_packet_roles.py
@@ -1,4 +1,4 @@
-"""What a process of the packet service does at its end."""
+"""The probe for the target and the lookup of peers of an agent process."""
 
 import asyncio
 import socket
@@ -40,16 +40,16 @@
 
 
 def probed_state(daemon):
-    """Let a daemon look for its target; return the state that it tells."""
+    """Let a daemon probe its target; return the state that it announces."""
     asyncio.run(daemon._probe_target())
     return daemon.core.membership.state(0.0)
 
 
 class TestTargetThatWasNeverSeen:
-    """Symptom: for seconds after a loss of power no dead flow is ended.
+    """Guards against dead flows that aren't ended for seconds after a power loss.
 
-    Sequence: an instance comes back without its target and is taken away at
-    once. Cause: its agent leaves without saying that nothing is held there.
+    An instance comes back without its target and is removed at once. Its agent must
+    announce that it holds no flows before it leaves.
     """
 
     def test_an_address_that_refuses_has_no_target(self, listener):
@@ -69,14 +69,14 @@
 
 
 class SilentLink:
-    """A socket whose datagrams nobody gets."""
+    """A socket that discards its datagrams."""
 
     def send(self, data, address):
         pass
 
 
 class FailingStore:
-    """A store that doesn't answer the first question."""
+    """A store that doesn't answer the first lookup."""
 
     def __init__(self, *peers):
         self.peers = peers
@@ -91,7 +91,7 @@
 
 class TestLookupsAtTheStart:
     def test_are_repeated_although_a_peer_is_known(self):
-        """Guards against a roster that lacks peers because one answer got lost."""
+        """Guards against a roster that lacks peers because an answer was lost."""
         daemon = agent(Address(HOST, 1))
         daemon.store = FailingStore("127.0.0.2", "127.0.0.3")
         daemon._peer_socket = SilentLink()
--- a/packages/zinniahook-daemon/tests/test_packet_watcher.py
+++ b/packages/zinniahook-daemon/tests/test_packet_watcher.py
@@ -1,4 +1,4 @@
-"""Who looks at the store, and what a daemon does while it can't."""
+"""Polling of the store, also during its outages."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
 
 
 class FakeStore:
-    """Answers calls as told; ``failures`` are refused first."""
+    """Answers calls; the next ``failures`` calls are refused."""
 
     def __init__(self):
         self.version = 1
@@ -133,10 +133,10 @@
         assert store.calls.count("configuration") == 2
 
     def test_an_evacuation_is_read_before_the_configuration(self):
-        """Symptom: a daemon that starts opens flows in an evacuated data centre.
+        """Guards against new flows in an evacuated data centre after a daemon's start.
 
-        Sequence: it reads the configuration, takes openings, and reads the
-        orders a moment later. Cause: the configuration is what lets it route.
+        With the configuration it can route openings. If it read the evacuations a
+        moment later, it would route some to the evacuated data centre.
         """
 
         async def scenario(node, store, journal):
@@ -151,10 +151,10 @@
         ]
 
     def test_a_newer_set_that_no_peer_sends_is_read(self):
-        """Symptom: a target gets nothing for as long as its agent runs.
+        """Guards against a target that gets no flows for as long as its agent runs.
 
-        Sequence: a daemon shows that it has newer orders and dies before it is
-        asked. Cause: whoever knows of them waits for somebody to tell them.
+        A daemon announces newer evacuations and dies before it is asked for them.
+        Daemons that know of them must not wait for a peer to send them.
         """
 
         async def scenario(node, store, journal):
@@ -183,10 +183,10 @@
         assert set(store.calls) <= {"evacuation_snapshot", "configuration"}
 
     def test_each_confirmation_is_announced_at_once(self):
-        """Symptom: a third of the entries read the store though one would do.
+        """Guards against a third of the entries polling the store at the same time.
 
-        Sequence: no client sends, so few datagrams flow. Cause: a confirmation is
-        too old for a watcher to yield by the time that it hears it.
+        While no client sends, few datagrams are exchanged. A confirmation would be
+        too old for another watcher to yield when it receives it.
         """
 
         async def scenario(node, store, journal):
@@ -217,10 +217,10 @@
 
 @pytest.mark.usefixtures("quick")
 class TestStoreDown:
-    """Symptom: a daemon keeps an old configuration after an outage.
+    """Guards against a daemon that keeps an old configuration after an outage.
 
-    Sequence: the store refuses for a while, a change is made, it answers
-    again. Cause: a watcher that gave up, or took silence for "nothing new".
+    The store refuses calls while a change is made, and then answers again. A watcher
+    must neither give up nor interpret a failure as "nothing new".
     """
 
     def test_it_goes_on_when_the_store_is_back(self):
@@ -278,11 +278,11 @@
         assert freshness.must_look(11.6)
 
     def test_what_is_told_on_never_grows_younger(self):
-        """Symptom: an old configuration is acted on; nobody looks at the store.
+        """Guards against an old configuration in use while no daemon polls the store.
 
-        Sequence: the watcher is turned away by the store; the others tell each
-        other its last confirmation, hundreds of times a second. Cause: each
-        telling rounded its age down.
+        The store refuses the watcher, and the other daemons forward its last
+        confirmation to each other hundreds of times a second. If each message
+        rounded the age down, the confirmation would never expire.
         """
         one, other = (Freshness(f"10.0.0.{n}", random.Random(n)) for n in (2, 3))
         now = 100.0
--- a/packages/zinniahook-daemon/tests/test_packet_web.py
+++ b/packages/zinniahook-daemon/tests/test_packet_web.py
@@ -1,4 +1,4 @@
-"""HTTP between daemons, and to the platform's store."""
+"""The HTTP server and client for daemons and the platform's store."""
 
 import asyncio
 import re
@@ -63,10 +63,10 @@
 
 
 class TestFailures:
-    """Symptom: a daemon waits for ever for another one.
+    """Guards against a daemon that waits for a peer without end.
 
-    Sequence: the other one is gone, closes in the middle, or says nothing.
-    Cause: an open connection that went silent tells nothing by itself.
+    The peer is gone, closes the connection in the middle of a response, or doesn't
+    respond. A silent connection by itself doesn't reveal a failure.
     """
 
     def test_nobody_listens(self):
@@ -124,7 +124,7 @@
 
 
 def send_raw(*pieces):
-    """Send raw bytes to a server; return what it sends until it closes."""
+    """Send raw bytes to a server; return all that it sends until it closes."""
 
     async def scenario(client, server):
         reader, writer = await asyncio.open_connection(*server.address)
@@ -141,10 +141,10 @@
 
 
 class TestBadInput:
-    """Symptom: a daemon stops answering after a malformed request.
+    """Guards against a daemon that stops answering after a malformed request.
 
-    Sequence: somebody sends what isn't HTTP, or more than any call has.
-    Cause: an exception in a connection's callback, or memory without a bound.
+    A client sends bytes that aren't HTTP, or an oversized body. Neither may raise an
+    exception in a connection's callback or use unbounded memory.
     """
 
     def test_what_is_not_http_is_refused(self):
--- a/packages/zinniahook-daemon/tests/test_relays.py
+++ b/packages/zinniahook-daemon/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""Requests passed to a peer over real gRPC."""
+"""Requests relayed to a peer over real gRPC."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Caller(Exchange):
-    """The relaying agent's side of a caller; ``gate`` holds the answer back."""
+    """A caller's exchange at the relaying agent; ``gate`` pauses its answer."""
 
     def __init__(self, method: str = "POST") -> None:
         now = asyncio.get_running_loop().time()
@@ -171,11 +171,10 @@
         run(refuse, scenario)
 
     def test_a_slow_caller_stops_the_peer(self, run):
-        """A caller behind a relay stops reading a ledger.
+        """Guards against an agent that buffers a whole relayed answer.
 
-        Symptom: one of the two agents holds the whole ledger. Sequence: the
-        peer's target pours, the caller takes one piece and waits.
-        Cause: a hop that reads ahead without bound.
+        The peer's target writes as fast as it can, and the caller reads one piece and
+        pauses. Neither of the two agents may read ahead without bound.
         """
 
         async def scenario(peer: Peer, relays: Relays, address: Address) -> None:
@@ -206,11 +205,10 @@
         run(echo, scenario)
 
     def test_after_it_began(self, run):
-        """The peer dies while it runs a ticket for another agent.
+        """Guards against a ticket that runs twice.
 
-        Symptom: a ticket runs twice. Sequence: the head is passed on, the
-        peer's answer breaks off. Cause: a broken relay says nothing of what
-        the peer did, so it must not count as "not run".
+        The head is relayed, and the peer's answer breaks off as the peer dies. A
+        broken relay doesn't show what the peer did, so it isn't "not run".
         """
 
         async def scenario(peer: Peer, relays: Relays, address: Address) -> None:
@@ -229,11 +227,10 @@
         run(echo, scenario)
 
     def test_a_peer_that_was_marked_down(self, run):
-        """A peer disappears without closing its connections.
+        """Guards against a caller that waits for good.
 
-        Symptom: a caller waits for good. Sequence: a relay is under way, the
-        peer's machine is gone, its peers mark it down. Cause: TCP alone tells
-        of it after many minutes.
+        During a relay the peer's machine disappears without closing its connections,
+        and other agents mark it down. TCP alone detects this after many minutes.
         """
 
         async def scenario(peer: Peer, relays: Relays, address: Address) -> None:
--- a/packages/zinniahook-daemon/tests/test_runs.py
+++ b/packages/zinniahook-daemon/tests/test_runs.py
@@ -1,4 +1,4 @@
-"""What a daemon does with the core's decisions on requests."""
+"""The execution of the core's effects on requests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Caller(Exchange):
-    """A caller's side that notes what it is told."""
+    """A caller's exchange that records what is sent to it."""
 
     def __init__(self, method: str = "POST", key: bytes = b"k") -> None:
         head = Head(method, "/tickets/1", ((b"idempotency-key", key),))
@@ -46,7 +46,7 @@
 
 
 class FakeTarget:
-    """Stands in for the target: a request runs until the test ends it."""
+    """A target whose requests run until the test supplies a result."""
 
     def __init__(self) -> None:
         self.started: asyncio.Queue[Exchange] = asyncio.Queue()
@@ -66,7 +66,7 @@
 
 
 class Bench:
-    """Runs, with a core that only notes its events."""
+    """Runs with a core that only records its events."""
 
     def __init__(self) -> None:
         self.events: asyncio.Queue = asyncio.Queue()
@@ -141,11 +141,10 @@
         run(scenario)
 
     def test_of_a_request_that_is_gone(self):
-        """The core starts a request whose caller has just gone.
+        """Guards against a slot that never becomes free.
 
-        Symptom: a slot is never free again. Sequence: the caller leaves while
-        its request waits, the core's next decision runs it.
-        Cause: nothing would ever tell the core that it has ended.
+        A caller leaves while its request waits, and the core's next decision runs
+        it. The core must still receive an event that the request has finished.
         """
 
         async def scenario(bench: Bench) -> None:
@@ -187,11 +186,11 @@
 class TestCancel:
     @pytest.mark.parametrize("early", [True, False])
     def test_reaches_the_run(self, early):
-        """A caller gives up, perhaps in the very turn that starts its request.
+        """Guards against a request that is held for good.
 
-        Symptom: a request is held for good. Sequence: Run and CancelRequest
-        in one turn of the loop. Cause: a task that is cancelled before its
-        first step runs none of its own code.
+        A caller cancels, perhaps in the same iteration of the event loop in which
+        its request starts. A task that is cancelled before its first step runs none
+        of its own code.
         """
 
         async def scenario(bench: Bench) -> None:
@@ -213,7 +212,7 @@
 
     @pytest.mark.parametrize("given_up", [True, False])
     def test_of_a_begun_answer_is_logged_unless_its_caller_left(self, given_up):
-        """Guards against cuts that nobody can explain, and a line for each caller."""
+        """Guards against unexplained cut answers, and a log line per leaving caller."""
 
         async def scenario(bench: Bench) -> None:
             caller = await bench.running()
@@ -288,11 +287,10 @@
 
 class TestForgetAll:
     def test_later_ends_cause_no_event(self):
-        """A fenced agent's old work ends after it was forgotten.
+        """Guards against events of requests of a former incarnation.
 
-        Symptom: the core hears of requests of its former incarnation.
-        Sequence: a request runs, the agent fences itself, the target answers.
-        Cause: work under a claim goes on at the target.
+        A request runs, the agent fences itself, and then the target answers. Work
+        under a claim continues at the target.
         """
 
         async def scenario(bench: Bench) -> None:
--- a/packages/zinniahook-daemon/tests/test_targets.py
+++ b/packages/zinniahook-daemon/tests/test_targets.py
@@ -1,4 +1,4 @@
-"""What is known of a request that the target didn't answer whole."""
+"""The results of requests, also of those without a complete answer."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RecordingExchange(Exchange):
-    """An exchange whose answer is only noted."""
+    """An exchange that records its answer."""
 
     def __init__(self, method: str, *headers: tuple[bytes, bytes]) -> None:
         now = asyncio.get_running_loop().time()
@@ -47,7 +47,7 @@
 
 
 class ScriptedServer:
-    """A server that says what a script says, and notes what it got."""
+    """A server that answers by a script, and records the heads it receives."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -211,11 +211,10 @@
         run(informational, scenario)
 
     def test_a_caller_that_goes_leaves_its_answer_behind(self):
-        """A caller loses its connection while its ticket runs.
+        """Guards against an "unknown" outcome for a repeat with the same key.
 
-        Symptom: it comes back with the same key and is told "unknown".
-        Sequence: the request is sent, the caller's connection ends, the
-        target answers. Cause: the answer of a caller that is gone is lost.
+        A caller's connection ends while its ticket runs, and then the target
+        answers. The answer must be kept although the caller has gone.
         """
 
         async def scenario(server: ScriptedServer) -> None:
@@ -241,12 +240,11 @@
         run(answer, scenario)
 
     def test_a_connection_that_the_target_has_closed(self):
-        """A target closes its idle connection as a request goes out on it.
+        """Guards against occasional failures of requests at a healthy target.
 
-        Symptom: a request fails now and then though its target is well.
-        Sequence: one request, the target closes without a word, a second
-        request on the same connection. Cause: an idle connection may end at
-        any moment, so the second goes out again on a new one.
+        After one request the target closes the connection without notice, while a
+        second request is sent on it. An idle connection may close at any moment, so
+        the second request is sent again on a new one.
         """
         served = 0
 
--- a/packages/zinniahook-daemon/tests/test_transport.py
+++ b/packages/zinniahook-daemon/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""What a QUIC connection does with streams, late packets and losses."""
+"""Stream windows, late packets and packet numbers of QUIC connections."""
 
 from __future__ import annotations
 
@@ -12,11 +12,10 @@
 
 class TestStreamWindow:
     def test_a_stream_that_nobody_reads_stops(self, quic_configuration):
-        """A caller sends a body faster than the target takes it.
+        """Guards against an agent whose memory grows with the body.
 
-        Symptom: the agent's memory grows with the body. Sequence: a caller
-        writes 4 windows while nothing is taken, then all of it is taken.
-        Cause: aioquic grants credit for whatever has arrived.
+        A caller writes 4 windows while nothing is consumed, and then everything is
+        consumed. aioquic itself grants credit for all data that has arrived.
         """
 
         async def scenario(link: Link) -> None:
--- a/packages/zinniahook-daemon/tests/test_udpflows.py
+++ b/packages/zinniahook-daemon/tests/test_udpflows.py
@@ -17,7 +17,7 @@
 
 
 class Bench:
-    """Flows towards a socket that the test answers from."""
+    """Flows to a socket from which the test answers."""
 
     def __init__(self) -> None:
         self.target = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -86,11 +86,10 @@
 
 class TestTargetThatIsDown:
     def test_is_noticed(self):
-        """A plain UDP target dies; it has no endpoint that could be asked.
+        """Guards against flows that are opened at an agent without a working target.
 
-        Symptom: flows are opened at an agent whose target takes nothing.
-        Sequence: the target's port closes, a caller sends twice.
-        Cause: UDP tells of a closed port only on a connected socket.
+        A plain UDP target has no health endpoint. Its port closes, and a caller
+        sends twice. UDP reports a closed port only on a connected socket.
         """
 
         async def scenario(bench: Bench) -> None:
