--- a/packages/zinniahook-daemon/src/zinniahook_daemon/exchanges.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/exchanges.py
@@ -227,7 +227,7 @@
         The answer is complete, or can no longer be completed.
     started : bool
         Bytes of the request were sent to the target or a peer.
-    given_up : bool
+    is_cancelled : bool
         The caller has cancelled the request.
     relayed_by : str
         The peer that relayed the request to this agent, or empty.
@@ -235,7 +235,7 @@
         The peer that the request was relayed to, or empty.
     """
 
-    given_up = False
+    is_cancelled = False
     relayed_by = ""
     relayed_to = ""
 
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/http3.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/http3.py
@@ -184,8 +184,8 @@
         self.connection = connection
         self.by_stream: dict[int, CallerExchange] = {}
         self.waiting: dict[int, CallerExchange] = {}
-        self.gone = False
-        self._has_asked = False
+        self.is_going_away = False
+        self._has_sent_go_away = False
         self._pending_go_away: bool | None = None
         self._handler = handler
         self._touch = touch
@@ -246,9 +246,9 @@
             # caller would never reconnect, and its feed would delay the leaving agent.
             self._pending_go_away = final
             return
-        self._has_asked = True
+        self._has_sent_go_away = True
         if final:
-            self.gone = True
+            self.is_going_away = True
             self._rejected_from = self._next_stream
         self._http.go_away(self._next_stream if final else LAST_STREAM_ID)
         self._touch(self.connection)
@@ -260,7 +260,7 @@
         Without this GOAWAY those callers wouldn't learn that it leaves.
         """
         running = (exchange.relayed_to for exchange in self.by_stream.values())
-        if not self._has_asked and any(peer in peers for peer in running):
+        if not self._has_sent_go_away and any(peer in peers for peer in running):
             self.go_away(final=False)
 
     # Methods that exchanges call
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
@@ -230,11 +230,11 @@
         """Send a packet to the target."""
         self.client_socket.send(raw, tuple(self.settings.target))
 
-    def beat(self, beat: Beat) -> bool:
+    def heartbeat(self, beat: Beat) -> bool:
         """Handle a heartbeat of the target; return False if it is rejected."""
         return self.core.beat(time.monotonic(), beat)
 
-    def left(self, target: str, born: int | None) -> None:
+    def target_ended(self, target: str, born: int | None) -> None:
         """Handle the target's notice that it has ended."""
         self.core.left(time.monotonic(), target, born)
 
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/runs.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/runs.py
@@ -106,7 +106,7 @@
         """Handle the cancellation of a request by its caller."""
         if exchange.number not in self._exchanges_by_number:
             return
-        exchange.given_up = True
+        exchange.is_cancelled = True
         self._node.count("agent.cancelled")
         self._feed(RequestCancelled(exchange.number))
         if exchange.number not in self._tasks_by_number:
@@ -121,9 +121,9 @@
         self._tasks_by_number[exchange.number] = task
         # A task that is cancelled before its first step runs none of its own code.
         # A callback also sees the end of such a task.
-        task.add_done_callback(partial(self._done, exchange))
+        task.add_done_callback(partial(self._task_done, exchange))
 
-    def _done(self, exchange: Exchange, task: asyncio.Task[Result]) -> None:
+    def _task_done(self, exchange: Exchange, task: asyncio.Task[Result]) -> None:
         if self._tasks_by_number.get(exchange.number) is task:
             del self._tasks_by_number[exchange.number]
         if task.cancelled():
@@ -147,7 +147,7 @@
         answer = exchange.kept if done else b""
         if not done:
             self._node.count("agent.failed", code=result.outcome.code.name)
-            if exchange.status and not exchange.given_up:
+            if exchange.status and not exchange.is_cancelled:
                 self._log_cut(exchange, result.outcome.code)
         else:
             self._record(exchange)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/traffic.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/traffic.py
@@ -120,7 +120,7 @@
         """Close connections that got the final GOAWAY and have no open request."""
         for connection in self.connections:
             busy = connection.session.busy or connection.unacknowledged
-            if connection.session.gone and not busy:
+            if connection.session.is_going_away and not busy:
                 self.connections.close(connection, ErrorCode.H3_NO_ERROR, "leaving")
 
     def close(self) -> None:
--- a/packages/zinniahook-daemon/tests/test_runs.py
+++ b/packages/zinniahook-daemon/tests/test_runs.py
@@ -210,20 +210,22 @@
 
         run(scenario)
 
-    @pytest.mark.parametrize("given_up", [True, False])
-    def test_of_a_begun_answer_is_logged_unless_its_caller_left(self, given_up):
+    @pytest.mark.parametrize("is_cancelled", [True, False])
+    def test_of_a_begun_answer_is_logged_unless_its_caller_left(self, is_cancelled):
         """Guards against unexplained cut answers, and a log line per leaving caller."""
 
         async def scenario(bench: Bench) -> None:
             caller = await bench.running()
             caller.begin(200, ())
-            if given_up:
+            if is_cancelled:
                 bench.runs.cancelled(caller)
                 assert await bench.event() == RequestCancelled(caller.number)
             bench.runs.execute(effects.CancelRequest(caller.number))
             await bench.event()
             logged = [(event, fields["code"]) for event, fields in bench.lines]
-            assert logged == ([] if given_up else [("answer-cut", "CANCELLED_AFTER")])
+            assert logged == (
+                [] if is_cancelled else [("answer-cut", "CANCELLED_AFTER")]
+            )
 
         run(scenario)
 
