--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/recorder.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/recorder.py
@@ -130,7 +130,7 @@
         if not self._values_by_name or era > self._era:
             await self._read(era)
         if self._checked_era < self._era:
-            # This is the era's first write. Keep the stored entries of other daemons.
+            # This is the era's first write. Keep what other daemons have recorded.
             wanted = formers.merged([self._recorded, wanted])
         if not await self._write_missing(wanted):
             return
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
@@ -161,7 +161,7 @@
         """Announce the agent again, and remove peers that have ended.
 
         If a peer withdrew in the seconds that the store has lost, the restored copy
-        still lists it, but its process is gone. If the entry stayed, a starting
+        still lists it, but its process is gone. If its key stayed, a starting
         daemon would query that peer, and wait for its answer before it ends a flow
         without an owner. Only the present agent with the lowest address removes
         peers.
