--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
@@ -77,7 +77,7 @@
         return self.core.is_ready
 
     def gauges(self, now: float) -> dict[str, float]:
-        """Return what is measured at the moment of a scrape."""
+        """Return the gauges that are computed at each scrape."""
         rosters = self.core.rosters_by_service.values()
         return {
             **super().gauges(now),
@@ -195,7 +195,7 @@
         self.journal.event("announcement.removed", peer=address, era=era)
 
     def gauges(self, now: float) -> dict[str, float]:
-        """Return what is measured at the moment of a scrape."""
+        """Return the gauges that are computed at each scrape."""
         core = self.core
         return {
             **super().gauges(now),
