--- a/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/packets/roles.py
@@ -77,7 +77,7 @@
         return self.core.is_ready
 
     def gauges(self, now: float) -> dict[str, float]:
-        """Return what is measured at the moment of a scrape."""
+        """Return the gauges that are computed at each scrape."""
         rosters = self.core.rosters_by_service.values()
         return {
             **super().gauges(now),
@@ -161,7 +161,7 @@
         """Announce the agent again, and remove peers that have ended.
 
         If a peer withdrew in the seconds that the store has lost, the restored copy
-        still lists it, but its process is gone. If the entry stayed, a starting
+        still lists it, but its process is gone. If its key stayed, a starting
         daemon would query that peer, and wait for its answer before it ends a flow
         without an owner. Only the present agent with the lowest address removes
         peers.
@@ -195,7 +195,7 @@
         self.journal.event("announcement.removed", peer=address, era=era)
 
     def gauges(self, now: float) -> dict[str, float]:
-        """Return what is measured at the moment of a scrape."""
+        """Return the gauges that are computed at each scrape."""
         core = self.core
         return {
             **super().gauges(now),
@@ -230,11 +230,11 @@
         """Send a packet to the target."""
         self.client_socket.send(raw, tuple(self.settings.target))
 
-    def beat(self, beat: Heartbeat) -> bool:
+    def heartbeat(self, beat: Heartbeat) -> bool:
         """Handle a heartbeat of the target; return False if it is rejected."""
         return self.core.heartbeat(time.monotonic(), beat)
 
-    def left(self, target: str, born: int | None) -> None:
+    def target_ended(self, target: str, born: int | None) -> None:
         """Handle the target's notice that it has ended."""
         self.core.note_ended(time.monotonic(), target, born)
 
