--- a/packages/zinniahook-daemon/src/zinniahook_daemon/announcements.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/announcements.py
@@ -25,19 +25,19 @@
 
 __all__ = ["Announcement", "read_daemons"]
 
-RETRY = 0.2
-RETRY_LIMIT = 10.0
+MIN_RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 10.0
 """Seconds between attempts, doubled after each; many daemons start at once."""
 
-WITHDRAW_TIMEOUT = 1.0
+WITHDRAW_TIMEOUT_SECONDS = 1.0
 """Seconds that a stopping daemon spends on taking itself from the list."""
 
-PROBE_INTERVAL = 10.0
+PROBE_INTERVAL_SECONDS = 10.0
 """Seconds between looks at one other daemon of the list."""
 
-PROBE_TIMEOUT = 2.0
+PROBE_TIMEOUT_SECONDS = 2.0
 
-PROBES = 3
+MAX_FAILED_PROBES = 3
 """Failures in a row after which a daemon is taken from the list.
 
 A killed daemon can't take itself off, and its place in the distribution would
@@ -85,7 +85,7 @@
         )
         self._failures_by_name: dict[str, int] = {}
         self.announced = False
-        self._unsure = asyncio.Event()
+        self._check_requested = asyncio.Event()
         self._task: asyncio.Task | None = None
 
     def start(self) -> None:
@@ -102,8 +102,8 @@
         if not self.announced:
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(WITHDRAW_TIMEOUT):
-                await self._until_written(self._withdraw)
+            async with asyncio.timeout(WITHDRAW_TIMEOUT_SECONDS):
+                await self._update_with_retries(self._withdraw)
 
     def check(self) -> None:
         """Look soon whether this daemon still stands in the list.
@@ -111,31 +111,33 @@
         It may have been taken off while it was paused or cut off, which also
         costs it the source that it learns from.
         """
-        self._unsure.set()
+        self._check_requested.set()
 
     async def _run(self) -> None:
-        await self._until_written(self._announce)
+        await self._update_with_retries(self._announce)
         self.announced = True
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(PROBE_INTERVAL * random.uniform(0.5, 1.5)):
-                    await self._unsure.wait()
-            if self._unsure.is_set():
-                self._unsure.clear()
-                await self._until_written(self._announce)
+                async with asyncio.timeout(
+                    PROBE_INTERVAL_SECONDS * random.uniform(0.5, 1.5)
+                ):
+                    await self._check_requested.wait()
+            if self._check_requested.is_set():
+                self._check_requested.clear()
+                await self._update_with_retries(self._announce)
             # Only those few look that follow the store: each look reads the
             # list, which grows with the data centre.
-            elif self._node.distribution.learner.watches:
+            elif self._node.distribution.selector.watches_store:
                 await self._probe_one()
 
-    async def _until_written(self, change: Change) -> None:
+    async def _update_with_retries(self, change: Change) -> None:
         """Make a change of the list, however often others are first."""
-        pause = RETRY
-        while not await self._write(change):
+        pause = MIN_RETRY_SECONDS
+        while not await self._try_update(change):
             await asyncio.sleep(pause * random.uniform(0.5, 1.5))
-            pause = min(RETRY_LIMIT, pause * 2)
+            pause = min(MAX_RETRY_SECONDS, pause * 2)
 
-    async def _write(self, change: Change) -> bool:
+    async def _try_update(self, change: Change) -> bool:
         """Try a change once; False if it has to be tried again.
 
         A lost answer needs no settling here: the next try finds the change
@@ -154,7 +156,7 @@
         except StoreError:
             return False
         except ZinniahookError as error:
-            self._node.distribution.unusable(self._key, error)
+            self._node.distribution.log_unusable(self._key, error)
             return False
         revision = item.revision if item else 0
         outcome = await store.compare_and_swap(self._key, revision, value)
@@ -181,16 +183,18 @@
             )
         except ZinniahookError:
             return
-        others = [one for one in daemons.values() if one.name != self._daemon.name]
+        others = [
+            daemon for daemon in daemons.values() if daemon.name != self._daemon.name
+        ]
         if not others:
             return
         other = random.choice(others)
         failures = self._failures_by_name
-        if await _listens(other):
+        if await _accepts_connections(other):
             failures.pop(other.name, None)
             return
         failures[other.name] = failures.get(other.name, 0) + 1
-        if failures[other.name] < PROBES:
+        if failures[other.name] < MAX_FAILED_PROBES:
             return
 
         def remove(daemons: Daemons) -> bool:
@@ -198,7 +202,7 @@
                 daemons.pop(other.name, None)
             )
 
-        await self._write(remove)
+        await self._try_update(remove)
         del failures[other.name]
         self._node.log("daemon-removed", daemon=other.name)
 
@@ -212,10 +216,10 @@
     )
 
 
-async def _listens(daemon: Daemon) -> bool:
+async def _accepts_connections(daemon: Daemon) -> bool:
     """Whether something takes connections at a daemon's control address."""
     try:
-        async with asyncio.timeout(PROBE_TIMEOUT):
+        async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(*daemon.control)
     except (OSError, TimeoutError):
         return False
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/clocks.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/clocks.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-__all__ = ["Loop", "now"]
+__all__ = ["BoottimeEventLoop", "now"]
 
 
 def now() -> float:
@@ -20,7 +20,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Loop(asyncio.SelectorEventLoop):
+class BoottimeEventLoop(asyncio.SelectorEventLoop):
     """An event loop on that clock, so that deadlines and timers agree."""
 
     def time(self) -> float:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/control.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/control.py
@@ -33,14 +33,14 @@
 
 __all__ = ["ControlServer", "StatusFields"]
 
-GONE = (StreamTerminatedError, ConnectionError, H2Error)
+DISCONNECT_ERRORS = (StreamTerminatedError, ConnectionError, H2Error)
 """What a call raises once its caller is gone."""
 
 SERVING = "serving"
 STOPPING = "stopping"
 NOT_READY = "not-ready"
 
-MICROSECONDS = 1e6
+MICROSECONDS_PER_SECOND = 1e6
 
 
 class StatusFields(TypedDict, total=False):
@@ -121,7 +121,7 @@
         self._check_daemon(stream)
         try:
             await self._node.distribution.serve(request, stream)
-        except GONE:
+        except DISCONNECT_ERRORS:
             return
 
     async def Status(  # noqa: N802
@@ -199,12 +199,12 @@
             if code is not None:
                 reply.drops_by_code[code] += total
         for key, histogram in metrics.histograms_by_key.items():
-            reply.histograms.append(_histogram(key, histogram))
+            reply.histograms.append(_histogram_message(key, histogram))
 
     def _check_daemon(self, stream: Stream) -> None:
         """Refuse a call of an operator that is meant for daemons."""
         name = permissions.common_name(stream)
-        if not permissions.may_learn(self._operators(), name):
+        if not permissions.may_act_as_daemon(self._operators(), name):
             self._node.count("control.refused", code=Code.NOT_PERMITTED.name)
             raise GRPCError(Status.PERMISSION_DENIED, f"{name} is an operator")
 
@@ -223,7 +223,7 @@
                     reason=f"{name!r} may not drain {service or 'an entry'}",
                     state=self._fields()["state"],
                 )
-            if not request.force and self._is_last():
+            if not request.force and self._is_last_ready():
                 return DrainReply(
                     code=int(Code.WOULD_EMPTY_SERVICE),
                     reason="the service would be left without a ready target",
@@ -243,7 +243,7 @@
             safe=fields.get("safe", False),
         )
 
-    def _is_last(self) -> bool:
+    def _is_last_ready(self) -> bool:
         """Whether no other agent of the service is ready."""
         settings = self._node.settings
         if settings.role is not Role.AGENT or settings.agent is None:
@@ -256,7 +256,7 @@
         )
 
 
-def _histogram(key: HistogramKey, histogram: Any) -> Histogram:
+def _histogram_message(key: HistogramKey, histogram: Any) -> Histogram:
     """Return a histogram as the protocol carries it; times in seconds."""
     values = histogram.values
     return Histogram(
@@ -265,7 +265,7 @@
         name="time",
         encoded=histogram.encode(),
         count=values.get_total_count(),
-        p50=values.get_value_at_percentile(50) / MICROSECONDS,
-        p99=values.get_value_at_percentile(99) / MICROSECONDS,
-        maximum=values.get_max_value() / MICROSECONDS,
+        p50=values.get_value_at_percentile(50) / MICROSECONDS_PER_SECOND,
+        p99=values.get_value_at_percentile(99) / MICROSECONDS_PER_SECOND,
+        maximum=values.get_max_value() / MICROSECONDS_PER_SECOND,
     )
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/distribution.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/distribution.py
@@ -22,8 +22,8 @@
 from zinniahook_wire.rosters import Rosters
 
 from .generations import Generations
-from .learning import TOLERANCE, Learner
 from .origin import Origin
+from .selection import MAX_STORE_AGE_SECONDS, SourceSelector
 from .settings import Role
 from .subscriptions import Subscription
 
@@ -32,7 +32,7 @@
 
 __all__ = ["Distribution"]
 
-SUSPICION_INTERVAL = 2.0
+MIN_REPORT_INTERVAL_SECONDS = 2.0
 """Seconds between two suspicions taken up; each costs the source a call."""
 
 
@@ -52,13 +52,13 @@
         The newest roster known of each service that matters here.
     generations : Generations
         The values that the configuration was made from.
-    learned : asyncio.Event
+    synchronized : asyncio.Event
         Set once a configuration is in force and the rosters have come.
-    suspicion : asyncio.Event
+    newer_generation_reported : asyncio.Event
         Set while another daemon is known to have a newer generation.
     depth : int
         Steps between this daemon and the store.
-    learner : Learner
+    selector : Learner
         Chooses whom to learn from.
     """
 
@@ -71,14 +71,14 @@
         self.configuration: Configuration | None = None
         self.rosters = Rosters()
         self.generations = Generations(settings.name, settings.data_centre, services)
-        self.learned = asyncio.Event()
-        self.suspicion = asyncio.Event()
+        self.synchronized = asyncio.Event()
+        self.newer_generation_reported = asyncio.Event()
         self.depth = 0
-        self.learner = Learner(node, self)
+        self.selector = SourceSelector(node, self)
         self.origin = Origin(self, node.store)
-        self._heard_at = -float("inf")
+        self._store_contact_at = -float("inf")
         self._in_force_at = 0.0
-        self._suspected_at = -float("inf")
+        self._reported_at = -float("inf")
         # Each subscriber asks once a second, and thousands of revisions take
         # milliseconds.
         self._digests_by_services: dict[frozenset[str] | None, bytes] = {}
@@ -89,12 +89,15 @@
     @property
     def age(self) -> float:
         """Seconds since the store was last heard of; infinite if never."""
-        return time.monotonic() - self._heard_at
+        return time.monotonic() - self._store_contact_at
 
     @property
     def lagging(self) -> bool:
         """Whether what is known may be out of date."""
-        return self.age > TOLERANCE or self._node.generation != self.generations.wanted
+        return (
+            self.age > MAX_STORE_AGE_SECONDS
+            or self._node.generation != self.generations.desired_generation
+        )
 
     @property
     def in_force(self) -> float:
@@ -104,7 +107,7 @@
     @property
     def reason(self) -> str:
         """Why there is no configuration yet: what each source answered."""
-        reason = self.learner.reason or "store not asked yet"
+        reason = self.selector.reason or "store not asked yet"
         return f"no configuration learned yet ({reason})"
 
     @property
@@ -143,7 +146,7 @@
 
     # What sources tell
 
-    def heard(self, age: float, depth: int) -> None:
+    def record_store_contact(self, age: float, depth: int) -> None:
         """Note that the followed source heard of the store ``age`` seconds ago.
 
         Raises
@@ -151,9 +154,9 @@
         SourceError
             If that is too long ago, and another source may be better.
         """
-        self._heard_at = max(self._heard_at, time.monotonic() - age)
+        self._store_contact_at = max(self._store_contact_at, time.monotonic() - age)
         self.depth = depth
-        self.learner.judge(age)
+        self.selector.check_age(age)
 
     def apply(self) -> None:
         """Put the wanted generation in force if it is whole and newer.
@@ -164,27 +167,27 @@
             If a value of it can't be read.
         """
         generations = self.generations
-        if generations.wanted > self._node.generation:
+        if generations.desired_generation > self._node.generation:
             configuration = generations.compile()
             if configuration is None:
                 return
             self.configuration = configuration
             self._in_force_at = time.monotonic()
             self._node.configuration_changed(configuration)
-        self.suspicion.clear()
+        self.newer_generation_reported.clear()
         for subscription in self._subscriptions:
-            subscription.changed()
+            subscription.notify_configuration()
 
-    def caught_up(self) -> None:
+    def mark_synchronized(self) -> None:
         """Note that all that the followed source knew has come in.
 
         A daemon that was ready with its configuration alone would drop new
         flows until the rosters came.
         """
         if self.configuration is not None:
-            self.learned.set()
+            self.synchronized.set()
 
-    def take_roster(
+    def update_roster(
         self, roster: Roster, value: bytes = b"", packed: bytes = b""
     ) -> None:
         """Take a roster if it is newer than the one known.
@@ -204,14 +207,14 @@
         self._digests_by_services.clear()
         self._node.roster_changed(roster)
         for subscription in self._subscriptions:
-            subscription.roster_changed(service)
+            subscription.notify_roster(service)
 
-    def unusable(self, what: str, error: ZinniahookError) -> None:
+    def log_unusable(self, what: str, error: ZinniahookError) -> None:
         """Note a stored value that couldn't be read."""
         self._node.count("distribution.unusable", code=error.code.name)
         self._node.log("value-unusable", value=what, reason=str(error))
 
-    def suspect(self, generation: int) -> None:
+    def report_generation(self, generation: int) -> None:
         """Note that another daemon has this generation in force.
 
         An update may have been lost on its way here, or the source lags; the
@@ -220,23 +223,23 @@
         now = time.monotonic()
         if generation <= self.generations.pointer.generation:
             return
-        if now - self._suspected_at < SUSPICION_INTERVAL:
+        if now - self._reported_at < MIN_REPORT_INTERVAL_SECONDS:
             return
-        self._suspected_at = now
+        self._reported_at = now
         self._node.count("distribution.suspected")
-        self.suspicion.set()
+        self.newer_generation_reported.set()
 
     # Learning
 
     def start(self) -> None:
         """Start to learn."""
-        self.learner.start()
+        self.selector.start()
 
     async def stop(self) -> None:
         """Stop to learn and to serve."""
         for subscription in self._subscriptions:
             subscription.close()
-        await self.learner.stop()
+        await self.selector.stop()
 
     # Serving
 
@@ -259,7 +262,7 @@
         """Compare-and-swap a roster; never raises for what the store does."""
         written = await self.origin.write_roster(effect)
         if written.roster is not None:
-            self.take_roster(written.roster)
+            self.update_roster(written.roster)
         self._node.count("roster.written", code=written.code.name)
         return written
 
@@ -270,5 +273,5 @@
         except ZinniahookError:
             return None
         if roster.revision:
-            self.take_roster(roster)
+            self.update_roster(roster)
         return roster
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/generations.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/generations.py
@@ -89,16 +89,16 @@
         return list(self._values_by_digest)
 
     @property
-    def wanted(self) -> int:
+    def desired_generation(self) -> int:
         """The generation that is to be in force here; 0 for none."""
         return documents.generation_for(self.pointer, self._name, self._data_centre)
 
-    def named(self) -> tuple[int, ...]:
+    def named_generations(self) -> tuple[int, ...]:
         """Return the generations that the pointer names, oldest first."""
         pointer = self.pointer
         return tuple(sorted(filter(None, {pointer.previous, pointer.generation})))
 
-    def point(self, value: bytes) -> bool:
+    def set_pointer(self, value: bytes) -> bool:
         """Take a pointer, unless it is older than the one held.
 
         Returns
@@ -117,7 +117,7 @@
             return False
         same = pointer.generation == self.pointer.generation
         # The stages of one rollout only widen; a narrower one is older.
-        if same and not _widens(self.pointer, pointer):
+        if same and not _is_later_stage(self.pointer, pointer):
             return False
         self.pointer = pointer
         self.pointer_value = value
@@ -172,7 +172,7 @@
             If one has another digest.
         """
         for digest, value in values_by_digest.items():
-            _check(digest, value)
+            _check_digest(digest, value)
             # Kept for daemons that subscribe here; JSON shrinks to a sixth.
             self._values_by_digest[digest] = compress(value)
 
@@ -185,7 +185,7 @@
             If one is too large, or has another digest.
         """
         for digest, packed in values_by_digest.items():
-            _check(digest, decompress(packed, f"value {digest}"))
+            _check_digest(digest, decompress(packed, f"value {digest}"))
             self._values_by_digest[digest] = packed
 
     def value(self, digest: str) -> bytes:
@@ -208,7 +208,7 @@
         """
         return self._values_by_digest[digest]
 
-    def missing(self, generation: int) -> list[str] | None:
+    def missing_digests(self, generation: int) -> list[str] | None:
         """Return the digests still missing, or None without the manifest."""
         stored = self._stored_by_generation.get(generation)
         if stored is None:
@@ -219,7 +219,7 @@
             if digest not in self._values_by_digest
         ]
 
-    def has_whole(self, generation: int, services: frozenset[str] | None) -> bool:
+    def is_complete(self, generation: int, services: frozenset[str] | None) -> bool:
         """Whether a subscriber that wants these services can be served."""
         stored = self._stored_by_generation.get(generation)
         return stored is not None and all(
@@ -234,8 +234,8 @@
         ZinniahookError
             If a value can't be read.
         """
-        stored = self._stored_by_generation.get(self.wanted)
-        if stored is None or self.missing(self.wanted):
+        stored = self._stored_by_generation.get(self.desired_generation)
+        if stored is None or self.missing_digests(self.desired_generation):
             return None
         keys, *chunks = stored.digests(self.services)
         services: dict[str, Service] = {}
@@ -247,7 +247,7 @@
                 for name, service in services.items()
                 if name in self.services
             }
-        self._forget(stored)
+        self._drop_unreferenced(stored)
         head = model.from_table(stored.manifest.head)
         self.operators_by_name = head.operators_by_name
         return model.compile(
@@ -264,9 +264,9 @@
             self._services_by_digest[digest] = services
         return services
 
-    def _forget(self, current: StoredGeneration) -> None:
+    def _drop_unreferenced(self, current: StoredGeneration) -> None:
         """Drop generations that nothing names any more, and their values."""
-        kept = {*self.named(), current.manifest.generation}
+        kept = {*self.named_generations(), current.manifest.generation}
         for generation in set(self._stored_by_generation) - kept:
             del self._stored_by_generation[generation]
         self._changes_by_generations.clear()
@@ -281,12 +281,12 @@
             del self._services_by_digest[digest]
 
 
-def _check(digest: str, value: bytes) -> None:
+def _check_digest(digest: str, value: bytes) -> None:
     if documents.digest_of(value) != digest:
         raise documents.DocumentError(f"value {digest}: has another digest")
 
 
-def _widens(old: Pointer, new: Pointer) -> bool:
+def _is_later_stage(old: Pointer, new: Pointer) -> bool:
     """Whether a pointer to the same generation is a later stage."""
     if not new.previous:
         return True
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/logs.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/logs.py
@@ -12,7 +12,7 @@
 _logger = logging.getLogger("zinniahook")
 
 
-class _Formatter(logging.Formatter):
+class _JsonFormatter(logging.Formatter):
     """Format a record as one JSON object."""
 
     def format(self, record: logging.LogRecord) -> str:
@@ -37,8 +37,8 @@
         Name of the instance, added to each line.
     """
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(_Formatter())
-    handler.addFilter(_Named(name))
+    handler.setFormatter(_JsonFormatter())
+    handler.addFilter(_InstanceNameFilter(name))
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(logging.WARNING)
@@ -58,7 +58,7 @@
     _logger.info(event, extra={"fields": fields})
 
 
-class _Named(logging.Filter):
+class _InstanceNameFilter(logging.Filter):
     """Add the name of the instance to each record."""
 
     def __init__(self, name: str) -> None:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/main.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/main.py
@@ -12,12 +12,12 @@
 from zinniahook_core.codes import ZinniahookError
 
 from . import logs
-from .clocks import Loop
+from .clocks import BoottimeEventLoop
 from .settings import Role, Settings, SettingsError, load
 
 __all__ = ["main", "zinniahookd"]
 
-EXIT_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 """Status when the settings can't be used."""
 
 EXIT_FAILED = 1
@@ -36,11 +36,11 @@
 
     command = defopt.bind(zinniahookd)
     del defopt
-    _release_parser()
+    _unload_parser_modules()
     sys.exit(command())
 
 
-def _release_parser() -> None:
+def _unload_parser_modules() -> None:
     """Forget the modules that only the command line needs.
 
     They hold 4 MB that nothing else would use until the process ends.
@@ -70,12 +70,12 @@
         loaded = load(settings)
     except SettingsError as error:
         print(error, file=sys.stderr)
-        return EXIT_SETTINGS
+        return EXIT_INVALID_SETTINGS
     if check:
         return 0
     logs.configure(loaded.name)
     try:
-        with asyncio.Runner(loop_factory=Loop) as runner:
+        with asyncio.Runner(loop_factory=BoottimeEventLoop) as runner:
             runner.run(_serve(loaded))
     except (ZinniahookError, OSError) as error:
         logs.log("failed", reason=str(error), code=int(getattr(error, "code", 0)))
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/metrics.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/metrics.py
@@ -16,13 +16,13 @@
 
 __all__ = ["Histogram", "HistogramKey", "Metrics"]
 
-LONGEST = 86_400 * 1_000_000
+MAX_TIME_MICROSECONDS = 86_400 * 1_000_000
 """Longest time a histogram tells apart, in microseconds: a day."""
 
-DIGITS = 2
+SIGNIFICANT_DIGITS = 2
 """Significant digits of a histogram: 26 KB of memory each."""
 
-TIMINGS = 50
+MAX_UNSENT_TIMINGS = 50
 """Most single timings sent to statsd for each histogram and flush."""
 
 
@@ -40,13 +40,17 @@
         # Imported with the first histogram: an entry without one saves it.
         from hdrh.histogram import HdrHistogram
 
-        self.values: HdrHistogram = HdrHistogram(1, LONGEST, DIGITS)
+        self.values: HdrHistogram = HdrHistogram(
+            1, MAX_TIME_MICROSECONDS, SIGNIFICANT_DIGITS
+        )
         self.unsent: list[float] = []
 
     def record(self, seconds: float) -> None:
         """Record one time in seconds."""
-        self.values.record_value(max(1, min(LONGEST, round(seconds * 1e6))))
-        if len(self.unsent) < TIMINGS:
+        self.values.record_value(
+            max(1, min(MAX_TIME_MICROSECONDS, round(seconds * 1e6)))
+        )
+        if len(self.unsent) < MAX_UNSENT_TIMINGS:
             self.unsent.append(seconds)
 
     def encode(self) -> bytes:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/node.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/node.py
@@ -134,7 +134,7 @@
         """Wait until a configuration is in force, or the node is stopping."""
         waits = [
             asyncio.ensure_future(event.wait())
-            for event in (self.distribution.learned, self.stopping)
+            for event in (self.distribution.synchronized, self.stopping)
         ]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
@@ -180,7 +180,7 @@
             self.count("tunnel.dropped", code=datagram.name)
             return
         if datagram.generation > self.generation:
-            self.distribution.suspect(datagram.generation)
+            self.distribution.report_generation(datagram.generation)
         sender = make_address(source[:2])
         for callback in self._receivers:
             callback(datagram, sender)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/origin.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/origin.py
@@ -24,7 +24,7 @@
 )
 from zinniahook_wire import documents
 
-from .sources import Source, SourceError, end
+from .sources import Source, SourceError, cancel_and_wait
 
 if TYPE_CHECKING:
     from .distribution import Distribution
@@ -75,15 +75,15 @@
             await self._store.get(documents.POINTER_KEY)
         except ZinniahookError as error:
             raise SourceError(str(error)) from None
-        self._distribution.learner.following(self)
-        self._distribution.heard(0.0, depth=1)
+        self._distribution.selector.source_answered(self)
+        self._distribution.record_store_contact(0.0, depth=1)
         watches = [self._store.watch(prefix) for prefix in self._prefixes()]
         readers = [asyncio.create_task(self._read(watch)) for watch in watches]
         readers.append(asyncio.create_task(self._catch_up()))
         try:
             await self._note_age(watches, readers)
         finally:
-            await end(set(readers))
+            await cancel_and_wait(set(readers))
 
     def _prefixes(self) -> list[str]:
         """Return what to watch: for an agent little, for an entry all."""
@@ -100,7 +100,9 @@
             heard = min(watch.heard for watch in watches)
             # Before its first answer a watch says that it never heard.
             if heard > 0 or time.monotonic() - started > FIRST_READ_SECONDS:
-                self._distribution.heard(time.monotonic() - heard, depth=1)
+                self._distribution.record_store_contact(
+                    time.monotonic() - heard, depth=1
+                )
             for reader in readers:
                 if reader.done():
                     reader.result()
@@ -114,7 +116,7 @@
                 except ZinniahookError as error:
                     # One value that can't be read, or a read that failed:
                     # what is in force stays so until `_catch_up` succeeds.
-                    self._distribution.unusable(change.key, error)
+                    self._distribution.log_unusable(change.key, error)
 
     async def _catch_up(self) -> None:
         """Try again to read what the pointer names.
@@ -133,7 +135,7 @@
             try:
                 await self._complete()
             except ZinniahookError as error:
-                self._distribution.unusable(documents.POINTER_KEY, error)
+                self._distribution.log_unusable(documents.POINTER_KEY, error)
                 pause = min(MAX_CATCH_UP_SECONDS, pause * 2)
 
     def _is_complete(self) -> bool:
@@ -141,8 +143,9 @@
         generations = self._distribution.generations
         configuration = self._distribution.configuration
         in_force = configuration.generation if configuration else 0
-        return in_force >= generations.wanted and not any(
-            generations.missing(generation) != [] for generation in generations.named()
+        return in_force >= generations.desired_generation and not any(
+            generations.missing_digests(generation) != []
+            for generation in generations.named_generations()
         )
 
     async def _apply_change(self, change: Change) -> None:
@@ -153,7 +156,7 @@
         elif value is None:
             return
         elif key == documents.POINTER_KEY:
-            generations.point(value)
+            generations.set_pointer(value)
             await self._complete()
         elif key.startswith(documents.GENERATION_PREFIX):
             generations.add_manifest(value)
@@ -168,12 +171,12 @@
             roster = Roster(service, change.revision, {})
         else:
             roster = documents.roster_from_json(service, change.revision, change.value)
-        self._distribution.take_roster(roster, change.value or b"")
+        self._distribution.update_roster(roster, change.value or b"")
 
     async def _complete(self) -> None:
         """Read what the generations of the pointer still need."""
         generations = self._distribution.generations
-        for generation in generations.named():
+        for generation in generations.named_generations():
             if generations.stored(generation) is None:
                 key = documents.generation_key(generation)
                 item = await self._store.get(key)
@@ -181,11 +184,11 @@
                     reason = f"{key} is not stored"
                     raise ZinniahookError(reason, Code.GENERATION_UNKNOWN)
                 generations.add_manifest(item.value)
-            await self._read_values(generations.missing(generation))
+            await self._read_values(generations.missing_digests(generation))
         self._distribution.apply()
         # The rosters that came with the pointer are taken before the next
         # turn of the loop.
-        asyncio.get_running_loop().call_soon(self._distribution.caught_up)
+        asyncio.get_running_loop().call_soon(self._distribution.mark_synchronized)
 
     async def _read_values(self, digests: list[str]) -> None:
         if not digests:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/parents.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/parents.py
@@ -22,30 +22,30 @@
 from zinniahook_wire.manifests import BaseError, ManifestChange
 
 from .sources import Source, SourceError
-from .subscriptions import DIGEST_INTERVAL
+from .subscriptions import DIGEST_INTERVAL_SECONDS
 
 if TYPE_CHECKING:
     from .distribution import Distribution
 
 __all__ = ["Parent"]
 
-SILENCE = 3 * DIGEST_INTERVAL
+SILENCE_TIMEOUT_SECONDS = 3 * DIGEST_INTERVAL_SECONDS
 """Seconds without any update after which a parent is given up.
 
 Its process may be paused, or the path may drop packets without a word: TCP
 alone would tell after many minutes.
 """
 
-GRACE = 1.0
+LAG_GRACE_SECONDS = 1.0
 """Seconds that a parent may lag behind what another daemon told of."""
 
-DEEPEST = 8
+MAX_DEPTH = 8
 """Most steps to the store; a longer way is a loop of daemons."""
 
-DIFFERENCES = 3
+MAX_DIFFERENCES = 3
 """Digests in a row that may differ from what is known here."""
 
-FAILURES = (
+PARENT_ERRORS = (
     GRPCError,
     StreamTerminatedError,
     ZinniahookError,
@@ -84,13 +84,13 @@
         host, port = self._address
         channel = Channel(host, port, ssl=self._distribution.client_context)
         try:
-            await self._subscribe_again(channel)
-        except FAILURES as error:
+            await self._subscribe_with_fallback(channel)
+        except PARENT_ERRORS as error:
             raise SourceError(f"{type(error).__name__}: {error}") from None
         finally:
             channel.close()
 
-    async def _subscribe_again(self, channel: Channel) -> None:
+    async def _subscribe_with_fallback(self, channel: Channel) -> None:
         """Subscribe, and once more if a change came against another manifest.
 
         The two ends may differ about what this one holds, as after the store
@@ -104,13 +104,13 @@
         try:
             await self._subscribe(channel, held)
         except BaseError as error:
-            self._distribution.unusable(self.name, error)
+            self._distribution.log_unusable(self.name, error)
             await self._subscribe(channel, 0)
 
     async def _subscribe(self, channel: Channel, manifest: int) -> None:
         method = ControlStub(channel).Subscribe
         async with method.open() as stream:
-            async with asyncio.timeout(SILENCE):
+            async with asyncio.timeout(SILENCE_TIMEOUT_SECONDS):
                 await stream.send_message(self._request(manifest), end=True)
             while True:
                 update = await self._receive(stream)
@@ -118,33 +118,33 @@
                     raise SourceError("the parent ended the stream")
                 kind = update.WhichOneof("update")
                 if kind == "configuration":
-                    self._take_configuration(update.configuration)
+                    self._apply_configuration(update.configuration)
                 elif kind == "roster":
-                    self._take_roster(update.roster)
+                    self._apply_roster(update.roster)
                 elif kind == "digest":
-                    self._check(update.digest)
+                    self._check_digest(update.digest)
 
     async def _receive(self, stream):
         """Wait for an update, but less long once the parent is suspected."""
-        suspicion = self._distribution.suspicion
+        newer_generation_reported = self._distribution.newer_generation_reported
         receive = asyncio.ensure_future(stream.recv_message())
-        suspect = asyncio.ensure_future(suspicion.wait())
+        report = asyncio.ensure_future(newer_generation_reported.wait())
         try:
             done, _ = await asyncio.wait(
-                (receive, suspect),
-                timeout=SILENCE,
+                (receive, report),
+                timeout=SILENCE_TIMEOUT_SECONDS,
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            if receive not in done and suspect in done:
-                done, _ = await asyncio.wait((receive,), timeout=GRACE)
+            if receive not in done and report in done:
+                done, _ = await asyncio.wait((receive,), timeout=LAG_GRACE_SECONDS)
                 if not done:
                     raise SourceError("others have a newer generation")
             if receive not in done:
-                raise SourceError(f"silent for {SILENCE} s")
+                raise SourceError(f"silent for {SILENCE_TIMEOUT_SECONDS} s")
             return receive.result()
         finally:
             receive.cancel()
-            suspect.cancel()
+            report.cancel()
 
     def _request(self, manifest: int) -> SubscribeRequest:
         distribution = self._distribution
@@ -160,28 +160,28 @@
             manifest=manifest,
         )
 
-    def _take_configuration(self, update: ConfigurationUpdate) -> None:
+    def _apply_configuration(self, update: ConfigurationUpdate) -> None:
         distribution = self._distribution
         generations = distribution.generations
         if update.manifest:
             generations.add_manifest(decompress(update.manifest, "manifest"))
         if update.HasField("change"):
-            generations.add_change(_change(update))
+            generations.add_change(_decode_change(update))
         generations.add_compressed(update.values_by_digest)
         if update.last:
-            generations.point(update.pointer)
+            generations.set_pointer(update.pointer)
             distribution.apply()
 
-    def _take_roster(self, update: RosterUpdate) -> None:
+    def _apply_roster(self, update: RosterUpdate) -> None:
         service, revision = update.service, update.revision
         if update.value:
             value = decompress(update.value, f"roster of {service}")
             roster = documents.roster_from_json(service, revision, value)
         else:
             roster = Roster(service, revision, {})
-        self._distribution.take_roster(roster, packed=update.value)
+        self._distribution.update_roster(roster, packed=update.value)
 
-    def _check(self, digest: Digest) -> None:
+    def _check_digest(self, digest: Digest) -> None:
         """Compare what the parent has with what came from it.
 
         Raises
@@ -194,12 +194,12 @@
         generation = distribution.generations.pointer.generation
         if digest.generation == 0:
             raise SourceError("the parent has learned nothing yet")
-        if digest.depth >= DEEPEST:
+        if digest.depth >= MAX_DEPTH:
             raise SourceError(f"too far from the store: {digest.depth} steps")
-        distribution.learner.following(self)
-        distribution.heard(digest.age, digest.depth + 1)
+        distribution.selector.source_answered(self)
+        distribution.record_store_contact(digest.age, digest.depth + 1)
         # A digest is sent after all that the parent has to tell.
-        distribution.caught_up()
+        distribution.mark_synchronized()
         services = distribution.generations.services
         same = digest.rosters == distribution.rosters_digest(services)
         if digest.generation == generation and same:
@@ -208,11 +208,11 @@
         # One difference may be a change on its way, or a roster that this
         # daemon wrote itself and the parent hasn't heard of yet.
         self._differences += 1
-        if self._differences >= DIFFERENCES:
+        if self._differences >= MAX_DIFFERENCES:
             raise SourceError("lags, or an update was lost")
 
 
-def _change(update: ConfigurationUpdate) -> ManifestChange:
+def _decode_change(update: ConfigurationUpdate) -> ManifestChange:
     change = update.change
     chunks_by_number = dict(change.chunks_by_number)
     return ManifestChange(change.base, change.digest, change.fields, chunks_by_number)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/permissions.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/permissions.py
@@ -13,7 +13,7 @@
 from grpclib.server import Stream
 from zinniahook_core.configuration import Operator
 
-__all__ = ["common_name", "may_drain", "may_learn"]
+__all__ = ["common_name", "may_drain", "may_act_as_daemon"]
 
 Operators = Mapping[str, Operator]
 
@@ -28,7 +28,7 @@
     return ""
 
 
-def may_learn(operators: Operators, name: str) -> bool:
+def may_act_as_daemon(operators: Operators, name: str) -> bool:
     """Whether the configuration with its keys may go to ``name``.
 
     An operator's certificate lies on desks and laptops; with the keys, its
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/learning.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/selection.py
@@ -21,41 +21,41 @@
 from .announcements import read_daemons
 from .parents import Parent
 from .settings import Role
-from .sources import Source, SourceError, end
-from .trees import Place
+from .sources import Source, SourceError, cancel_and_wait
+from .trees import TreePosition
 
 if TYPE_CHECKING:
     from .distribution import Distribution
     from .node import Node
 
-__all__ = ["TOLERANCE", "Learner"]
+__all__ = ["MAX_STORE_AGE_SECONDS", "SourceSelector"]
 
-TOLERANCE = 6.0
+MAX_STORE_AGE_SECONDS = 6.0
 """Seconds that a source may be cut off from the store before others are tried."""
 
-PATIENCE = 2.0
-PATIENCE_LIMIT = 320.0
+MIN_STAY_SECONDS = 2.0
+MAX_STAY_SECONDS = 320.0
 """Least and most seconds that a daemon stays with a source that is cut off, once
 every source was. With the store down none is better, and changing between them
 again and again would be of no use to anyone."""
 
-BACKOFF = 0.2
-BACKOFF_LIMIT = 3.0
+MIN_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 3.0
 """Seconds between two rounds over all sources, doubled after each."""
 
-RETURN = 30.0
+PARENT_RETRY_SECONDS = 30.0
 """Seconds after which a daemon that fell back to the store tries its parents."""
 
-RETRY = 5.0
+STORE_RETRY_SECONDS = 5.0
 """Seconds after which a daemon that should watch the store tries it again. Two
 that learned from each other for longer would hear of no change."""
 
-REVIEW = 30.0
+POSITION_CHECK_SECONDS = 30.0
 """Seconds between looks at whether a daemon should still watch the store. Those
 that start together know of few others and all watch it at first."""
 
 
-class Learner:
+class SourceSelector:
     """Follows sources on behalf of a distribution.
 
     Parameters
@@ -67,16 +67,16 @@
 
     Attributes
     ----------
-    watches : bool
+    watches_store : bool
         Whether this daemon follows the store rather than others.
     """
 
     def __init__(self, node: Node, distribution: Distribution) -> None:
-        self.watches = True
+        self.watches_store = True
         self._node = node
         self._distribution = distribution
-        self._alternatives = False
-        self._patience = 0.0
+        self._has_alternatives = False
+        self._stay_seconds = 0.0
         self._followed_at = 0.0
         self._candidates: frozenset[str] = frozenset()
         self._failures_by_source: dict[str, str] = {}
@@ -101,12 +101,12 @@
         with contextlib.suppress(asyncio.CancelledError):
             await self._task
 
-    def following(self, source: Source) -> None:
+    def source_answered(self, source: Source) -> None:
         """Note that a source answered."""
         if self._failures_by_source.pop(source.name, None) is not None:
             self._node.log("source-back", source=source.name)
 
-    def judge(self, age: float) -> None:
+    def check_age(self, age: float) -> None:
         """Judge the followed source by when it last heard of the store.
 
         Raises
@@ -114,53 +114,63 @@
         SourceError
             If that is too long ago, and another source may be better.
         """
-        if age <= TOLERANCE:
-            self._patience = 0.0
+        if age <= MAX_STORE_AGE_SECONDS:
+            self._stay_seconds = 0.0
             return
         followed = time.monotonic() - self._followed_at
-        if self._alternatives and followed > self._patience:
+        if self._has_alternatives and followed > self._stay_seconds:
             raise SourceError("cut off from the store")
 
     async def _run(self) -> None:
-        pause = BACKOFF
+        pause = MIN_BACKOFF_SECONDS
         while True:
             sources = await self._sources()
-            self._alternatives = len(sources) > 1
+            self._has_alternatives = len(sources) > 1
             for source, limit in sources:
                 await self._follow(source, limit)
             if self._node.announcement is not None:
                 self._node.announcement.check()
-            if self._distribution.age <= TOLERANCE:
-                pause = BACKOFF
+            if self._distribution.age <= MAX_STORE_AGE_SECONDS:
+                pause = MIN_BACKOFF_SECONDS
             else:
-                longer = max(PATIENCE, self._patience * 2)
-                self._patience = min(PATIENCE_LIMIT, longer)
+                longer_stay = max(MIN_STAY_SECONDS, self._stay_seconds * 2)
+                self._stay_seconds = min(MAX_STAY_SECONDS, longer_stay)
             # Jitter: all that lost the same parent would come back at once.
             await asyncio.sleep(pause * random.uniform(0.5, 1.5))
-            pause = min(BACKOFF_LIMIT, pause * 2)
+            pause = min(MAX_BACKOFF_SECONDS, pause * 2)
 
     async def _sources(self) -> list[tuple[Source, float | None]]:
         """Return what to try in order, each with the seconds to stay with it."""
-        place = await self._place()
-        self.watches = place.watches
+        position = await self._tree_position()
+        self.watches_store = position.watches_store
         distribution = self._distribution
-        parents = [Parent(distribution, Address.parse(text)) for text in place.parents]
-        if place.watches:
-            return [(distribution.origin, None), *((one, RETRY) for one in parents)]
-        return [*((one, None) for one in parents), (distribution.origin, RETURN)]
-
-    async def _place(self) -> Place:
+        parents = [
+            Parent(distribution, Address.parse(text)) for text in position.parents
+        ]
+        if position.watches_store:
+            return [
+                (distribution.origin, None),
+                *((parent, STORE_RETRY_SECONDS) for parent in parents),
+            ]
+        return [
+            *((parent, None) for parent in parents),
+            (distribution.origin, PARENT_RETRY_SECONDS),
+        ]
+
+    async def _tree_position(self) -> TreePosition:
         """Return the place of this daemon among the others."""
         control = self._node.settings.control
         own = self._distribution.control
         if control.watchers:
             candidates = await self._read_candidates()
-            return trees.place(own, candidates, control.watchers, control.fan_out)
+            return trees.tree_position(
+                own, candidates, control.watchers, control.fan_out
+            )
         if not control.parents:
-            return Place(True, ())
+            return TreePosition(True, ())
         others = {str(address) for address in control.parents} - {own}
         name = self._distribution.name.encode()
-        return Place(False, tuple(rendezvous.rank(name, others)))
+        return TreePosition(False, tuple(rendezvous.rank(name, others)))
 
     async def _read_candidates(self) -> frozenset[str]:
         """Return the daemons that serve others, as far as known."""
@@ -171,7 +181,7 @@
             daemons = await read_daemons(self._node.store, settings.data_centre)
         except ZinniahookError:
             return self._candidates
-        found = {str(one.control) for one in daemons.values()}
+        found = {str(daemon.control) for daemon in daemons.values()}
         if settings.role is Role.ENTRY:
             # It is about to be announced. Without it in the list, it could
             # choose a parent that in turn chooses it.
@@ -181,12 +191,12 @@
 
     async def _follow(self, source: Source, limit: float | None) -> None:
         """Learn from a source until it fails, or for some seconds."""
-        self._distribution.suspicion.clear()
+        self._distribution.newer_generation_reported.clear()
         self._followed_at = time.monotonic()
         reason = "time to try the others again"
         try:
             async with asyncio.timeout(limit):
-                await self._learn(source, limit)
+                await self._follow_while_due(source, limit)
         except SourceError as error:
             reason = str(error)
         except TimeoutError:
@@ -202,12 +212,12 @@
             self._failures_by_source[source.name] = reason
             self._node.log("source-left", source=source.name, reason=reason)
 
-    async def _learn(self, source: Source, limit: float | None) -> None:
+    async def _follow_while_due(self, source: Source, limit: float | None) -> None:
         """Learn from a source; from the store only while that is due."""
         if limit is not None or source is not self._distribution.origin:
             await source.follow()
             return
-        review = asyncio.ensure_future(self._review())
+        review = asyncio.ensure_future(self._wait_until_not_watcher())
         follow = asyncio.ensure_future(source.follow())
         try:
             await asyncio.wait((review, follow), return_when=asyncio.FIRST_COMPLETED)
@@ -215,11 +225,11 @@
                 raise SourceError("enough others watch the store")
             follow.result()
         finally:
-            await end({review, follow})
+            await cancel_and_wait({review, follow})
 
-    async def _review(self) -> None:
+    async def _wait_until_not_watcher(self) -> None:
         """Return once this daemon should learn from another one."""
         while True:
-            await asyncio.sleep(REVIEW * random.uniform(0.5, 1.5))
-            if not (await self._place()).watches:
+            await asyncio.sleep(POSITION_CHECK_SECONDS * random.uniform(0.5, 1.5))
+            if not (await self._tree_position()).watches_store:
                 return
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/settings.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/settings.py
@@ -116,33 +116,33 @@
     """
 
     def __init__(self, code: Code, file: Path, key: str, reason: str) -> None:
-        place = f"{file}: {key}" if key else str(file)
-        super().__init__(f"{place}: {reason} [{code.name} {code:d}]", code)
+        location = f"{file}: {key}" if key else str(file)
+        super().__init__(f"{location}: {reason} [{code.name} {code:d}]", code)
         self.file = file
         self.key = key
         self.reason = reason
 
 
-class _Place(NamedTuple):
+class _Location(NamedTuple):
     """Where a value stands: for messages, and as the base of paths."""
 
     file: Path
     key: str
 
-    def inside(self, name: str) -> _Place:
+    def child(self, name: str) -> _Location:
         """Return the place of a setting below this one."""
-        return _Place(self.file, f"{self.key}.{name}" if self.key else name)
+        return _Location(self.file, f"{self.key}.{name}" if self.key else name)
 
     def error(self, code: Code, reason: str) -> SettingsError:
         """Return an error about this place."""
         return SettingsError(code, self.file, self.key, reason)
 
 
-Reader = Callable[[Any, _Place], Any]
+Reader = Callable[[Any, _Location], Any]
 _readers_by_type: dict[Any, Reader] = {}
 
 
-def _reads(kind: Any) -> Callable[[Reader], Reader]:
+def _register_reader(kind: Any) -> Callable[[Reader], Reader]:
     """Register a function that checks a TOML value of a setting's type."""
 
     def register(reader: Reader) -> Reader:
@@ -171,130 +171,130 @@
         If the file can't be read or a setting is unknown, missing, of the
         wrong type, not an address, or names a file that isn't there.
     """
-    place = _Place(file, "")
+    location = _Location(file, "")
     try:
         document = tomllib.loads(file.read_text(encoding="utf-8"))
     except OSError as error:
         reason = error.strerror or str(error)
-        raise place.error(Code.SETTINGS_UNREADABLE, reason) from None
+        raise location.error(Code.SETTINGS_UNREADABLE, reason) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise place.error(Code.SETTINGS_UNREADABLE, f"not TOML: {error}") from None
+        raise location.error(Code.SETTINGS_UNREADABLE, f"not TOML: {error}") from None
     except RecursionError:
-        raise place.error(Code.SETTINGS_UNREADABLE, "nested too deeply") from None
-    settings = _read_section(Settings, document, place)
+        raise location.error(Code.SETTINGS_UNREADABLE, "nested too deeply") from None
+    settings = _read_section(Settings, document, location)
     if not settings.store.addresses:
-        raise place.inside("store.addresses").error(
+        raise location.child("store.addresses").error(
             Code.SETTINGS_ADDRESS, "should hold at least one address"
         )
     if settings.entry.bind_host:
-        _check_host(settings.entry.bind_host, place.inside("entry.bind_host"))
+        _check_host(settings.entry.bind_host, location.child("entry.bind_host"))
     if not settings.control.fan_out:
-        raise place.inside("control.fan_out").error(
+        raise location.child("control.fan_out").error(
             Code.SETTINGS_TYPE, "should be at least 1"
         )
     if settings.role == Role.AGENT and settings.agent is None:
-        raise place.inside("agent").error(Code.SETTINGS_MISSING_KEY, "is missing")
+        raise location.child("agent").error(Code.SETTINGS_MISSING_KEY, "is missing")
     return settings
 
 
-def _read_section(model: Any, table: Mapping[str, Any], place: _Place) -> Any:
+def _read_section(model: Any, table: Mapping[str, Any], location: _Location) -> Any:
     """Check a table against the fields of a section."""
     types_by_name = get_type_hints(model)
     for name in table:
         if name not in types_by_name:
-            raise place.inside(name).error(
+            raise location.child(name).error(
                 Code.SETTINGS_UNKNOWN_KEY, "is not a known setting"
             )
     for name in model._fields:
         if name not in table and name not in model._field_defaults:
-            raise place.inside(name).error(Code.SETTINGS_MISSING_KEY, "is missing")
+            raise location.child(name).error(Code.SETTINGS_MISSING_KEY, "is missing")
     values_by_name = {
-        name: _read_value(types_by_name[name], value, place.inside(name))
+        name: _read_value(types_by_name[name], value, location.child(name))
         for name, value in table.items()
     }
     return model(**values_by_name)
 
 
-def _read_value(kind: Any, value: Any, place: _Place) -> Any:
+def _read_value(kind: Any, value: Any, location: _Location) -> Any:
     """Check one value against the type of its field."""
     if type(None) in get_args(kind):
-        kind = next(one for one in get_args(kind) if one is not type(None))
+        kind = next(option for option in get_args(kind) if option is not type(None))
     if hasattr(kind, "_fields") and kind is not Address:
         if not isinstance(value, dict):
-            raise place.error(Code.SETTINGS_TYPE, "should be a table")
-        return _read_section(kind, value, place)
-    return _readers_by_type[kind](value, place)
+            raise location.error(Code.SETTINGS_TYPE, "should be a table")
+        return _read_section(kind, value, location)
+    return _readers_by_type[kind](value, location)
 
 
-@_reads(str)
-def _read_text(value: Any, place: _Place) -> str:
+@_register_reader(str)
+def _read_text(value: Any, location: _Location) -> str:
     if not isinstance(value, str):
-        raise place.error(Code.SETTINGS_TYPE, "should be a string")
+        raise location.error(Code.SETTINGS_TYPE, "should be a string")
     return value
 
 
-@_reads(Role)
-def _read_role(value: Any, place: _Place) -> Role:
+@_register_reader(Role)
+def _read_role(value: Any, location: _Location) -> Role:
     try:
         return Role(value)
     except ValueError:
         reason = 'should be "entry" or "agent"'
-        raise place.error(Code.SETTINGS_TYPE, reason) from None
+        raise location.error(Code.SETTINGS_TYPE, reason) from None
 
 
-@_reads(int)
-def _read_integer(value: Any, place: _Place) -> int:
+@_register_reader(int)
+def _read_integer(value: Any, location: _Location) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
-        raise place.error(Code.SETTINGS_TYPE, "should be a whole number from 0")
+        raise location.error(Code.SETTINGS_TYPE, "should be a whole number from 0")
     return value
 
 
-@_reads(float)
-def _read_number(value: Any, place: _Place) -> float:
+@_register_reader(float)
+def _read_number(value: Any, location: _Location) -> float:
     number = isinstance(value, int | float) and not isinstance(value, bool)
     if not number or not 0 <= value < float("inf"):
-        raise place.error(Code.SETTINGS_TYPE, "should be a number from 0")
+        raise location.error(Code.SETTINGS_TYPE, "should be a number from 0")
     return float(value)
 
 
-@_reads(Address)
-def _read_address(value: Any, place: _Place) -> Address:
+@_register_reader(Address)
+def _read_address(value: Any, location: _Location) -> Address:
     if not isinstance(value, str):
-        raise place.error(Code.SETTINGS_TYPE, 'should be a string "host:port"')
+        raise location.error(Code.SETTINGS_TYPE, 'should be a string "host:port"')
     try:
         address = Address.parse(value)
     except ValueError as error:
-        raise place.error(Code.SETTINGS_ADDRESS, str(error)) from None
-    _check_host(address.host, place)
+        raise location.error(Code.SETTINGS_ADDRESS, str(error)) from None
+    _check_host(address.host, location)
     return address
 
 
-def _check_host(host: str, place: _Place) -> None:
+def _check_host(host: str, location: _Location) -> None:
     """Refuse a host name: to look it up would hold the loop."""
     try:
         ipaddress.ip_address(host)
     except ValueError as error:
-        raise place.error(Code.SETTINGS_ADDRESS, str(error)) from None
+        raise location.error(Code.SETTINGS_ADDRESS, str(error)) from None
 
 
-@_reads(tuple[Address, ...])
-def _read_addresses(value: Any, place: _Place) -> tuple[Address, ...]:
+@_register_reader(tuple[Address, ...])
+def _read_addresses(value: Any, location: _Location) -> tuple[Address, ...]:
     if not isinstance(value, list):
-        raise place.error(Code.SETTINGS_TYPE, "should be a list of addresses")
-    return tuple(_read_address(one, place) for one in value)
+        raise location.error(Code.SETTINGS_TYPE, "should be a list of addresses")
+    return tuple(_read_address(address, location) for address in value)
 
 
-@_reads(Path)
-def _read_path(value: Any, place: _Place) -> Path:
+@_register_reader(Path)
+def _read_path(value: Any, location: _Location) -> Path:
     if not isinstance(value, str):
-        raise place.error(Code.SETTINGS_TYPE, "should be the path of a file")
-    path = place.file.parent / value
+        raise location.error(Code.SETTINGS_TYPE, "should be the path of a file")
+    path = location.file.parent / value
     try:
         found = path.is_file()
     except OSError as error:
         # A directory that this user may not enter, or a name too long.
         reason = f"{error.strerror}: {path}"
-        raise place.error(Code.SETTINGS_FILE_MISSING, reason) from None
+        raise location.error(Code.SETTINGS_FILE_MISSING, reason) from None
     if not found:
-        raise place.error(Code.SETTINGS_FILE_MISSING, f"no such file: {path}")
+        raise location.error(Code.SETTINGS_FILE_MISSING, f"no such file: {path}")
     return path
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/sources.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/sources.py
@@ -5,7 +5,7 @@
 import abc
 import asyncio
 
-__all__ = ["Source", "SourceError", "end"]
+__all__ = ["Source", "SourceError", "cancel_and_wait"]
 
 
 class SourceError(Exception):
@@ -34,7 +34,7 @@
         """
 
 
-async def end(tasks: set[asyncio.Task]) -> None:
+async def cancel_and_wait(tasks: set[asyncio.Task]) -> None:
     """Cancel tasks and wait until they have ended."""
     for task in tasks:
         task.cancel()
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/subscriptions.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/subscriptions.py
@@ -23,15 +23,15 @@
     from .distribution import Distribution
     from .generations import StoredGeneration
 
-__all__ = ["DIGEST_INTERVAL", "Subscription"]
+__all__ = ["DIGEST_INTERVAL_SECONDS", "Subscription"]
 
-DIGEST_INTERVAL = 1.0
+DIGEST_INTERVAL_SECONDS = 1.0
 """Seconds between digests, by which a subscriber finds what it lost."""
 
-UPDATE_SIZE = 256 * 1024
+UPDATE_SIZE_BYTES = 256 * 1024
 """Bytes of values put into one update, about."""
 
-SEND_TIMEOUT = 10.0
+SEND_TIMEOUT_SECONDS = 10.0
 """Seconds that a subscriber may take for one update.
 
 A subscriber that is paused or cut off without a word takes nothing more; it
@@ -70,26 +70,26 @@
         self._revisions_by_service = dict(request.revisions_by_service)
         self._digests = set(request.digests)
         # The manifest that the subscriber holds; the next is told as a change.
-        self._base = distribution.generations.stored(request.manifest)
+        self._subscriber_manifest = distribution.generations.stored(request.manifest)
         self._pointer = b""
         self._closing = False
-        self._changed = asyncio.Event()
+        self._wakeup = asyncio.Event()
         self._changed_services: set[str] = set()
 
     def close(self) -> None:
         """End the stream, so that the subscriber turns to others at once."""
         self._closing = True
-        self._changed.set()
+        self._wakeup.set()
 
-    def changed(self) -> None:
+    def notify_configuration(self) -> None:
         """Note that the configuration changed."""
-        self._changed.set()
+        self._wakeup.set()
 
-    def roster_changed(self, service: str) -> None:
+    def notify_roster(self, service: str) -> None:
         """Note that a roster changed."""
         if self._wants(service):
             self._changed_services.add(service)
-            self._changed.set()
+            self._wakeup.set()
 
     async def run(self) -> None:
         """Push until the subscriber is gone or `close` was called.
@@ -102,13 +102,13 @@
         known = self._distribution.rosters.revisions_by_service
         self._changed_services.update(filter(self._wants, known))
         while not self._closing:
-            self._changed.clear()
+            self._wakeup.clear()
             await self._send_configuration()
             await self._send_rosters()
             await self._send(Update(digest=self._digest()))
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(DIGEST_INTERVAL):
-                    await self._changed.wait()
+                async with asyncio.timeout(DIGEST_INTERVAL_SECONDS):
+                    await self._wakeup.wait()
 
     def _wants(self, service: str) -> bool:
         return self._services is None or service in self._services
@@ -120,14 +120,14 @@
         if pointer == self._pointer:
             return
         # Before its pointer is sent, a generation must be whole here.
-        numbers = generations.named()
+        numbers = generations.named_generations()
         held = [generations.stored(number) for number in numbers]
         if not all(held):
             return
         for stored in held:
             number = stored.manifest.generation
-            if not generations.has_whole(number, self._services):
-                if generations.missing(number):
+            if not generations.is_complete(number, self._services):
+                if generations.missing_digests(number):
                     return
                 raise GRPCError(
                     Status.FAILED_PRECONDITION, "holds fewer services than wanted"
@@ -149,8 +149,8 @@
         """
         generations = self._distribution.generations
         wanted = stored.digests(self._services)
-        update = self._first_update(stored)
-        self._base = stored
+        update = self._manifest_update(stored)
+        self._subscriber_manifest = stored
         size = 0
         for digest in wanted:
             if digest in self._digests:
@@ -161,7 +161,7 @@
                 return False
             update.values_by_digest[digest] = value
             size += len(value)
-            if size >= UPDATE_SIZE:
+            if size >= UPDATE_SIZE_BYTES:
                 await self._send_values(update)
                 update, size = ConfigurationUpdate(), 0
         update.pointer = pointer
@@ -169,11 +169,13 @@
         await self._send_values(update)
         return True
 
-    def _first_update(self, stored: StoredGeneration) -> ConfigurationUpdate:
+    def _manifest_update(self, stored: StoredGeneration) -> ConfigurationUpdate:
         """Return an update with the manifest, as a change if that will do."""
         change = None
-        if self._base is not None:
-            change = self._distribution.generations.change(self._base, stored)
+        if self._subscriber_manifest is not None:
+            change = self._distribution.generations.change(
+                self._subscriber_manifest, stored
+            )
         if change is None:
             return ConfigurationUpdate(manifest=compress(stored.value))
         return ConfigurationUpdate(change=ManifestChange(**change._asdict()))
@@ -205,5 +207,5 @@
         )
 
     async def _send(self, update: Update) -> None:
-        async with asyncio.timeout(SEND_TIMEOUT):
+        async with asyncio.timeout(SEND_TIMEOUT_SECONDS):
             await self._stream.send_message(update)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/trees.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/trees.py
@@ -11,28 +11,30 @@
 
 from zinniahook_core import rendezvous
 
-__all__ = ["Place", "place"]
+__all__ = ["TreePosition", "tree_position"]
 
-ORDER = b"distribution"
+ORDER_KEY = b"distribution"
 """Key of the rank that orders a list. A joining or leaving daemon doesn't
 change the order of the others."""
 
-PARENTS_LIMIT = 3
+MAX_PARENTS = 3
 """Parents a daemon tries before it turns to the store."""
 
 
-class Place(NamedTuple):
+class TreePosition(NamedTuple):
     """What a daemon follows.
 
-    ``watches`` tells that it follows the store, and others only while the
+    ``watches_store`` tells that it follows the store, and others only while the
     store doesn't answer. ``parents`` are control addresses, best first.
     """
 
-    watches: bool
+    watches_store: bool
     parents: tuple[str, ...]
 
 
-def place(own: str, candidates: Collection[str], watchers: int, fan_out: int) -> Place:
+def tree_position(
+    own: str, candidates: Collection[str], watchers: int, fan_out: int
+) -> TreePosition:
     """Return the place of a daemon.
 
     Parameters
@@ -52,15 +54,15 @@
         Each parent stands before its children in the common order, so no
         daemons can learn from each other in a ring.
     """
-    order = rendezvous.rank(ORDER, candidates)
+    order = rendezvous.rank(ORDER_KEY, candidates)
     if own not in candidates:
         parents = rendezvous.rank(own.encode(), order)
-        return Place(not order, tuple(parents[:PARENTS_LIMIT]))
+        return TreePosition(not order, tuple(parents[:MAX_PARENTS]))
     position = order.index(own)
     if position < watchers:
         others = [name for name in order[:watchers] if name != own]
-        return Place(True, tuple(others[:PARENTS_LIMIT]))
-    preferred = (position - watchers) // fan_out
-    layer = order[: max(preferred, watchers)]
-    others = rendezvous.rank(own.encode(), set(layer) - {order[preferred]})
-    return Place(False, (order[preferred], *others[: PARENTS_LIMIT - 1]))
+        return TreePosition(True, tuple(others[:MAX_PARENTS]))
+    parent_index = (position - watchers) // fan_out
+    eligible = order[: max(parent_index, watchers)]
+    others = rendezvous.rank(own.encode(), set(eligible) - {order[parent_index]})
+    return TreePosition(False, (order[parent_index], *others[: MAX_PARENTS - 1]))
--- a/packages/zinniahook-daemon/tests/conftest.py
+++ b/packages/zinniahook-daemon/tests/conftest.py
@@ -34,7 +34,7 @@
 
 ANY_PORT = Address("127.0.0.1", 0)
 KEYS = KeyRing({1: Key(1, b"f" * 32)}, {1: Key(1, b"t" * 32)}, 1, 1)
-PATIENCE = 20.0
+TIMEOUT_SECONDS = 20.0
 
 
 class Nodes:
@@ -93,9 +93,12 @@
         generations = node.distribution.generations
         generations.add_manifest(documents.manifest_to_json(parts.manifest))
         generations.add_values(
-            {key.rpartition("/")[2]: one for key, one in parts.values_by_key.items()}
+            {
+                key.rpartition("/")[2]: value
+                for key, value in parts.values_by_key.items()
+            }
         )
-        generations.point(documents.pointer_to_json(pointer))
+        generations.set_pointer(documents.pointer_to_json(pointer))
         node.distribution.apply()
 
     def parts(
@@ -123,9 +126,9 @@
         return probe.getsockname()[1]
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Wait until a condition holds; fail after a generous time."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.01)
 
@@ -144,7 +147,7 @@
 
 @pytest.fixture
 def eventually():
-    return until
+    return wait_until
 
 
 @pytest.fixture
--- a/packages/zinniahook-daemon/tests/test_clocks.py
+++ b/packages/zinniahook-daemon/tests/test_clocks.py
@@ -6,7 +6,7 @@
 
 
 class TestLoop:
-    def test_a_suspension_shows(self, monkeypatch):
+    def test_suspended_time_is_counted(self, monkeypatch):
         """Suspended machine.
 
         Symptom: an agent goes on after a pause in which peers took over.
@@ -20,7 +20,7 @@
             return read(clock) + (slept if clock == time.CLOCK_BOOTTIME else 0.0)
 
         monkeypatch.setattr(time, "clock_gettime", clock_gettime)
-        loop = clocks.Loop()
+        loop = clocks.BoottimeEventLoop()
         try:
             fired = []
             loop.call_later(60.0, fired.append, "timer")
--- a/packages/zinniahook-daemon/tests/test_distribution.py
+++ b/packages/zinniahook-daemon/tests/test_distribution.py
@@ -33,9 +33,9 @@
     return Roster(service, revision, members)
 
 
-def take(node, roster: Roster) -> None:
+def hand_over_roster(node, roster: Roster) -> None:
     """Hand a roster to a node, as the store would."""
-    node.distribution.take_roster(roster, documents.roster_to_json(roster))
+    node.distribution.update_roster(roster, documents.roster_to_json(roster))
 
 
 class TestLearningFromParents:
@@ -49,7 +49,7 @@
         async def run():
             async with nodes.start("parent") as parent:
                 nodes.commit(parent, 3, TALLY, LEDGER)
-                take(parent, roster("tally", 8, "a", "b"))
+                hand_over_roster(parent, roster("tally", 8, "a", "b"))
                 async with nodes.start("child", parent.control_address) as child:
                     await asyncio.wait_for(child.ready(), 20)
                     assert child.generation == 3
@@ -76,8 +76,8 @@
                 nodes.commit(parent, 2, TALLY, LEDGER)
                 await eventually(lambda: child.generation == 2)
                 assert set(child.configuration.services_by_name) == {"tally", "ledger"}
-                take(parent, roster("ledger", 5, "c"))
-                await nodes_agree(parent, child)
+                hand_over_roster(parent, roster("ledger", 5, "c"))
+                await wait_for_same_rosters(parent, child)
 
         asyncio.run(run())
 
@@ -118,7 +118,7 @@
             ):
                 nodes.commit(child, 1, LEDGER)
                 nodes.commit(parent, 1, TALLY)
-                await asyncio.wait_for(child.distribution.learned.wait(), 20)
+                await asyncio.wait_for(child.distribution.synchronized.wait(), 20)
                 nodes.commit(parent, 2, TALLY, LEDGER)
                 await eventually(lambda: child.generation == 2)
                 assert (
@@ -134,8 +134,8 @@
         async def run():
             async with nodes.start("parent") as parent:
                 nodes.commit(parent, 1, TALLY, LEDGER)
-                take(parent, roster("ledger", 4, "c"))
-                take(parent, roster("tally", 5, "a"))
+                hand_over_roster(parent, roster("ledger", 4, "c"))
+                hand_over_roster(parent, roster("tally", 5, "a"))
                 start = nodes.start("a", parent.control_address, service="tally")
                 async with start as agent:
                     await eventually(
@@ -170,7 +170,7 @@
                     followed = first if first.distribution.subscribers else second
                     other = second if followed is first else first
                     nodes.commit(other, 2, TALLY, LEDGER)
-                    child.distribution.suspect(2)
+                    child.distribution.report_generation(2)
                     await eventually(lambda: child.generation == 2)
 
         asyncio.run(run())
@@ -198,7 +198,7 @@
 
 
 class TestStagedRollout:
-    def test_each_stage_reaches_whom_it_names(self, nodes, eventually):
+    def test_each_stage_reaches_only_the_named_instances(self, nodes, eventually):
         """Symptom: a risky change is in force where it should not be yet.
 
         Sequence: it is rolled out to one instance, which passes it on to the
@@ -222,7 +222,7 @@
         asyncio.run(run())
 
 
-class TestNeverBack:
+class TestNoRollback:
     def test_a_lower_generation_is_refused(self, nodes):
         """Symptom: an accepted change reverts on a daemon.
 
@@ -242,8 +242,8 @@
     def test_a_lower_revision_is_refused(self, nodes):
         async def run():
             async with nodes.start("node") as node:
-                take(node, roster("tally", 5, "a"))
-                take(node, roster("tally", 4, "b"))
+                hand_over_roster(node, roster("tally", 5, "a"))
+                hand_over_roster(node, roster("tally", 4, "b"))
                 known = node.distribution.rosters.get("tally")
                 assert set(known.by_name) == {"a"}
 
@@ -271,8 +271,8 @@
         ]
         wanted = []
         for stage in (*stages, *stages):
-            generations.point(documents.pointer_to_json(stage))
-            wanted.append(generations.wanted)
+            generations.set_pointer(documents.pointer_to_json(stage))
+            wanted.append(generations.desired_generation)
         assert wanted == [6, 7, 7, 7, 7, 7]
 
 
@@ -369,7 +369,7 @@
             async with nodes.start("a", service="tally") as node:
                 amina = Operator("amina", services)
                 nodes.commit(node, 1, TALLY, operators={"amina": amina})
-                take(node, roster("tally", 9, "a", "b"))
+                hand_over_roster(node, roster("tally", 9, "a", "b"))
                 drained = []
                 node.on_drain(drained.append)
                 files = nodes.authority.issue("amina")
@@ -384,12 +384,12 @@
         asyncio.run(run())
 
 
-class TestOperatorsCalls:
-    def test_status_tells_what_is_in_force(self, nodes):
+class TestOperatorCalls:
+    def test_status_reports_what_is_in_force(self, nodes):
         async def run():
             async with nodes.start("entry-1") as node:
                 nodes.commit(node, 4, TALLY)
-                take(node, roster("tally", 9, "a"))
+                hand_over_roster(node, roster("tally", 9, "a"))
                 node.count("entry.dropped", code=Code.NO_AGENT.name)
                 node.histogram("tally", "ticket").record(0.25)
                 request = StatusRequest(counters=True, rosters=True)
@@ -428,7 +428,7 @@
     def test_the_last_target_is_not_drained_unforced(self, nodes):
         async def run():
             async with nodes.start("a", service="tally") as node:
-                take(node, roster("tally", 9, "a"))
+                hand_over_roster(node, roster("tally", 9, "a"))
                 drained = []
                 node.on_drain(drained.append)
                 reply = await call(node, "Drain", DrainRequest(seconds=3))
@@ -451,7 +451,7 @@
         channel.close()
 
 
-async def nodes_agree(parent, child):
+async def wait_for_same_rosters(parent, child):
     """Wait until both hold the same rosters."""
     async with asyncio.timeout(20):
         while (
--- a/packages/zinniahook-daemon/tests/test_entry.py
+++ b/packages/zinniahook-daemon/tests/test_entry.py
@@ -109,7 +109,7 @@
             AgentState.READY,
             4,
         )
-        node.distribution.take_roster(Roster("tally", 1, {"a": member}))
+        node.distribution.update_roster(Roster("tally", 1, {"a": member}))
         tunnel = Tunnel({1: TUNNEL_KEY}, 1)
         try:
             yield Bench(nodes, node, entry, tally, ledger, caller, agent, tunnel)
--- a/packages/zinniahook-daemon/tests/test_metrics.py
+++ b/packages/zinniahook-daemon/tests/test_metrics.py
@@ -7,7 +7,7 @@
 import pytest
 from hdrh.histogram import HdrHistogram
 from zinniahook_core.models import Address
-from zinniahook_daemon.metrics import LONGEST, TIMINGS, Metrics
+from zinniahook_daemon.metrics import MAX_TIME_MICROSECONDS, MAX_UNSENT_TIMINGS, Metrics
 from zinniahook_daemon.settings import MetricsSettings
 
 
@@ -74,7 +74,7 @@
         histogram.record(1e9)
         decoded = HdrHistogram.decode(histogram.encode())
         assert decoded.get_total_count() == 2
-        assert decoded.get_max_value() == pytest.approx(LONGEST, rel=0.02)
+        assert decoded.get_max_value() == pytest.approx(MAX_TIME_MICROSECONDS, rel=0.02)
 
     def test_unsent_timings_are_bounded(self):
         """Symptom: memory grows as long as no statsd is set.
@@ -83,6 +83,6 @@
         Cause: single timings would be kept for a flush that never comes.
         """
         metrics = Metrics(MetricsSettings(), "a")
-        for _ in range(10 * TIMINGS):
+        for _ in range(10 * MAX_UNSENT_TIMINGS):
             metrics.histogram("tally", "ticket").record(0.1)
-        assert len(metrics.histogram("tally", "ticket").unsent) == TIMINGS
+        assert len(metrics.histogram("tally", "ticket").unsent) == MAX_UNSENT_TIMINGS
--- a/packages/zinniahook-daemon/tests/test_origin.py
+++ b/packages/zinniahook-daemon/tests/test_origin.py
@@ -45,7 +45,7 @@
                     await asyncio.wait_for(node.ready(), 20)
                     failed = fail_reads(node.store, failures)
                     generation = await commit(store, TALLY._replace(drain=60.0))
-                    node.distribution.suspect(generation)
+                    node.distribution.report_generation(generation)
                     await eventually(lambda: node.generation == generation)
                     assert len(failed) == failures
 
--- a/packages/zinniahook-daemon/tests/test_settings.py
+++ b/packages/zinniahook-daemon/tests/test_settings.py
@@ -136,7 +136,7 @@
         done = self.run("--settings", write(directory, ENTRY), "--check")
         assert (done.returncode, done.stdout, done.stderr) == (0, "", "")
 
-    def test_a_taken_address_is_told_with_its_code(self, directory):
+    def test_an_address_in_use_is_reported_with_its_code(self, directory):
         """Two daemons of one machine were given the same address.
 
         Symptom: the second one ends, and its log has code 0 and no address.
--- a/packages/zinniahook-daemon/tests/test_tree.py
+++ b/packages/zinniahook-daemon/tests/test_tree.py
@@ -8,9 +8,9 @@
 
 import pytest
 from zinniahook_core.models import Address, Service
-from zinniahook_daemon import announcements, learning
+from zinniahook_daemon import announcements, selection
 from zinniahook_daemon.announcements import read_daemons
-from zinniahook_daemon.trees import place
+from zinniahook_daemon.trees import tree_position
 from zinniahook_store import Store, configurations
 from zinniahook_testkit import stores
 from zinniahook_wire import documents
@@ -30,7 +30,7 @@
 async def commit(store: Store, *services: Service) -> int:
     base = await configurations.read(store)
     document = base.document._replace(
-        services_by_name={one.name: one for one in services}
+        services_by_name={service.name: service for service in services}
     )
     outcome = await configurations.commit(
         store, base, document, "operator", configurations.new_operation()
@@ -38,47 +38,51 @@
     return outcome.generation
 
 
-class TestPlaces:
+class TestTreePositions:
     CANDIDATES = frozenset(f"10.0.0.{number}:9000" for number in range(200))
 
-    def places(self):
-        return {own: place(own, self.CANDIDATES, 2, 4) for own in self.CANDIDATES}
+    def positions(self):
+        return {
+            own: tree_position(own, self.CANDIDATES, 2, 4) for own in self.CANDIDATES
+        }
 
     def test_few_watch(self):
-        watching = [own for own, one in self.places().items() if one.watches]
+        watching = [
+            own for own, position in self.positions().items() if position.watches_store
+        ]
         assert len(watching) == 2
 
-    def test_every_way_leads_to_a_watcher(self):
+    def test_every_path_leads_to_a_watcher(self):
         """Symptom: some daemons learn from each other and from nobody else.
 
         Sequence: each picks its parents by itself from the same list.
         Cause: without a common order, three of them may form a ring.
         """
-        places = self.places()
+        positions = self.positions()
         for own in self.CANDIDATES:
             seen = set()
-            ways = {own}
-            while ways:
-                assert not ways & seen or ways <= seen
-                seen |= ways
-                ways = {
+            frontier = {own}
+            while frontier:
+                assert not frontier & seen or frontier <= seen
+                seen |= frontier
+                frontier = {
                     parent
-                    for way in ways
-                    if not places[way].watches
-                    for parent in places[way].parents
+                    for address in frontier
+                    if not positions[address].watches_store
+                    for parent in positions[address].parents
                 } - seen
-            assert any(places[one].watches for one in seen)
+            assert any(positions[address].watches_store for address in seen)
 
     def test_children_are_bounded(self):
         children: dict[str, int] = {}
-        for one in self.places().values():
-            if not one.watches:
-                children[one.parents[0]] = children.get(one.parents[0], 0) + 1
+        for position in self.positions().values():
+            if not position.watches_store:
+                children[position.parents[0]] = children.get(position.parents[0], 0) + 1
         assert max(children.values()) <= 4
 
     def test_leaves_spread(self):
         first = {
-            place(f"10.1.0.{number}:9000", self.CANDIDATES, 2, 4).parents[0]
+            tree_position(f"10.1.0.{number}:9000", self.CANDIDATES, 2, 4).parents[0]
             for number in range(200)
         }
         assert len(first) > 100
@@ -116,7 +120,7 @@
                 )
                 # Those that came first followed the store until others came.
                 gone = next(
-                    node for node in running if node.distribution.learner.watches
+                    node for node in running if node.distribution.selector.watches_store
                 )
                 await gone.stop()
                 running.remove(gone)
@@ -129,7 +133,7 @@
 
         asyncio.run(run())
 
-    def test_those_that_start_together_part(
+    def test_few_watch_after_a_simultaneous_start(
         self, nodes, store_process, eventually, monkeypatch
     ):
         """Symptom: the store's calls grow with the fleet after a mass restart.
@@ -137,7 +141,7 @@
         Sequence: all daemons start at once; none finds another in the list.
         Cause: each would take itself for one of the few that should watch.
         """
-        monkeypatch.setattr(learning, "REVIEW", 0.5)
+        monkeypatch.setattr(selection, "POSITION_CHECK_SECONDS", 0.5)
 
         async def run():
             store = Store([store_process.address])
@@ -152,11 +156,11 @@
                 running = await asyncio.gather(
                     *(stack.enter_async_context(start) for start in starts)
                 )
-                await eventually(lambda: all(one.generation == 1 for one in running))
+                await eventually(lambda: all(node.generation == 1 for node in running))
                 await eventually(lambda: store_process.state()["watches"] == WATCHERS)
                 generation = await commit(store, TALLY._replace(drain=10.0))
                 await eventually(
-                    lambda: all(one.generation == generation for one in running)
+                    lambda: all(node.generation == generation for node in running)
                 )
 
         asyncio.run(run())
@@ -178,7 +182,7 @@
                     for number in range(WATCHERS)
                 ]
                 await eventually(
-                    lambda: all(one.announcement.announced for one in first)
+                    lambda: all(node.announcement.announced for node in first)
                 )
                 rest = [
                     await stack.enter_async_context(
@@ -186,12 +190,12 @@
                     )
                     for number in range(DAEMONS)
                 ]
-                await eventually(lambda: all(one.generation == 1 for one in rest))
+                await eventually(lambda: all(node.generation == 1 for node in rest))
                 # The distance comes with the digest, after the generation.
                 await eventually(
-                    lambda: all(one.distribution.depth == 2 for one in rest)
+                    lambda: all(node.distribution.depth == 2 for node in rest)
                 )
-                subscribers = [len(one.distribution.subscribers) for one in first]
+                subscribers = [len(node.distribution.subscribers) for node in first]
                 assert sum(subscribers) == DAEMONS
                 assert store_process.state()["watches"] == WATCHERS
 
@@ -199,7 +203,7 @@
 
 
 class TestAnnouncements:
-    def test_a_killed_daemon_is_taken_off(
+    def test_a_killed_daemon_is_removed(
         self, nodes, store_process, eventually, monkeypatch
     ):
         """Symptom: daemons keep trying one that was killed long ago.
@@ -207,7 +211,7 @@
         Sequence: an entry is killed, so that it can't withdraw.
         Cause: nobody else would take it from the list.
         """
-        monkeypatch.setattr(announcements, "PROBE_INTERVAL", 0.05)
+        monkeypatch.setattr(announcements, "PROBE_INTERVAL_SECONDS", 0.05)
 
         async def run():
             store = Store([store_process.address])
@@ -226,7 +230,9 @@
 
         asyncio.run(run())
 
-    def test_one_that_was_taken_off_comes_back(self, nodes, store_process, eventually):
+    def test_a_removed_daemon_announces_itself_again(
+        self, nodes, store_process, eventually
+    ):
         """Symptom: a daemon runs, and operators don't see it.
 
         Sequence: it is paused, taken off as dead, and goes on.
