--- a/packages/zinniahook-daemon/src/zinniahook_daemon/distribution.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/distribution.py
@@ -77,7 +77,7 @@
         self.selector = SourceSelector(node, self)
         self.origin = Origin(self, node.store)
         self._store_contact_at = -float("inf")
-        self._in_force_at = 0.0
+        self._installed_at = 0.0
         self._reported_at = -float("inf")
         # Each subscriber asks once a second, and thousands of revisions take
         # milliseconds.
@@ -102,7 +102,7 @@
     @property
     def in_force(self) -> float:
         """Seconds since the generation in force was put so."""
-        return time.monotonic() - self._in_force_at if self.configuration else 0.0
+        return time.monotonic() - self._installed_at if self.configuration else 0.0
 
     @property
     def reason(self) -> str:
@@ -172,7 +172,7 @@
             if configuration is None:
                 return
             self.configuration = configuration
-            self._in_force_at = time.monotonic()
+            self._installed_at = time.monotonic()
             self._node.configuration_changed(configuration)
         self.newer_generation_reported.clear()
         for subscription in self._subscriptions:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/generations.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/generations.py
@@ -270,14 +270,14 @@
         for generation in set(self._stored_by_generation) - kept:
             del self._stored_by_generation[generation]
         self._changes_by_generations.clear()
-        named = {
+        referenced = {
             digest
             for stored in self._stored_by_generation.values()
             for digest in stored.digests(None)
         }
-        for digest in set(self._values_by_digest) - named:
+        for digest in set(self._values_by_digest) - referenced:
             del self._values_by_digest[digest]
-        for digest in set(self._services_by_digest) - named:
+        for digest in set(self._services_by_digest) - referenced:
             del self._services_by_digest[digest]
 
 
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/parents.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/parents.py
@@ -100,9 +100,9 @@
         """
         generations = self._distribution.generations
         generation = generations.pointer.generation
-        held = generation if generations.stored(generation) else 0
+        known_generation = generation if generations.stored(generation) else 0
         try:
-            await self._subscribe(channel, held)
+            await self._subscribe(channel, known_generation)
         except BaseError as error:
             self._distribution.log_unusable(self.name, error)
             await self._subscribe(channel, 0)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/selection.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/selection.py
@@ -117,8 +117,8 @@
         if age <= MAX_STORE_AGE_SECONDS:
             self._stay_seconds = 0.0
             return
-        followed = time.monotonic() - self._followed_at
-        if self._has_alternatives and followed > self._stay_seconds:
+        followed_seconds = time.monotonic() - self._followed_at
+        if self._has_alternatives and followed_seconds > self._stay_seconds:
             raise SourceError("cut off from the store")
 
     async def _run(self) -> None:
@@ -133,8 +133,8 @@
             if self._distribution.age <= MAX_STORE_AGE_SECONDS:
                 pause = MIN_BACKOFF_SECONDS
             else:
-                longer_stay = max(MIN_STAY_SECONDS, self._stay_seconds * 2)
-                self._stay_seconds = min(MAX_STAY_SECONDS, longer_stay)
+                doubled = max(MIN_STAY_SECONDS, self._stay_seconds * 2)
+                self._stay_seconds = min(MAX_STAY_SECONDS, doubled)
             # Jitter: all that lost the same parent would come back at once.
             await asyncio.sleep(pause * random.uniform(0.5, 1.5))
             pause = min(MAX_BACKOFF_SECONDS, pause * 2)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/subscriptions.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/subscriptions.py
@@ -71,7 +71,7 @@
         self._digests = set(request.digests)
         # The manifest that the subscriber holds; the next is told as a change.
         self._subscriber_manifest = distribution.generations.stored(request.manifest)
-        self._pointer = b""
+        self._sent_pointer = b""
         self._closing = False
         self._wakeup = asyncio.Event()
         self._changed_services: set[str] = set()
@@ -117,7 +117,7 @@
         """Send the pointer and what its generations need."""
         generations = self._distribution.generations
         pointer = generations.pointer_value
-        if pointer == self._pointer:
+        if pointer == self._sent_pointer:
             return
         # Before its pointer is sent, a generation must be whole here.
         numbers = generations.named_generations()
@@ -137,7 +137,7 @@
         self._digests = {
             digest for stored in held for digest in stored.digests(self._services)
         }
-        self._pointer = pointer
+        self._sent_pointer = pointer
 
     async def _send_generation(self, pointer: bytes, stored: StoredGeneration) -> bool:
         """Send one generation in updates of a bounded size.
--- a/packages/zinniahook-daemon/tests/test_distribution.py
+++ b/packages/zinniahook-daemon/tests/test_distribution.py
@@ -55,12 +55,15 @@
                     assert child.generation == 3
                     assert child.configuration == parent.configuration
                     # Ready with the rosters, or new flows would be dropped.
-                    known, told = (
+                    child_rosters, parent_rosters = (
                         child.distribution.rosters,
                         parent.distribution.rosters,
                     )
-                    assert known.revisions_by_service == told.revisions_by_service
-                    assert known.get("tally") == told.get("tally")
+                    assert (
+                        child_rosters.revisions_by_service
+                        == parent_rosters.revisions_by_service
+                    )
+                    assert child_rosters.get("tally") == parent_rosters.get("tally")
                     await eventually(lambda: child.distribution.depth == 1)
 
         asyncio.run(run())
@@ -187,12 +190,12 @@
                 async with nodes.start("p1") as first:
                     nodes.commit(first, 1, TALLY)
                     parents = (first.control_address, second.control_address)
-                    child_at = nodes.start("child", *parents)
-                    child = await child_at.__aenter__()
+                    child_context = nodes.start("child", *parents)
+                    child = await child_context.__aenter__()
                     await eventually(lambda: child.generation == 1)
                 nodes.commit(second, 2, TALLY)
                 await eventually(lambda: child.generation == 2)
-                await child_at.__aexit__(None, None, None)
+                await child_context.__aexit__(None, None, None)
 
         asyncio.run(run())
 
--- a/packages/zinniahook-daemon/tests/test_tree.py
+++ b/packages/zinniahook-daemon/tests/test_tree.py
@@ -119,11 +119,11 @@
                     lambda: all(node.generation == generation for node in running)
                 )
                 # Those that came first followed the store until others came.
-                gone = next(
+                watcher = next(
                     node for node in running if node.distribution.selector.watches_store
                 )
-                await gone.stop()
-                running.remove(gone)
+                await watcher.stop()
+                running.remove(watcher)
                 generation = await commit(store, TALLY._replace(drain=20.0))
                 await eventually(
                     lambda: all(node.generation == generation for node in running)
