--- a/packages/zinniahook-daemon/src/zinniahook_daemon/__init__.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/__init__.py
@@ -1,5 +1,5 @@
-"""zinniahookd: entry and agent.
+"""zinniahookd, the daemon of entries and agents.
 
-A program: it is run, and only the tests import its modules. Nothing is
-imported here, as an entry would hold the modules of an agent for nothing.
+This is a program and not a library: only tests import its modules. Nothing is
+imported here, as an entry would otherwise load the unused modules of an agent.
 """
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/announcements.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/announcements.py
@@ -1,8 +1,8 @@
-"""The list of the daemons of a data centre, as each of them writes it.
+"""The list of the running entries of a data centre, kept in the store.
 
-Entries announce themselves there, since no roster names them; agents stand
-in the roster of their service. Operators ask those daemons, and the daemons
-derive from the list who learns from whom.
+Entries announce themselves in the list, as no roster contains them; agents are
+in the roster of their service. Operators use the list to find daemons, and the
+daemons derive the distribution tree from it.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 
 MIN_RETRY_SECONDS = 0.2
 MAX_RETRY_SECONDS = 10.0
-"""Seconds between attempts, doubled after each; many daemons start at once."""
+"""Pause between attempts, doubled after each, as many daemons may start at once."""
 
 WITHDRAW_TIMEOUT_SECONDS = 1.0
-"""Seconds that a stopping daemon spends on taking itself from the list."""
+"""Time that a stopping daemon spends on removing itself from the list."""
 
 PROBE_INTERVAL_SECONDS = 10.0
-"""Seconds between looks at one other daemon of the list."""
+"""Time between probes; each goes to one random daemon of the list."""
 
 PROBE_TIMEOUT_SECONDS = 2.0
 
 MAX_FAILED_PROBES = 3
-"""Failures in a row after which a daemon is taken from the list.
+"""Consecutive failures after which a daemon is removed from the list.
 
-A killed daemon can't take itself off, and its place in the distribution would
-stay empty; its children would each try it first.
+A killed daemon can't remove itself. If it stayed in the list, it would keep its
+position in the distribution tree, and each of its children would try it first.
 """
 
 Daemons = dict[str, Daemon]
@@ -54,14 +54,14 @@
     Raises
     ------
     ZinniahookError
-        If the store gives no answer or the value can't be read.
+        If the store doesn't answer or the value can't be read.
     """
     item = await store.get(documents.daemons_key(data_centre))
     return documents.daemons_from_json(item.value) if item else {}
 
 
 class Announcement:
-    """Keeps this daemon in the list, and dead ones out of it.
+    """Keeps this daemon in the list, and removes dead daemons from it.
 
     Parameters
     ----------
@@ -71,7 +71,7 @@
     Attributes
     ----------
     announced : bool
-        Whether this daemon has once stood in the list.
+        Whether this daemon has been added to the list.
     """
 
     def __init__(self, node: Node) -> None:
@@ -89,11 +89,11 @@
         self._task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Start to announce."""
+        """Start to announce this daemon."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Take this daemon from the list, if the store answers in time."""
+        """Remove this daemon from the list, if the store answers in time."""
         if self._task is None:
             return
         self._task.cancel()
@@ -106,10 +106,10 @@
                 await self._update_with_retries(self._withdraw)
 
     def check(self) -> None:
-        """Look soon whether this daemon still stands in the list.
+        """Schedule a check that this daemon is still in the list.
 
-        It may have been taken off while it was paused or cut off, which also
-        costs it the source that it learns from.
+        It may have been removed while it was paused or cut off, when it also
+        loses its source.
         """
         self._check_requested.set()
 
@@ -125,23 +125,23 @@
             if self._check_requested.is_set():
                 self._check_requested.clear()
                 await self._update_with_retries(self._announce)
-            # Only those few look that follow the store: each look reads the
+            # Only the few watchers of the store probe: each probe reads the
             # list, which grows with the data centre.
             elif self._node.distribution.selector.watches_store:
                 await self._probe_one()
 
     async def _update_with_retries(self, change: Change) -> None:
-        """Make a change of the list, however often others are first."""
+        """Change the list, with a retry after each conflict or failed call."""
         pause = MIN_RETRY_SECONDS
         while not await self._try_update(change):
             await asyncio.sleep(pause * random.uniform(0.5, 1.5))
             pause = min(MAX_RETRY_SECONDS, pause * 2)
 
     async def _try_update(self, change: Change) -> bool:
-        """Try a change once; False if it has to be tried again.
+        """Try to change the list; return False if a retry is needed.
 
-        A lost answer needs no settling here: the next try finds the change
-        made, or makes it.
+        A lost answer of the store needs no special handling: the next attempt
+        finds the change made, or makes it.
         """
         store = self._node.store
         try:
@@ -169,14 +169,14 @@
         return True
 
     def _withdraw(self, daemons: Daemons) -> bool:
-        # A successor of the same name may already have taken the place.
+        # A new process of the same name may already have replaced the item.
         if daemons.get(self._daemon.name) != self._daemon:
             return False
         del daemons[self._daemon.name]
         return True
 
     async def _probe_one(self) -> None:
-        """Look at one other daemon, and take it off if it is gone."""
+        """Probe another daemon, and remove it from the list if it is gone."""
         try:
             daemons = await read_daemons(
                 self._node.store, self._node.settings.data_centre
@@ -217,7 +217,7 @@
 
 
 async def _accepts_connections(daemon: Daemon) -> bool:
-    """Whether something takes connections at a daemon's control address."""
+    """Return whether a daemon's control address accepts connections."""
     try:
         async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(*daemon.control)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/certificates.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/certificates.py
@@ -12,16 +12,16 @@
 
 
 class Certificates:
-    """The TLS contexts of one daemon, as client and as server.
+    """The TLS contexts of a daemon, as client and as server.
 
-    A peer without a certificate of the same authority fails the handshake,
-    so that it gets no byte of the configuration. Names aren't checked, as
-    daemons are reached by IP address and each may speak to each.
+    A peer without a certificate of the same authority fails the handshake, so it
+    receives nothing of the configuration. Host names aren't checked, as daemons
+    are reached by IP address and any daemon may call any other.
 
     Parameters
     ----------
     settings : ControlSettings
-        Names of the PEM files.
+        Paths of the PEM files.
 
     Raises
     ------
@@ -33,17 +33,17 @@
         self._settings = settings
         self.reload()
         self.server = _context(ssl.PROTOCOL_TLS_SERVER, settings)
-        # A listener keeps the context it was started with; this hands each
-        # handshake over to the one that was read last.
+        # A listener keeps the context that it was started with. The callback
+        # replaces it by the newest one in each handshake.
         self.server.sni_callback = self._use_newest
 
     def reload(self) -> None:
-        """Read the files again; new handshakes use what they hold now.
+        """Read the files again, for use in new handshakes.
 
         Raises
         ------
         ZinniahookError
-            If a file holds no usable certificate or key; the old ones stay
+            If a file holds no usable certificate or key. The previous ones stay
             in use.
         """
         settings = self._settings
@@ -64,7 +64,7 @@
 
 
 def _context(protocol: int, settings: ControlSettings) -> ssl.SSLContext:
-    """Return a context that speaks HTTP/2 and asks for a certificate."""
+    """Return a context for HTTP/2 that requires a certificate of the peer."""
     context = ssl.SSLContext(protocol)
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/clocks.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/clocks.py
@@ -9,20 +9,19 @@
 
 
 def now() -> float:
-    """Return seconds that never go back and go on while the machine sleeps.
+    """Return the seconds since boot, including time that the machine is suspended.
 
-    What goes wrong: a virtual machine is suspended for a minute, its peers
-    mark the agent down and take over, and after the resumption it goes on as
-    if nothing had happened, since the monotonic clock of Linux stands still
-    meanwhile. It would show as a request that runs twice. With the time since
-    boot the fence sees the gap.
+    The monotonic clock of Linux stops during a suspension. With that clock, an agent
+    whose virtual machine is suspended for a minute would resume as if no time had
+    passed, although its peers have marked it down and taken over, and a request
+    would run twice. With the time since boot, the fence detects the gap.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class BoottimeEventLoop(asyncio.SelectorEventLoop):
-    """An event loop on that clock, so that deadlines and timers agree."""
+    """An event loop that uses `now`, so that deadlines and timers agree."""
 
     def time(self) -> float:
-        """Return what `now` returns."""
+        """Return the seconds since boot, as `now` does."""
         return now()
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/control.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/control.py
@@ -34,7 +34,7 @@
 __all__ = ["ControlServer", "StatusFields"]
 
 DISCONNECT_ERRORS = (StreamTerminatedError, ConnectionError, H2Error)
-"""What a call raises once its caller is gone."""
+"""Exceptions that a call raises once its caller has disconnected."""
 
 SERVING = "serving"
 STOPPING = "stopping"
@@ -44,10 +44,10 @@
 
 
 class StatusFields(TypedDict, total=False):
-    """What a role adds to the answer of Status.
+    """Fields that a role adds to the reply of Status.
 
-    The names are those of ``StatusReply``; ``left`` (seconds) and ``safe``
-    go into the answers of Drain.
+    The names are those of ``StatusReply``, except for ``left`` (in seconds) and
+    ``safe``, which are part of the replies of Drain.
     """
 
     service: str
@@ -74,7 +74,7 @@
     Parameters
     ----------
     node : Node
-        The daemon that is asked.
+        The daemon to serve.
     """
 
     def __init__(self, node: Node) -> None:
@@ -82,7 +82,7 @@
         self._server: Server | None = None
 
     async def start(self) -> Address:
-        """Listen, and return the bound address.
+        """Start to listen, and return the bound address.
 
         Raises
         ------
@@ -93,11 +93,11 @@
         self._server = Server([_Control(node)])
         host, port = node.settings.control.address
         await self._server.start(host, port, ssl=node.certificates.server)
-        # grpclib has no public way to the port that the system picked.
+        # grpclib has no public API for the port that the system picked.
         return Address(*self._server._server.sockets[0].getsockname()[:2])
 
     async def stop(self) -> None:
-        """Close the listener and every call."""
+        """Close the listener and all calls."""
         if self._server is None:
             return
         self._server.close()
@@ -105,7 +105,7 @@
 
 
 class _Control(ControlBase):
-    """The calls."""
+    """Implementation of the calls of ``Control``."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -114,7 +114,7 @@
     async def Subscribe(  # noqa: N802 (named by the protocol)
         self, stream: Stream[SubscribeRequest, Update]
     ) -> None:
-        """Push configuration and rosters until the subscriber is gone."""
+        """Send configuration and rosters until the subscriber disconnects."""
         request = await stream.recv_message()
         if request is None:
             return
@@ -127,7 +127,7 @@
     async def Status(  # noqa: N802
         self, stream: Stream[StatusRequest, StatusReply]
     ) -> None:
-        """Tell what is in force here."""
+        """Report the state of this daemon and its configuration."""
         request = await stream.recv_message()
         if request is not None:
             await stream.send_message(self._status(request))
@@ -135,14 +135,14 @@
     async def Drain(  # noqa: N802
         self, stream: Stream[DrainRequest, DrainReply]
     ) -> None:
-        """Start a graceful shutdown, or tell how far it is."""
+        """Start a graceful shutdown, or report its progress."""
         request = await stream.recv_message()
         if request is not None:
             name = permissions.common_name(stream)
             await stream.send_message(self._drain(request, name))
 
     async def Relay(self, stream: Stream) -> None:  # noqa: N802
-        """Hand a peer's request to the agent."""
+        """Pass a peer's request to the agent."""
         self._check_daemon(stream)
         handler = self._node.relay_handler
         if handler is None:
@@ -150,7 +150,7 @@
         await handler(stream)
 
     def _fields(self) -> StatusFields:
-        """Return what the role says, over what holds for every daemon."""
+        """Return the fields of every daemon, overridden by those of its role."""
         node = self._node
         fields = StatusFields(state=SERVING)
         if node.configuration is None:
@@ -202,7 +202,7 @@
             reply.histograms.append(_histogram_message(key, histogram))
 
     def _check_daemon(self, stream: Stream) -> None:
-        """Refuse a call of an operator that is meant for daemons."""
+        """Reject an operator's call to a method that is meant for daemons."""
         name = permissions.common_name(stream)
         if not permissions.may_act_as_daemon(self._operators(), name):
             self._node.count("control.refused", code=Code.NOT_PERMITTED.name)
@@ -244,7 +244,7 @@
         )
 
     def _is_last_ready(self) -> bool:
-        """Whether no other agent of the service is ready."""
+        """Return whether no other agent of the service is ready."""
         settings = self._node.settings
         if settings.role is not Role.AGENT or settings.agent is None:
             return False
@@ -257,7 +257,7 @@
 
 
 def _histogram_message(key: HistogramKey, histogram: Any) -> Histogram:
-    """Return a histogram as the protocol carries it; times in seconds."""
+    """Return the protocol message of a histogram, with times in seconds."""
     values = histogram.values
     return Histogram(
         service=key.service,
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/distribution.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/distribution.py
@@ -1,8 +1,8 @@
-"""What a daemon knows of the configuration and the rosters, and from whom.
+"""Distribution of the configuration and the rosters to and from a daemon.
 
-A daemon learns from its parents, or from the store if it has none or none
-answers. What it learned is served to daemons that subscribe here. Whatever
-the source, a lower generation or revision is never taken.
+A daemon follows one of its parents, or the store if it has no parent or none
+answers. It serves what it received to the daemons that subscribe to it. A lower
+generation or revision is never accepted, whatever the source.
 """
 
 from __future__ import annotations
@@ -33,11 +33,12 @@
 __all__ = ["Distribution"]
 
 MIN_REPORT_INTERVAL_SECONDS = 2.0
-"""Seconds between two suspicions taken up; each costs the source a call."""
+"""Minimum time between two reports of a newer generation that are acted on; each
+costs the source a call."""
 
 
 class Distribution:
-    """Learns, keeps and passes on configuration and rosters.
+    """Receives, holds and passes on the configuration and the rosters.
 
     Parameters
     ----------
@@ -49,17 +50,17 @@
     configuration : Configuration or None
         The generation in force here.
     rosters : Rosters
-        The newest roster known of each service that matters here.
+        The newest known roster of each service that this daemon needs.
     generations : Generations
-        The values that the configuration was made from.
+        The stored values that the configuration is compiled from.
     synchronized : asyncio.Event
-        Set once a configuration is in force and the rosters have come.
+        Set once a configuration is in force and the rosters have arrived.
     newer_generation_reported : asyncio.Event
-        Set while another daemon is known to have a newer generation.
+        Set while another daemon is known to have a newer generation in force.
     depth : int
-        Steps between this daemon and the store.
-    selector : Learner
-        Chooses whom to learn from.
+        Hops between this daemon and the store.
+    selector : SourceSelector
+        Chooses and follows the source.
     """
 
     def __init__(self, node: Node) -> None:
@@ -79,21 +80,24 @@
         self._store_contact_at = -float("inf")
         self._installed_at = 0.0
         self._reported_at = -float("inf")
-        # Each subscriber asks once a second, and thousands of revisions take
-        # milliseconds.
+        # Cached: each subscriber needs its digest once a second, and hashing
+        # thousands of revisions takes milliseconds.
         self._digests_by_services: dict[frozenset[str] | None, bytes] = {}
         self._subscriptions: set[Subscription] = set()
 
-    # What is known
+    # State
 
     @property
     def age(self) -> float:
-        """Seconds since the store was last heard of; infinite if never."""
+        """Seconds since the last contact with the store, direct or through parents.
+
+        Infinite before the first contact.
+        """
         return time.monotonic() - self._store_contact_at
 
     @property
     def lagging(self) -> bool:
-        """Whether what is known may be out of date."""
+        """Whether the configuration or the rosters may be out of date."""
         return (
             self.age > MAX_STORE_AGE_SECONDS
             or self._node.generation != self.generations.desired_generation
@@ -101,23 +105,23 @@
 
     @property
     def in_force(self) -> float:
-        """Seconds since the generation in force was put so."""
+        """Seconds since the generation in force was installed; 0 without one."""
         return time.monotonic() - self._installed_at if self.configuration else 0.0
 
     @property
     def reason(self) -> str:
-        """Why there is no configuration yet: what each source answered."""
-        reason = self.selector.reason or "store not asked yet"
-        return f"no configuration learned yet ({reason})"
+        """Why there is no configuration yet, with the last error of each source."""
+        reason = self.selector.reason or "store not queried yet"
+        return f"no configuration received yet ({reason})"
 
     @property
     def control(self) -> str:
-        """Control address of this daemon, by which its parent knows it."""
+        """Control address of this daemon; identifies it to its parent."""
         return str(self._node.control_address)
 
     @property
     def subscribers(self) -> list[str]:
-        """Control addresses of the daemons that learn from this one."""
+        """Control addresses of the daemons that subscribe to this one."""
         return sorted(each.subscriber for each in self._subscriptions)
 
     @property
@@ -126,12 +130,18 @@
         return self._node.certificates.client
 
     def wants(self, service: str) -> bool:
-        """Whether the roster of a service matters here."""
+        """Return whether this daemon needs the roster of a service."""
         services = self.generations.services
         return services is None or service in services
 
     def rosters_digest(self, services: frozenset[str] | None) -> bytes:
-        """Return the digest of the revisions of these services' rosters."""
+        """Return the digest of the revisions of these services' rosters.
+
+        Parameters
+        ----------
+        services : frozenset of str or None
+            Names of the services; None for all.
+        """
         found = self._digests_by_services.get(services)
         if found is None:
             found = documents.revisions_digest(
@@ -144,27 +154,34 @@
             self._digests_by_services[services] = found
         return found
 
-    # What sources tell
+    # Updates from sources
 
     def record_store_contact(self, age: float, depth: int) -> None:
-        """Note that the followed source heard of the store ``age`` seconds ago.
+        """Record that the followed source had contact with the store.
+
+        Parameters
+        ----------
+        age : float
+            Seconds since that contact.
+        depth : int
+            Hops between this daemon and the store by way of the source.
 
         Raises
         ------
         SourceError
-            If that is too long ago, and another source may be better.
+            If the contact is too old and another source may be better.
         """
         self._store_contact_at = max(self._store_contact_at, time.monotonic() - age)
         self.depth = depth
         self.selector.check_age(age)
 
     def apply(self) -> None:
-        """Put the wanted generation in force if it is whole and newer.
+        """Put the desired generation in force if it is complete and newer.
 
         Raises
         ------
         ZinniahookError
-            If a value of it can't be read.
+            If one of its values can't be read.
         """
         generations = self.generations
         if generations.desired_generation > self._node.generation:
@@ -179,10 +196,10 @@
             subscription.notify_configuration()
 
     def mark_synchronized(self) -> None:
-        """Note that all that the followed source knew has come in.
+        """Record that everything the followed source has was received.
 
-        A daemon that was ready with its configuration alone would drop new
-        flows until the rosters came.
+        A daemon that reported ready with the configuration alone would drop new
+        flows until the rosters arrived.
         """
         if self.configuration is not None:
             self.synchronized.set()
@@ -190,16 +207,16 @@
     def update_roster(
         self, roster: Roster, value: bytes = b"", packed: bytes = b""
     ) -> None:
-        """Take a roster if it is newer than the one known.
+        """Replace the known roster of a service by a newer one.
 
         Parameters
         ----------
         roster : Roster
-            As decoded.
+            The decoded roster.
         value : bytes
-            As stored; empty if it isn't at hand or was deleted.
+            Its value as stored; empty if it is not available or was deleted.
         packed : bytes
-            The same compressed, if it came so.
+            The same value compressed, if it was received compressed.
         """
         service = roster.service
         if not self.wants(service) or not self.rosters.put(roster, value, packed):
@@ -210,15 +227,16 @@
             subscription.notify_roster(service)
 
     def log_unusable(self, what: str, error: ZinniahookError) -> None:
-        """Note a stored value that couldn't be read."""
+        """Count and log a stored value that can't be read."""
         self._node.count("distribution.unusable", code=error.code.name)
         self._node.log("value-unusable", value=what, reason=str(error))
 
     def report_generation(self, generation: int) -> None:
-        """Note that another daemon has this generation in force.
+        """Record that another daemon has this generation in force.
 
-        An update may have been lost on its way here, or the source lags; the
-        sender is authenticated, so its generation exists.
+        If it is newer than the known one, an update was lost on its way to this
+        daemon or the source lags. The sender is authenticated, so the generation
+        exists.
         """
         now = time.monotonic()
         if generation <= self.generations.pointer.generation:
@@ -229,14 +247,14 @@
         self._node.count("distribution.suspected")
         self.newer_generation_reported.set()
 
-    # Learning
+    # Lifecycle
 
     def start(self) -> None:
-        """Start to learn."""
+        """Start to follow sources."""
         self.selector.start()
 
     async def stop(self) -> None:
-        """Stop to learn and to serve."""
+        """Stop following sources and serving subscribers."""
         for subscription in self._subscriptions:
             subscription.close()
         await self.selector.stop()
@@ -246,7 +264,7 @@
     async def serve(
         self, request: SubscribeRequest, stream: Stream[SubscribeRequest, Update]
     ) -> None:
-        """Push to a subscriber until it is gone."""
+        """Send updates to a subscriber until it disconnects."""
         subscription = Subscription(self, request, stream)
         self._subscriptions.add(subscription)
         try:
@@ -259,7 +277,7 @@
     # Rosters in the store
 
     async def write_roster(self, effect: WriteRoster) -> RosterWritten:
-        """Compare-and-swap a roster; never raises for what the store does."""
+        """Write a roster by compare-and-swap; a failure is in the result's code."""
         written = await self.origin.write_roster(effect)
         if written.roster is not None:
             self.update_roster(written.roster)
@@ -267,7 +285,7 @@
         return written
 
     async def read_roster(self, service: str) -> Roster | None:
-        """Read a roster from the store; None if the store doesn't answer."""
+        """Return a roster read from the store; None if the read fails."""
         try:
             roster = await self.origin.read_roster(service)
         except ZinniahookError:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/generations.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/generations.py
@@ -1,4 +1,4 @@
-"""The configuration values that a daemon holds, and what they add up to."""
+"""The configuration values that a daemon holds, and the generations they form."""
 
 from __future__ import annotations
 
@@ -21,21 +21,22 @@
 __all__ = ["Generations", "StoredGeneration"]
 
 NO_POINTER = Pointer(0, "")
+"""Held until the first pointer arrives."""
 
 
 class StoredGeneration(NamedTuple):
-    """A manifest with its value as stored."""
+    """A manifest and its value as stored."""
 
     manifest: Manifest
     value: bytes
 
     def digests(self, services: frozenset[str] | None) -> list[str]:
-        """Return the digests of the values that it needs.
+        """Return the digests of the values that the generation consists of.
 
         Parameters
         ----------
         services : frozenset of str or None
-            Names of the services that matter; None for all.
+            Names of the services to include; None for all.
         """
         manifest = self.manifest
         chunks: Iterable[str] = manifest.chunks
@@ -48,24 +49,26 @@
 class Generations:
     """Values by digest, the generations they form, and the pointer.
 
-    A value is named by its content, so it is checked when it comes in,
-    whoever sent it, and never goes out of date. What no kept generation
-    names is dropped.
+    A value is identified by the digest of its content. It is verified on receipt,
+    whatever its source, and never goes out of date. Values that no held
+    generation refers to are dropped.
 
     Parameters
     ----------
     name, data_centre : str
-        Of this daemon; they choose the generation during a staged rollout.
+        Name and data centre of this daemon; they select the generation during a
+        staged rollout.
     services : frozenset of str or None
-        The services that matter here; None for all.
+        Names of the services that this daemon needs; None for all.
 
     Attributes
     ----------
     pointer : Pointer
+        The newest pointer received.
     pointer_value : bytes
-        The pointer as stored.
+        The same pointer as stored.
     operators_by_name : mapping of str to Operator
-        Whom the configuration in force names as operators.
+        The operators named in the configuration in force.
     """
 
     def __init__(
@@ -80,43 +83,45 @@
         self._stored_by_generation: dict[int, StoredGeneration] = {}
         self._values_by_digest: dict[str, bytes] = {}
         self._services_by_digest: dict[str, dict[str, Service]] = {}
-        # Sixteen subscribers want the same change.
+        # Cached, as up to sixteen subscribers need the same change.
         self._changes_by_generations: dict[tuple[int, int], ManifestChange | None] = {}
 
     @property
     def digests(self) -> list[str]:
-        """Digests of all values held."""
+        """Digests of all held values."""
         return list(self._values_by_digest)
 
     @property
     def desired_generation(self) -> int:
-        """The generation that is to be in force here; 0 for none."""
+        """The generation that should be in force on this daemon; 0 for none."""
         return documents.generation_for(self.pointer, self._name, self._data_centre)
 
     def named_generations(self) -> tuple[int, ...]:
-        """Return the generations that the pointer names, oldest first."""
+        """Return the generations that the pointer refers to, oldest first."""
         pointer = self.pointer
         return tuple(sorted(filter(None, {pointer.previous, pointer.generation})))
 
     def set_pointer(self, value: bytes) -> bool:
-        """Take a pointer, unless it is older than the one held.
+        """Replace the pointer, unless the new one is older.
 
         Returns
         -------
         bool
-            Whether it is new. One of a lower generation is from a source
-            that lags: taking it would take back an accepted change.
+            Whether the pointer was replaced. A pointer to a lower generation
+            comes from a lagging source; accepting it would revert an accepted
+            change.
 
         Raises
         ------
         DocumentError
-            If it isn't a pointer.
+            If the value isn't a pointer.
         """
         pointer = documents.pointer_from_json(value)
         if pointer.generation < self.pointer.generation or pointer == self.pointer:
             return False
         same = pointer.generation == self.pointer.generation
-        # The stages of one rollout only widen; a narrower one is older.
+        # Each stage of a rollout includes the previous ones, so a pointer that
+        # covers fewer instances is older.
         if same and not _is_later_stage(self.pointer, pointer):
             return False
         self.pointer = pointer
@@ -124,39 +129,42 @@
         return True
 
     def stored(self, generation: int) -> StoredGeneration | None:
-        """Return a generation's manifest, if it is held."""
+        """Return a generation's manifest, or None if it isn't held."""
         return self._stored_by_generation.get(generation)
 
     def add_manifest(self, value: bytes) -> StoredGeneration:
-        """Hold a manifest.
+        """Add a manifest, and return the one held for its generation.
 
         Raises
         ------
         DocumentError
-            If it isn't a manifest.
+            If the value isn't a manifest.
         """
         stored = StoredGeneration(documents.manifest_from_json(value), value)
         return self._stored_by_generation.setdefault(stored.manifest.generation, stored)
 
     def add_change(self, change: ManifestChange) -> StoredGeneration:
-        """Hold a manifest that comes as a change against one held.
+        """Add a manifest received as a change against a held manifest.
 
         Raises
         ------
         BaseError
-            If that one isn't held, or is another.
+            If the base isn't held, or differs from the sender's.
         DocumentError
-            If it isn't a change.
+            If the change is malformed.
         """
         base = self._stored_by_generation.get(change.base)
         if base is None:
-            raise BaseError(f"manifest of generation {change.base} is not held")
+            raise BaseError(f"base manifest of generation {change.base} is not held")
         return self.add_manifest(apply_change(base.manifest, change))
 
     def change(
         self, base: StoredGeneration, stored: StoredGeneration
     ) -> ManifestChange | None:
-        """Return a manifest as a change; None if only the whole will do."""
+        """Return the change from a base to a manifest.
+
+        None if the manifest can only be sent as a whole.
+        """
         key = (base.manifest.generation, stored.manifest.generation)
         if key not in self._changes_by_generations:
             change = change_between(base.manifest, stored.value)
@@ -164,52 +172,56 @@
         return self._changes_by_generations[key]
 
     def add_values(self, values_by_digest: Mapping[str, bytes]) -> None:
-        """Hold values, but those whose content has another digest.
+        """Add values, checking each against its digest.
 
         Raises
         ------
         DocumentError
-            If one has another digest.
+            If the content of a value doesn't match its digest.
         """
         for digest, value in values_by_digest.items():
             _check_digest(digest, value)
-            # Kept for daemons that subscribe here; JSON shrinks to a sixth.
+            # Stored compressed, as it is sent to subscribers; JSON shrinks to
+            # a sixth.
             self._values_by_digest[digest] = compress(value)
 
     def add_compressed(self, values_by_digest: Mapping[str, bytes]) -> None:
-        """Hold values that come compressed, as `add_values`.
+        """Add values received compressed, as `add_values` does.
 
         Raises
         ------
         DocumentError
-            If one is too large, or has another digest.
+            If a value is too large, or doesn't match its digest.
         """
         for digest, packed in values_by_digest.items():
             _check_digest(digest, decompress(packed, f"value {digest}"))
             self._values_by_digest[digest] = packed
 
     def value(self, digest: str) -> bytes:
-        """Return a value that is held.
+        """Return a held value.
 
         Raises
         ------
         KeyError
-            If it isn't.
+            If the value isn't held.
         """
         return decompress(self._values_by_digest[digest], f"value {digest}")
 
     def compressed(self, digest: str) -> bytes:
-        """Return a value that is held, compressed.
+        """Return a held value in compressed form.
 
         Raises
         ------
         KeyError
-            If it isn't.
+            If the value isn't held.
         """
         return self._values_by_digest[digest]
 
     def missing_digests(self, generation: int) -> list[str] | None:
-        """Return the digests still missing, or None without the manifest."""
+        """Return the digests of the values still missing for a generation.
+
+        None if its manifest isn't held.
+        """
         stored = self._stored_by_generation.get(generation)
         if stored is None:
             return None
@@ -220,14 +232,14 @@
         ]
 
     def is_complete(self, generation: int, services: frozenset[str] | None) -> bool:
-        """Whether a subscriber that wants these services can be served."""
+        """Return whether all values of a generation are held for these services."""
         stored = self._stored_by_generation.get(generation)
         return stored is not None and all(
             digest in self._values_by_digest for digest in stored.digests(services)
         )
 
     def compile(self) -> Configuration | None:
-        """Return the generation that is to be in force here, if it is whole.
+        """Compile the desired generation; None if it isn't complete.
 
         Raises
         ------
@@ -257,7 +269,7 @@
         )
 
     def _decoded(self, digest: str) -> dict[str, Service]:
-        """Decode a chunk once; it is the dear part of a change."""
+        """Return a decoded chunk, cached: decoding is the costly part of a change."""
         services = self._services_by_digest.get(digest)
         if services is None:
             services = documents.services_from_json(digest, self.value(digest))
@@ -265,7 +277,7 @@
         return services
 
     def _drop_unreferenced(self, current: StoredGeneration) -> None:
-        """Drop generations that nothing names any more, and their values."""
+        """Drop the generations that are no longer referred to, and their values."""
         kept = {*self.named_generations(), current.manifest.generation}
         for generation in set(self._stored_by_generation) - kept:
             del self._stored_by_generation[generation]
@@ -283,11 +295,11 @@
 
 def _check_digest(digest: str, value: bytes) -> None:
     if documents.digest_of(value) != digest:
-        raise documents.DocumentError(f"value {digest}: has another digest")
+        raise documents.DocumentError(f"value {digest}: content has another digest")
 
 
 def _is_later_stage(old: Pointer, new: Pointer) -> bool:
-    """Whether a pointer to the same generation is a later stage."""
+    """Return whether a pointer to the same generation is of a later stage."""
     if not new.previous:
         return True
     return (
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/logs.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/logs.py
@@ -1,4 +1,4 @@
-"""Structured log lines, one for each change of state."""
+"""Structured logging, with a line for each change of state."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class _JsonFormatter(logging.Formatter):
-    """Format a record as one JSON object."""
+    """Formats a record as a JSON object."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line of a record."""
+        """Return a record as a line of JSON."""
         line = {
             "time": round(record.created, 3),
             "level": record.levelname.lower(),
@@ -29,12 +29,12 @@
 
 
 def configure(name: str) -> None:
-    """Send the log to standard error, one JSON object a line.
+    """Send the log to standard error, with a JSON object per line.
 
     Parameters
     ----------
     name : str
-        Name of the instance, added to each line.
+        Name of the instance; it is added to each line.
     """
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(_JsonFormatter())
@@ -46,27 +46,27 @@
 
 
 def log(event: str, **fields: Any) -> None:
-    """Write one line.
+    """Log an event.
 
     Parameters
     ----------
     event : str
-        What changed, as a short constant name.
+        Name of the event, a short constant.
     **fields
-        What else is known; secrets must never be among them.
+        Details of the event. They must never contain secrets.
     """
     _logger.info(event, extra={"fields": fields})
 
 
 class _InstanceNameFilter(logging.Filter):
-    """Add the name of the instance to each record."""
+    """Adds the name of the instance to each record."""
 
     def __init__(self, name: str) -> None:
         super().__init__()
         self._instance = name
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Add the name; every record passes."""
+        """Add the name, and accept the record."""
         fields = getattr(record, "fields", {})
         record.fields = {"instance": self._instance, **fields}
         return True
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/main.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/main.py
@@ -18,14 +18,15 @@
 __all__ = ["main", "zinniahookd"]
 
 EXIT_INVALID_SETTINGS = 2
-"""Status when the settings can't be used."""
+"""Exit status for invalid settings."""
 
 EXIT_FAILED = 1
-"""Status when the daemon can't start, for example as an address is taken."""
+"""Exit status if the daemon can't start, for example if an address is in use."""
 
 PARSER_PACKAGES = frozenset(
     {"defopt", "docutils", "pockets", "pygments", "six", "sphinxcontrib"}
 )
+"""Packages that only the command-line parser imports."""
 
 MODULES_BY_ROLE = {Role.ENTRY: "entries", Role.AGENT: "agents"}
 
@@ -41,9 +42,9 @@
 
 
 def _unload_parser_modules() -> None:
-    """Forget the modules that only the command line needs.
+    """Unload the modules that only the command-line parser needs.
 
-    They hold 4 MB that nothing else would use until the process ends.
+    This frees 4 MB that would stay allocated until the process ends.
     """
     for name in list(sys.modules):
         if name.partition(".")[0] in PARSER_PACKAGES:
@@ -84,11 +85,11 @@
 
 
 async def _serve(settings: Settings) -> None:
-    """Build the node and serve its role until it is stopped."""
+    """Start the node, and run its role until the daemon is stopped."""
     from .node import Node
 
-    # A role is imported only where it is served: an entry ends no QUIC
-    # connection and would carry some 10 MB of it for nothing.
+    # Only the module of the daemon's own role is imported: an entry terminates
+    # no QUIC connections and would hold about 10 MB of unused QUIC modules.
     module = MODULES_BY_ROLE[settings.role]
     role = importlib.import_module(f".{module}", __package__)
     node = Node(settings)
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/metrics.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/metrics.py
@@ -1,7 +1,7 @@
-"""Counters, timings and histograms of one daemon.
+"""Counters, timings and histograms of a daemon.
 
-Everything is kept in memory, where the Status call reads it; if a statsd is
-set, the differences are sent to it once a second in few datagrams.
+All values are kept in memory, from which the Status call reads them. If a statsd
+address is set, the differences are sent to it once a second in a few datagrams.
 """
 
 from __future__ import annotations
@@ -17,27 +17,30 @@
 __all__ = ["Histogram", "HistogramKey", "Metrics"]
 
 MAX_TIME_MICROSECONDS = 86_400 * 1_000_000
-"""Longest time a histogram tells apart, in microseconds: a day."""
+"""Longest time that a histogram distinguishes: one day."""
 
 SIGNIFICANT_DIGITS = 2
-"""Significant digits of a histogram: 26 KB of memory each."""
+"""Significant digits of a histogram, which takes 26 KB of memory with 2 digits."""
 
 MAX_UNSENT_TIMINGS = 50
-"""Most single timings sent to statsd for each histogram and flush."""
+"""Maximum number of single timings sent to statsd per histogram and flush."""
 
 
 class HistogramKey(NamedTuple):
-    """What a histogram measures: ``kind`` of a service, such as a class."""
+    """The service and the kind of time that a histogram measures.
+
+    ``kind`` is for example a request class.
+    """
 
     service: str
     kind: str
 
 
 class Histogram:
-    """Times in an HDR histogram, in microseconds."""
+    """An HDR histogram of times in microseconds."""
 
     def __init__(self) -> None:
-        # Imported with the first histogram: an entry without one saves it.
+        # Imported with the first histogram, as an entry may have none.
         from hdrh.histogram import HdrHistogram
 
         self.values: HdrHistogram = HdrHistogram(
@@ -46,7 +49,7 @@
         self.unsent: list[float] = []
 
     def record(self, seconds: float) -> None:
-        """Record one time in seconds."""
+        """Record a time in seconds."""
         self.values.record_value(
             max(1, min(MAX_TIME_MICROSECONDS, round(seconds * 1e6)))
         )
@@ -59,14 +62,14 @@
 
 
 class Metrics:
-    """The counters and histograms of one daemon.
+    """The counters and histograms of a daemon.
 
     Parameters
     ----------
     settings : MetricsSettings
-        Where to send them.
+        Address and prefix for statsd.
     name : str
-        Name of the instance, part of each name sent.
+        Name of the instance; it is part of each name sent to statsd.
     """
 
     def __init__(self, settings: MetricsSettings, name: str) -> None:
@@ -82,13 +85,13 @@
             self._client = StatsClient(*settings.statsd, prefix=prefix, ipv6=ipv6)
 
     def count(self, name: str, amount: int = 1, **tags: object) -> None:
-        """Add to a counter; the values of tags become parts of its name."""
+        """Add to a counter; the values of the tags are appended to its name."""
         if tags:
             name = ".".join((name, *map(str, tags.values())))
         self.counters_by_name[name] += amount
 
     def histogram(self, service: str, kind: str) -> Histogram:
-        """Return the histogram of a kind of time of a service."""
+        """Return the histogram of a service and kind, creating it if needed."""
         key = HistogramKey(service, kind)
         found = self.histograms_by_key.get(key)
         if found is None:
@@ -96,7 +99,7 @@
         return found
 
     def flush(self) -> None:
-        """Send what was added since the last flush."""
+        """Send the differences since the last flush to statsd, if it is set."""
         if self._client is None:
             return
         with self._client.pipeline() as pipeline:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/parents.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/parents.py
@@ -1,4 +1,4 @@
-"""Learning from another daemon by its Subscribe stream."""
+"""A source that follows another daemon by its Subscribe stream."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 __all__ = ["Parent"]
 
 SILENCE_TIMEOUT_SECONDS = 3 * DIGEST_INTERVAL_SECONDS
-"""Seconds without any update after which a parent is given up.
+"""Time without any update after which a parent is considered failed.
 
-Its process may be paused, or the path may drop packets without a word: TCP
-alone would tell after many minutes.
+Its process may be paused, or the path may drop packets silently. TCP alone would
+detect this only after many minutes.
 """
 
 LAG_GRACE_SECONDS = 1.0
-"""Seconds that a parent may lag behind what another daemon told of."""
+"""Time that a parent may lag behind a generation reported by another daemon."""
 
 MAX_DEPTH = 8
-"""Most steps to the store; a longer way is a loop of daemons."""
+"""Maximum number of hops to the store; a longer path is a loop of daemons."""
 
 MAX_DIFFERENCES = 3
-"""Digests in a row that may differ from what is known here."""
+"""Consecutive digests that differ from this daemon's state before a parent is left."""
 
 PARENT_ERRORS = (
     GRPCError,
@@ -56,12 +56,12 @@
 
 
 class Parent(Source):
-    """A daemon to learn from.
+    """A parent daemon as a source.
 
     Parameters
     ----------
     distribution : Distribution
-        Where what is learned goes.
+        Receives the updates.
     address : Address
         The parent's control address.
     """
@@ -73,12 +73,12 @@
         self._differences = 0
 
     async def follow(self) -> None:
-        """Learn until the parent fails or lags.
+        """Apply the parent's updates until it fails or lags.
 
         Raises
         ------
         SourceError
-            Why this parent is of no use now.
+            Why the parent can't be used now.
         """
         self._differences = 0
         host, port = self._address
@@ -91,12 +91,13 @@
             channel.close()
 
     async def _subscribe_with_fallback(self, channel: Channel) -> None:
-        """Subscribe, and once more if a change came against another manifest.
+        """Subscribe, and subscribe again without a base if a change doesn't apply.
 
-        The two ends may differ about what this one holds, as after the store
-        was emptied and numbers were given anew. Every change would then end
-        the subscription, seen as a daemon that goes from parent to parent and
-        lags behind; asked for the whole, the parent sends what always fits.
+        The two daemons may hold different manifests for the same generation,
+        as after the store was emptied and the numbers were reused. Every change
+        would then end the subscription, and this daemon would switch from parent
+        to parent and lag behind. Without a base, the parent sends the whole
+        manifest.
         """
         generations = self._distribution.generations
         generation = generations.pointer.generation
@@ -115,7 +116,7 @@
             while True:
                 update = await self._receive(stream)
                 if update is None:
-                    raise SourceError("the parent ended the stream")
+                    raise SourceError("parent ended the stream")
                 kind = update.WhichOneof("update")
                 if kind == "configuration":
                     self._apply_configuration(update.configuration)
@@ -125,7 +126,10 @@
                     self._check_digest(update.digest)
 
     async def _receive(self, stream):
-        """Wait for an update, but less long once the parent is suspected."""
+        """Wait for an update.
+
+        The wait is shorter once another daemon has reported a newer generation.
+        """
         newer_generation_reported = self._distribution.newer_generation_reported
         receive = asyncio.ensure_future(stream.recv_message())
         report = asyncio.ensure_future(newer_generation_reported.wait())
@@ -138,9 +142,9 @@
             if receive not in done and report in done:
                 done, _ = await asyncio.wait((receive,), timeout=LAG_GRACE_SECONDS)
                 if not done:
-                    raise SourceError("others have a newer generation")
+                    raise SourceError("another daemon has a newer generation")
             if receive not in done:
-                raise SourceError(f"silent for {SILENCE_TIMEOUT_SECONDS} s")
+                raise SourceError(f"no update for {SILENCE_TIMEOUT_SECONDS} s")
             return receive.result()
         finally:
             receive.cancel()
@@ -182,34 +186,36 @@
         self._distribution.update_roster(roster, packed=update.value)
 
     def _check_digest(self, digest: Digest) -> None:
-        """Compare what the parent has with what came from it.
+        """Compare the parent's state with the state received from it.
 
         Raises
         ------
         SourceError
-            If the parent lags, or an update was lost on the way; a new
-            subscription brings what is missing.
+            If the parent lags, or an update was lost on the way. A new
+            subscription sends what is missing.
         """
         distribution = self._distribution
         generation = distribution.generations.pointer.generation
         if digest.generation == 0:
-            raise SourceError("the parent has learned nothing yet")
+            raise SourceError("parent has no configuration yet")
         if digest.depth >= MAX_DEPTH:
-            raise SourceError(f"too far from the store: {digest.depth} steps")
+            raise SourceError(
+                f"parent is {digest.depth} hops from the store, maximum {MAX_DEPTH - 1}"
+            )
         distribution.selector.source_answered(self)
         distribution.record_store_contact(digest.age, digest.depth + 1)
-        # A digest is sent after all that the parent has to tell.
+        # The parent sends a digest after all pending updates.
         distribution.mark_synchronized()
         services = distribution.generations.services
         same = digest.rosters == distribution.rosters_digest(services)
         if digest.generation == generation and same:
             self._differences = 0
             return
-        # One difference may be a change on its way, or a roster that this
-        # daemon wrote itself and the parent hasn't heard of yet.
+        # A single difference may be a change on its way, or a roster that this
+        # daemon wrote itself and the parent hasn't received yet.
         self._differences += 1
         if self._differences >= MAX_DIFFERENCES:
-            raise SourceError("lags, or an update was lost")
+            raise SourceError("parent lags, or an update was lost")
 
 
 def _decode_change(update: ConfigurationUpdate) -> ManifestChange:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/permissions.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/permissions.py
@@ -1,8 +1,8 @@
-"""What the holder of a certificate may ask a daemon for.
+"""Permissions of callers, by the common name of their certificate.
 
-Every certificate of the authority may ask for the status. Those of operators,
-whom the configuration names, get nothing secret; with operators named, only
-they may drain.
+Every holder of a certificate of the authority may read the status. Operators are
+named in the configuration and get no secrets. If any are named, only operators
+may drain.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def common_name(stream: Stream) -> str:
-    """Return the common name of the caller's certificate, or nothing."""
+    """Return the common name of the caller's certificate; empty if it has none."""
     certificate = stream.peer.cert() or {}
     for names in certificate.get("subject", ()):
         for key, value in names:
@@ -29,23 +29,25 @@
 
 
 def may_act_as_daemon(operators: Operators, name: str) -> bool:
-    """Whether the configuration with its keys may go to ``name``.
+    """Return whether a caller may use the calls between daemons.
 
-    An operator's certificate lies on desks and laptops; with the keys, its
-    finder could forge the tunnel's datagrams and every connection id.
+    These give access to the keys of the configuration. Operators are excluded, as
+    their certificates are kept on laptops and may be stolen. With the keys, a thief
+    could forge tunnel datagrams and connection IDs.
     """
     return name not in operators
 
 
 def may_drain(operators: Operators, name: str, service: str) -> bool:
-    """Tell whether an operator may drain an agent or an entry.
+    """Return whether a caller may drain an agent or an entry.
 
     Parameters
     ----------
     operators : Operators
-        Those of the configuration in force; without any everybody may.
+        The operators of the configuration in force. If there are none, every
+        caller may drain.
     name : str
-        The operator's name, from the certificate.
+        The common name of the caller's certificate.
     service : str
         The agent's service; empty for an entry.
     """
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/selection.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/selection.py
@@ -1,8 +1,9 @@
-"""Choosing whom to learn from, and leaving a source that is of no use.
+"""Selection of the source that a daemon follows.
 
-Every daemon follows one source at a time: the store, or a parent that derives
-from the list of daemons. When the source fails the next one is tried, and the
-store or any other daemon is taken rather than none.
+Every daemon follows one source at a time: the store, or a parent derived from
+the list of daemons. When the source fails, the next candidate is tried. A daemon
+whose parents all fail falls back to the store, and a daemon that watches the
+store falls back to other daemons.
 """
 
 from __future__ import annotations
@@ -31,44 +32,44 @@
 __all__ = ["MAX_STORE_AGE_SECONDS", "SourceSelector"]
 
 MAX_STORE_AGE_SECONDS = 6.0
-"""Seconds that a source may be cut off from the store before others are tried."""
+"""Time that a source may be cut off from the store before others are tried."""
 
 MIN_STAY_SECONDS = 2.0
 MAX_STAY_SECONDS = 320.0
-"""Least and most seconds that a daemon stays with a source that is cut off, once
-every source was. With the store down none is better, and changing between them
-again and again would be of no use to anyone."""
+"""Time that a daemon stays with a source that is cut off, doubled after each round in
+which every source was cut off. While the store is down no source is better, and
+switching between them would only cost calls."""
 
 MIN_BACKOFF_SECONDS = 0.2
 MAX_BACKOFF_SECONDS = 3.0
-"""Seconds between two rounds over all sources, doubled after each."""
+"""Pause between two rounds over all sources, doubled after each round."""
 
 PARENT_RETRY_SECONDS = 30.0
-"""Seconds after which a daemon that fell back to the store tries its parents."""
+"""Time after which a daemon that fell back to the store tries its parents again."""
 
 STORE_RETRY_SECONDS = 5.0
-"""Seconds after which a daemon that should watch the store tries it again. Two
-that learned from each other for longer would hear of no change."""
+"""Time after which a daemon that should watch the store tries it again. Two watchers
+that followed each other for longer would receive no change."""
 
 POSITION_CHECK_SECONDS = 30.0
-"""Seconds between looks at whether a daemon should still watch the store. Those
-that start together know of few others and all watch it at first."""
+"""Time between checks whether a daemon should still watch the store. Daemons that
+start at the same time know of few others, so all of them watch it at first."""
 
 
 class SourceSelector:
-    """Follows sources on behalf of a distribution.
+    """Selects and follows the sources of a distribution.
 
     Parameters
     ----------
     node : Node
         The daemon.
     distribution : Distribution
-        Where what is learned goes; its ``origin`` is the store.
+        Receives the updates; its ``origin`` is the store.
 
     Attributes
     ----------
     watches_store : bool
-        Whether this daemon follows the store rather than others.
+        Whether this daemon should follow the store rather than other daemons.
     """
 
     def __init__(self, node: Node, distribution: Distribution) -> None:
@@ -84,17 +85,17 @@
 
     @property
     def reason(self) -> str:
-        """What each source that failed answered last."""
+        """The last error of each source that failed."""
         return "; ".join(
             f"{name}: {reason}" for name, reason in self._failures_by_source.items()
         )
 
     def start(self) -> None:
-        """Start to learn."""
+        """Start to follow sources."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop to learn."""
+        """Stop following sources."""
         if self._task is None:
             return
         self._task.cancel()
@@ -102,17 +103,22 @@
             await self._task
 
     def source_answered(self, source: Source) -> None:
-        """Note that a source answered."""
+        """Record that a source answered."""
         if self._failures_by_source.pop(source.name, None) is not None:
             self._node.log("source-back", source=source.name)
 
     def check_age(self, age: float) -> None:
-        """Judge the followed source by when it last heard of the store.
+        """Check the age of the followed source's last contact with the store.
+
+        Parameters
+        ----------
+        age : float
+            Seconds since that contact.
 
         Raises
         ------
         SourceError
-            If that is too long ago, and another source may be better.
+            If the contact is too old and another source may be better.
         """
         if age <= MAX_STORE_AGE_SECONDS:
             self._stay_seconds = 0.0
@@ -135,12 +141,16 @@
             else:
                 doubled = max(MIN_STAY_SECONDS, self._stay_seconds * 2)
                 self._stay_seconds = min(MAX_STAY_SECONDS, doubled)
-            # Jitter: all that lost the same parent would come back at once.
+            # Jitter: otherwise all daemons that lost the same parent would
+            # reconnect at once.
             await asyncio.sleep(pause * random.uniform(0.5, 1.5))
             pause = min(MAX_BACKOFF_SECONDS, pause * 2)
 
     async def _sources(self) -> list[tuple[Source, float | None]]:
-        """Return what to try in order, each with the seconds to stay with it."""
+        """Return the sources to try in order.
+
+        Each comes with the seconds to follow it, or None for no limit.
+        """
         position = await self._tree_position()
         self.watches_store = position.watches_store
         distribution = self._distribution
@@ -158,7 +168,7 @@
         ]
 
     async def _tree_position(self) -> TreePosition:
-        """Return the place of this daemon among the others."""
+        """Return the position of this daemon in the distribution tree."""
         control = self._node.settings.control
         own = self._distribution.control
         if control.watchers:
@@ -173,7 +183,10 @@
         return TreePosition(False, tuple(rendezvous.rank(name, others)))
 
     async def _read_candidates(self) -> frozenset[str]:
-        """Return the daemons that serve others, as far as known."""
+        """Return the control addresses of the daemons that may be parents.
+
+        If the list can't be read, those of the last read.
+        """
         settings = self._node.settings
         if settings.control.parents:
             return frozenset(map(str, settings.control.parents))
@@ -183,17 +196,17 @@
             return self._candidates
         found = {str(daemon.control) for daemon in daemons.values()}
         if settings.role is Role.ENTRY:
-            # It is about to be announced. Without it in the list, it could
-            # choose a parent that in turn chooses it.
+            # This entry is about to be announced. If it left itself out, it
+            # could choose a parent that in turn chooses it.
             found.add(self._distribution.control)
         self._candidates = frozenset(found)
         return self._candidates
 
     async def _follow(self, source: Source, limit: float | None) -> None:
-        """Learn from a source until it fails, or for some seconds."""
+        """Follow a source until it fails or the limit in seconds is reached."""
         self._distribution.newer_generation_reported.clear()
         self._followed_at = time.monotonic()
-        reason = "time to try the others again"
+        reason = "time limit reached, trying the other sources again"
         try:
             async with asyncio.timeout(limit):
                 await self._follow_while_due(source, limit)
@@ -202,9 +215,9 @@
         except TimeoutError:
             pass
         except Exception as error:
-            # A fault of ours in taking what a source told would end all
-            # learning without a word; the daemon would keep an old generation
-            # for ever. Other sources may tell it in a way that works.
+            # A bug in the handling of an update would otherwise silently end
+            # this task, and the daemon would keep an old generation forever.
+            # Updates of another source may not trigger it.
             reason = f"{type(error).__name__}: {error}"
             self._node.count("distribution.source_failed")
         self._node.count("distribution.source_left")
@@ -213,7 +226,7 @@
             self._node.log("source-left", source=source.name, reason=reason)
 
     async def _follow_while_due(self, source: Source, limit: float | None) -> None:
-        """Learn from a source; from the store only while that is due."""
+        """Follow a source; the store only while this daemon should watch it."""
         if limit is not None or source is not self._distribution.origin:
             await source.follow()
             return
@@ -222,13 +235,13 @@
         try:
             await asyncio.wait((review, follow), return_when=asyncio.FIRST_COMPLETED)
             if review.done():
-                raise SourceError("enough others watch the store")
+                raise SourceError("enough other daemons watch the store")
             follow.result()
         finally:
             await cancel_and_wait({review, follow})
 
     async def _wait_until_not_watcher(self) -> None:
-        """Return once this daemon should learn from another one."""
+        """Return once this daemon should follow a parent instead of the store."""
         while True:
             await asyncio.sleep(POSITION_CHECK_SECONDS * random.uniform(0.5, 1.5))
             if not (await self._tree_position()).watches_store:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/settings.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/settings.py
@@ -1,7 +1,7 @@
-"""The settings file of a daemon: its model, its reading and its checks.
+"""The settings file of a daemon: its model, parsing and validation.
 
-The sections below are the only list of settings; the checks and the
-reference for operators are both derived from their fields.
+The sections below are the only definition of the settings. The validation and the
+reference for operators are derived from their fields.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 
 class Role(enum.StrEnum):
-    """What the daemon does."""
+    """The role of a daemon."""
 
     ENTRY = "entry"
     AGENT = "agent"
 
 
 class StoreSettings(NamedTuple):
-    """How to reach the platform's key-value service."""
+    """Access to the platform's key-value service."""
 
     addresses: Annotated[tuple[Address, ...], "addresses of the key-value service"]
     timeout: Annotated[float, "seconds to wait for an answer"] = 2.0
@@ -50,44 +50,46 @@
     address: Annotated[Address, "TCP address; port 0 picks a free one"]
     certificate: Annotated[Path, "PEM file of this daemon's certificate"]
     key: Annotated[Path, "PEM file of its private key"]
-    authority: Annotated[Path, "PEM file of the authority that signs all of them"]
+    authority: Annotated[Path, "PEM file of the authority that signs the certificates"]
     parents: Annotated[
         tuple[Address, ...],
-        "control addresses to learn from; empty: the daemons announced in the "
-        "store, or with watchers 0 the store itself",
+        "control addresses of the daemons to follow; empty: the daemons announced "
+        "in the store, or with watchers 0 the store itself",
     ] = ()
     watchers: Annotated[
-        int, "daemons of a data centre that watch the store; 0: every one"
+        int, "daemons per data centre that watch the store; 0: all of them"
     ] = 2
-    fan_out: Annotated[int, "daemons that learn from each other one, about"] = 8
+    fan_out: Annotated[int, "approximate number of daemons that follow each one"] = 8
 
 
 class MetricsSettings(NamedTuple):
-    """Where counters and timings go."""
+    """Export of counters and timings."""
 
-    statsd: Annotated[Address | None, "UDP address of a statsd; none: only kept"] = None
+    statsd: Annotated[
+        Address | None, "UDP address of a statsd; none: values are only kept in memory"
+    ] = None
     prefix: Annotated[str, "first part of every name sent to statsd"] = "zinniahook"
 
 
 class EntrySettings(NamedTuple):
-    """An entry alone reads these."""
+    """Settings of an entry."""
 
-    bind_host: Annotated[str, "takes the place of the host of service addresses"] = ""
-    drain: Annotated[float, "seconds to go on forwarding after SIGTERM"] = 1.0
+    bind_host: Annotated[str, "replaces the host of the service addresses"] = ""
+    drain: Annotated[float, "seconds to continue forwarding after SIGTERM"] = 1.0
 
 
 class AgentSettings(NamedTuple):
-    """An agent alone reads these."""
+    """Settings of an agent."""
 
     service: Annotated[str, "name of the service that the target serves"]
-    target: Annotated[Address, "where the target listens"]
+    target: Annotated[Address, "address that the target listens on"]
     certificate: Annotated[Path, "PEM file of the service's certificate"]
     key: Annotated[Path, "PEM file of its private key"]
-    slots: Annotated[int, "requests the target can run at a time"] = 4
+    slots: Annotated[int, "requests that the target can run at a time"] = 4
 
 
 class Settings(NamedTuple):
-    """A whole settings file."""
+    """A complete settings file."""
 
     role: Annotated[Role, "entry or agent"]
     name: Annotated[str, "name of this instance, unique among all daemons"]
@@ -101,7 +103,7 @@
 
 
 class SettingsError(ZinniahookError):
-    """The settings can't be used; the message is one line for operators.
+    """The settings are invalid; the message is a single line for operators.
 
     Parameters
     ----------
@@ -110,9 +112,9 @@
     file : Path
         The settings file.
     key : str
-        Dotted name of the setting, or empty if the file itself is at fault.
+        Dotted name of the setting, or empty if the file itself is invalid.
     reason : str
-        What is wrong with it.
+        What is wrong with the setting or the file.
     """
 
     def __init__(self, code: Code, file: Path, key: str, reason: str) -> None:
@@ -124,17 +126,17 @@
 
 
 class _Location(NamedTuple):
-    """Where a value stands: for messages, and as the base of paths."""
+    """The location of a value, for error messages and as the base of paths."""
 
     file: Path
     key: str
 
     def child(self, name: str) -> _Location:
-        """Return the place of a setting below this one."""
+        """Return the location of a setting below this one."""
         return _Location(self.file, f"{self.key}.{name}" if self.key else name)
 
     def error(self, code: Code, reason: str) -> SettingsError:
-        """Return an error about this place."""
+        """Return an error about this location."""
         return SettingsError(code, self.file, self.key, reason)
 
 
@@ -143,7 +145,7 @@
 
 
 def _register_reader(kind: Any) -> Callable[[Reader], Reader]:
-    """Register a function that checks a TOML value of a setting's type."""
+    """Register the function that reads and checks TOML values for a type."""
 
     def register(reader: Reader) -> Reader:
         _readers_by_type[kind] = reader
@@ -153,23 +155,23 @@
 
 
 def load(file: Path) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Parameters
     ----------
     file : Path
-        A TOML file; paths in it are relative to its directory.
+        A TOML file. Paths in it are relative to its directory.
 
     Returns
     -------
     Settings
-        The checked settings.
+        The validated settings.
 
     Raises
     ------
     SettingsError
-        If the file can't be read or a setting is unknown, missing, of the
-        wrong type, not an address, or names a file that isn't there.
+        If the file can't be read, or a setting is unknown, missing, of the
+        wrong type, not an address, or names a file that doesn't exist.
     """
     location = _Location(file, "")
     try:
@@ -198,7 +200,7 @@
 
 
 def _read_section(model: Any, table: Mapping[str, Any], location: _Location) -> Any:
-    """Check a table against the fields of a section."""
+    """Return the section that a table describes, checked against its fields."""
     types_by_name = get_type_hints(model)
     for name in table:
         if name not in types_by_name:
@@ -216,7 +218,7 @@
 
 
 def _read_value(kind: Any, value: Any, location: _Location) -> Any:
-    """Check one value against the type of its field."""
+    """Return a value, checked against the type of its field."""
     if type(None) in get_args(kind):
         kind = next(option for option in get_args(kind) if option is not type(None))
     if hasattr(kind, "_fields") and kind is not Address:
@@ -245,7 +247,9 @@
 @_register_reader(int)
 def _read_integer(value: Any, location: _Location) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
-        raise location.error(Code.SETTINGS_TYPE, "should be a whole number from 0")
+        raise location.error(
+            Code.SETTINGS_TYPE, "should be a whole number of at least 0"
+        )
     return value
 
 
@@ -253,7 +257,7 @@
 def _read_number(value: Any, location: _Location) -> float:
     number = isinstance(value, int | float) and not isinstance(value, bool)
     if not number or not 0 <= value < float("inf"):
-        raise location.error(Code.SETTINGS_TYPE, "should be a number from 0")
+        raise location.error(Code.SETTINGS_TYPE, "should be a number of at least 0")
     return float(value)
 
 
@@ -270,7 +274,7 @@
 
 
 def _check_host(host: str, location: _Location) -> None:
-    """Refuse a host name: to look it up would hold the loop."""
+    """Reject a host name: resolving it would block the event loop."""
     try:
         ipaddress.ip_address(host)
     except ValueError as error:
@@ -292,7 +296,7 @@
     try:
         found = path.is_file()
     except OSError as error:
-        # A directory that this user may not enter, or a name too long.
+        # A directory without access, or a name that is too long.
         reason = f"{error.strerror}: {path}"
         raise location.error(Code.SETTINGS_FILE_MISSING, reason) from None
     if not found:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/sources.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/sources.py
@@ -1,4 +1,4 @@
-"""What a daemon can learn the configuration and the rosters from."""
+"""Base class of the sources of the configuration and the rosters."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 
 class SourceError(Exception):
-    """A source is of no use now; the message says why."""
+    """A source can't be used now; the message is the reason."""
 
 
 class Source(abc.ABC):
-    """Something to learn from.
+    """A source of the configuration and the rosters.
 
     Attributes
     ----------
     name : str
-        For logs.
+        The name of the source in logs.
     """
 
     name: str
 
     @abc.abstractmethod
     async def follow(self) -> None:
-        """Learn all, then every change, until the source fails.
+        """Apply the whole state, then every change, until the source fails.
 
         Raises
         ------
         SourceError
-            Why it is of no use now.
+            Why the source can't be used now.
         """
 
 
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/subscriptions.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/subscriptions.py
@@ -1,4 +1,4 @@
-"""Serving the daemons that learn from this one."""
+"""Updates to the daemons that subscribe to this one."""
 
 from __future__ import annotations
 
@@ -26,33 +26,34 @@
 __all__ = ["DIGEST_INTERVAL_SECONDS", "Subscription"]
 
 DIGEST_INTERVAL_SECONDS = 1.0
-"""Seconds between digests, by which a subscriber finds what it lost."""
+"""Time between digests, by which a subscriber detects lost updates."""
 
 UPDATE_SIZE_BYTES = 256 * 1024
-"""Bytes of values put into one update, about."""
+"""Size of the values in an update after which the update is sent."""
 
 SEND_TIMEOUT_SECONDS = 10.0
-"""Seconds that a subscriber may take for one update.
+"""Time that a subscriber may take to accept an update.
 
-A subscriber that is paused or cut off without a word takes nothing more; it
-would be kept, with all that changes meanwhile, for as long as TCP tries.
+A subscriber that is paused or silently cut off accepts nothing more. Without this
+limit it would be kept, with all pending changes, for as long as TCP retransmits.
 """
 
 
 class Subscription:
-    """One subscriber and what it still has to be told.
+    """A subscriber and the updates that it still has to receive.
 
-    What changes while an update is on its way is gathered in a set, so a slow
-    subscriber costs a bounded amount of memory and skips what is outdated.
+    Services whose rosters change while an update is being sent are collected in a
+    set, so a slow subscriber uses a bounded amount of memory and skips outdated
+    revisions.
 
     Parameters
     ----------
     distribution : Distribution
-        What is known here.
+        The state to send.
     request : SubscribeRequest
-        What the subscriber has and wants.
+        What the subscriber holds and needs.
     stream : Stream
-        Where to send.
+        The stream to the subscriber.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         )
         self._revisions_by_service = dict(request.revisions_by_service)
         self._digests = set(request.digests)
-        # The manifest that the subscriber holds; the next is told as a change.
+        # The next manifest is sent as a change against this one.
         self._subscriber_manifest = distribution.generations.stored(request.manifest)
         self._sent_pointer = b""
         self._closing = False
@@ -77,27 +78,29 @@
         self._changed_services: set[str] = set()
 
     def close(self) -> None:
-        """End the stream, so that the subscriber turns to others at once."""
+        """End the stream, so that the subscriber switches to another source at once."""
         self._closing = True
         self._wakeup.set()
 
     def notify_configuration(self) -> None:
-        """Note that the configuration changed."""
+        """Schedule an update of the configuration."""
         self._wakeup.set()
 
     def notify_roster(self, service: str) -> None:
-        """Note that a roster changed."""
+        """Schedule an update of a roster."""
         if self._wants(service):
             self._changed_services.add(service)
             self._wakeup.set()
 
     async def run(self) -> None:
-        """Push until the subscriber is gone or `close` was called.
+        """Send updates until `close` is called.
 
         Raises
         ------
         GRPCError
-            If this daemon doesn't hold what the subscriber wants.
+            If this daemon doesn't hold all services that the subscriber needs.
+        TimeoutError
+            If the subscriber doesn't accept an update in time.
         """
         known = self._distribution.rosters.revisions_by_service
         self._changed_services.update(filter(self._wants, known))
@@ -114,12 +117,12 @@
         return self._services is None or service in self._services
 
     async def _send_configuration(self) -> None:
-        """Send the pointer and what its generations need."""
+        """Send the pointer and the generations that it refers to."""
         generations = self._distribution.generations
         pointer = generations.pointer_value
         if pointer == self._sent_pointer:
             return
-        # Before its pointer is sent, a generation must be whole here.
+        # The pointer is sent only once its generations are complete here.
         numbers = generations.named_generations()
         held = [generations.stored(number) for number in numbers]
         if not all(held):
@@ -130,7 +133,8 @@
                 if generations.missing_digests(number):
                     return
                 raise GRPCError(
-                    Status.FAILED_PRECONDITION, "holds fewer services than wanted"
+                    Status.FAILED_PRECONDITION,
+                    "this daemon holds fewer services than requested",
                 )
             if not await self._send_generation(pointer, stored):
                 return
@@ -145,7 +149,8 @@
         Returns
         -------
         bool
-            False if a newer one came meanwhile and this one is not whole now.
+            False if a newer generation arrived meanwhile and values of this one
+            were dropped.
         """
         generations = self._distribution.generations
         wanted = stored.digests(self._services)
@@ -170,7 +175,7 @@
         return True
 
     def _manifest_update(self, stored: StoredGeneration) -> ConfigurationUpdate:
-        """Return an update with the manifest, as a change if that will do."""
+        """Return an update with the manifest, as a change where possible."""
         change = None
         if self._subscriber_manifest is not None:
             change = self._distribution.generations.change(
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/trees.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/trees.py
@@ -1,7 +1,7 @@
-"""Who learns from whom among many daemons.
+"""The tree by which the daemons of a data centre distribute the configuration.
 
-Every daemon derives its own place from a list of control addresses that all
-of them share; nobody assigns places, and none is set aside.
+Every daemon derives its own position from a list of control addresses that all of
+them share. Positions are neither assigned nor stored.
 """
 
 from __future__ import annotations
@@ -14,18 +14,19 @@
 __all__ = ["TreePosition", "tree_position"]
 
 ORDER_KEY = b"distribution"
-"""Key of the rank that orders a list. A joining or leaving daemon doesn't
-change the order of the others."""
+"""Key of the rendezvous hash that orders the candidates. A daemon that joins or leaves
+doesn't change the relative order of the others."""
 
 MAX_PARENTS = 3
-"""Parents a daemon tries before it turns to the store."""
+"""Parents that a daemon tries before the store."""
 
 
 class TreePosition(NamedTuple):
-    """What a daemon follows.
+    """The sources of a daemon.
 
-    ``watches_store`` tells that it follows the store, and others only while the
-    store doesn't answer. ``parents`` are control addresses, best first.
+    If ``watches_store`` is true, the daemon follows the store, and its parents
+    only while the store doesn't answer. ``parents`` are control addresses, best
+    first.
     """
 
     watches_store: bool
@@ -35,24 +36,24 @@
 def tree_position(
     own: str, candidates: Collection[str], watchers: int, fan_out: int
 ) -> TreePosition:
-    """Return the place of a daemon.
+    """Return the position of a daemon in the tree.
 
     Parameters
     ----------
     own : str
-        Its control address; a leaf if it isn't among the candidates.
+        Its control address. The daemon is a leaf if this isn't a candidate.
     candidates : collection of str
-        Control addresses of the daemons that serve others.
+        Control addresses of the daemons that may be parents.
     watchers : int
-        How many of them follow the store.
+        Number of candidates that follow the store.
     fan_out : int
-        How many children each of them should have among the candidates.
+        Number of children that a candidate should have among the candidates.
 
     Returns
     -------
-    Place
-        Each parent stands before its children in the common order, so no
-        daemons can learn from each other in a ring.
+    TreePosition
+        Each parent precedes its children in the shared order, so daemons can't
+        follow each other in a cycle.
     """
     order = rendezvous.rank(ORDER_KEY, candidates)
     if own not in candidates:
