--- a/packages/zinniahook-daemon/tests/conftest.py
+++ b/packages/zinniahook-daemon/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Nodes in this process, for the tests of the daemon."""
+"""Fixtures that run nodes inside the test process."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from zinniahook_wire import documents
 from zinniahook_wire.documents import Parts, Pointer
 
-# Lets the tests of this folder import the modules beside them.
+# Allows the tests in this folder to import its helper modules.
 sys.path.insert(0, str(Path(__file__).parent))
 
 ANY_PORT = Address("127.0.0.1", 0)
@@ -38,7 +38,7 @@
 
 
 class Nodes:
-    """Makes nodes without a store and hands them generations."""
+    """Starts nodes, by default without a store, and adds generations to them."""
 
     def __init__(self, folder: Path) -> None:
         (folder / "ours").mkdir()
@@ -56,10 +56,11 @@
         store: Address | None = None,
         **control: int,
     ) -> AsyncIterator[Node]:
-        """Start a node; an agent's if ``service`` is given."""
+        """Start a node: an agent if ``service`` is given, otherwise an entry."""
         store = store or Address("127.0.0.1", closed_port())
         files = files or self.authority.issue(name)
-        # The parents that a test names, or the store: no places in a tree.
+        # Without watchers, a node follows the given parents, or the store, rather
+        # than parents derived from its position in the tree.
         control.setdefault("watchers", 0)
         agent = AgentSettings(service, ANY_PORT, files.certificate, files.key)
         settings = Settings(
@@ -87,7 +88,7 @@
         pointer: Pointer | None = None,
         operators: Mapping[str, Operator] | None = None,
     ) -> None:
-        """Hand a generation to a node, as the store would."""
+        """Add a generation to a node, as if read from the store."""
         pointer = pointer or Pointer(generation, "op")
         parts = self.parts(generation, services, operators or {})
         generations = node.distribution.generations
@@ -120,14 +121,14 @@
 
 
 def closed_port() -> int:
-    """Return a port on which nobody listens."""
+    """Return a port on which no process listens."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Wait until a condition holds; fail after a generous time."""
+    """Wait until a condition holds; fail after `TIMEOUT_SECONDS`."""
     async with asyncio.timeout(TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.01)
@@ -140,7 +141,7 @@
 
 @pytest.fixture
 def quic_configuration(tmp_path: Path) -> QuicConfiguration:
-    """Make what a service's QUIC server is configured with."""
+    """Return the configuration of a service's QUIC server."""
     files = Authority(tmp_path).issue("service")
     return make_configuration(files.certificate, files.key)
 
@@ -152,7 +153,7 @@
 
 @pytest.fixture
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let watchers and announcers of the packet service pause for a moment only."""
+    """Shorten the pauses of watchers and announcers of the packet service."""
     names = (
         "POLL_INTERVAL_SECONDS",
         "MIN_IDLE_SECONDS",
--- a/packages/zinniahook-daemon/tests/test_clocks.py
+++ b/packages/zinniahook-daemon/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""The clock of a daemon goes on while its machine sleeps."""
+"""The clock of a daemon includes time that its machine is suspended."""
 
 import time
 
@@ -7,11 +7,10 @@
 
 class TestLoop:
     def test_suspended_time_is_counted(self, monkeypatch):
-        """Suspended machine.
+        """Guards against an agent that continues after its peers have taken over.
 
-        Symptom: an agent goes on after a pause in which peers took over.
-        Sequence: the machine is suspended and resumed. Cause: the monotonic
-        clock stands still meanwhile, the time since boot does not.
+        Its machine is suspended and resumed. The monotonic clock stops meanwhile,
+        the time since boot doesn't.
         """
         slept = 0.0
         read = time.clock_gettime
--- a/packages/zinniahook-daemon/tests/test_distribution.py
+++ b/packages/zinniahook-daemon/tests/test_distribution.py
@@ -1,4 +1,4 @@
-"""How daemons learn what is in force, from each other and from the store."""
+"""Distribution of configuration and rosters between daemons."""
 
 from __future__ import annotations
 
@@ -34,16 +34,16 @@
 
 
 def hand_over_roster(node, roster: Roster) -> None:
-    """Hand a roster to a node, as the store would."""
+    """Give a roster to a node, as if read from the store."""
     node.distribution.update_roster(roster, documents.roster_to_json(roster))
 
 
 class TestLearningFromParents:
     def test_a_restarted_daemon_learns_with_the_store_down(self, nodes, eventually):
-        """Symptom: a daemon restarted during an outage of the store stays idle.
+        """Guards against a daemon that stays idle after a restart without the store.
 
-        Sequence: the store is down, a daemon starts, a peer has all it needs.
-        Cause: it would ask the store only.
+        The store is down, a daemon starts, and a peer has everything it needs.
+        Otherwise the daemon would ask only the store.
         """
 
         async def run():
@@ -54,7 +54,7 @@
                     await asyncio.wait_for(child.ready(), 20)
                     assert child.generation == 3
                     assert child.configuration == parent.configuration
-                    # Ready with the rosters, or new flows would be dropped.
+                    # Ready only with the rosters; otherwise it would drop new flows.
                     child_rosters, parent_rosters = (
                         child.distribution.rosters,
                         parent.distribution.rosters,
@@ -107,11 +107,11 @@
         asyncio.run(run())
 
     def test_a_manifest_of_another_content_is_asked_for_whole(self, nodes, eventually):
-        """Symptom: a daemon goes from parent to parent at each change.
+        """Guards against a daemon that switches parents at each change.
 
-        Sequence: the child holds another manifest of the same number than
-        its parent, as after the store was emptied; the parent gets a change.
-        Cause: a change against one doesn't fit the other.
+        The child and its parent hold different manifests of the same generation,
+        as after the store was emptied, and the parent receives a change. A change
+        against its manifest doesn't apply to the child's.
         """
 
         async def run():
@@ -152,11 +152,11 @@
         asyncio.run(run())
 
     def test_a_lagging_parent_is_left(self, nodes, eventually):
-        """Symptom: an accepted change never reaches some daemons.
+        """Guards against an accepted change that never reaches some daemons.
 
-        Sequence: a parent is cut off from the store, its child is told of a
-        newer generation by a tunnel datagram, another parent has it.
-        Cause: a quiet parent looks the same as a parent that lags.
+        A parent is cut off from the store, its child receives the number of a newer
+        generation in a tunnel datagram, and another parent has that generation. A
+        parent that lags looks like a parent without changes.
         """
 
         async def run():
@@ -179,10 +179,10 @@
         asyncio.run(run())
 
     def test_a_dead_parent_is_replaced(self, nodes, eventually):
-        """Symptom: daemons stop hearing of changes after one was killed.
+        """Guards against daemons that receive no changes after a parent was killed.
 
-        Sequence: the followed parent ends, the other one gets a change.
-        Cause: the child would wait for its own parent to come back.
+        The followed parent ends, and the other one receives a change. Otherwise the
+        child would wait for its parent to return.
         """
 
         async def run():
@@ -202,11 +202,11 @@
 
 class TestStagedRollout:
     def test_each_stage_reaches_only_the_named_instances(self, nodes, eventually):
-        """Symptom: a risky change is in force where it should not be yet.
+        """Guards against a staged change that is in force too early.
 
-        Sequence: it is rolled out to one instance, which passes it on to the
-        daemons that learn from it; then the rollout goes on to all.
-        Cause: a daemon would put in force whatever its parent has.
+        The change is rolled out to a single instance, which passes it on to the
+        daemons that follow it, and then to all. Otherwise a daemon would put in
+        force whatever its parent has in force.
         """
 
         async def run():
@@ -227,10 +227,10 @@
 
 class TestNoRollback:
     def test_a_lower_generation_is_refused(self, nodes):
-        """Symptom: an accepted change reverts on a daemon.
+        """Guards against an accepted change that is reverted on a daemon.
 
-        Sequence: a daemon changes to a source that lags behind.
-        Cause: the source's word would be taken without a comparison.
+        A daemon switches to a source that lags. Without a comparison, it would
+        accept the source's older generation.
         """
 
         async def run():
@@ -281,10 +281,10 @@
 
 class TestAuthentication:
     def test_a_foreign_certificate_gets_nothing(self, nodes):
-        """Symptom: a stranger reads the keys of the configuration.
+        """Guards against a foreign process that reads the configuration's keys.
 
-        Sequence: a process with a certificate of another authority calls.
-        Cause: TLS without a check of the client's certificate.
+        A process with a certificate of another authority calls. The keys would leak
+        if TLS didn't verify the client's certificate.
         """
 
         async def run():
@@ -306,10 +306,10 @@
         asyncio.run(run())
 
     def test_certificates_are_reloaded(self, nodes, eventually):
-        """Symptom: calls fail once a certificate has been replaced.
+        """Guards against calls that fail once a certificate has been replaced.
 
-        Sequence: the files change under a running daemon, which is told.
-        Cause: the context would keep what it read at the start.
+        The files of a running daemon change, and it is asked to reload them.
+        Otherwise the context would keep the certificate read at the start.
         """
 
         async def run():
@@ -342,13 +342,13 @@
 
 
 class TestPermissions:
-    """What a certificate of our own authority doesn't open."""
+    """Limits of certificates issued by the daemons' own authority."""
 
     def test_an_operator_gets_no_keys(self, nodes):
-        """Symptom: who finds an operator's certificate reads the keys.
+        """Guards against a stolen operator's certificate that gives access to the keys.
 
-        Sequence: a subscriber shows an operator's certificate.
-        Cause: every certificate of the authority would be a daemon's.
+        A subscriber presents an operator's certificate. Otherwise every certificate
+        of the authority would be accepted as a daemon's.
         """
 
         async def run():
@@ -445,7 +445,7 @@
 
 
 async def call(node, name, request, context=None):
-    """Call a node's control server as one of its own kind."""
+    """Call a node's control server, by default with the node's own certificate."""
     context = context or node.certificates.client
     channel = Channel(*node.control_address, ssl=context)
     try:
@@ -455,7 +455,7 @@
 
 
 async def wait_for_same_rosters(parent, child):
-    """Wait until both hold the same rosters."""
+    """Wait until both nodes hold the same revisions of the rosters."""
     async with asyncio.timeout(20):
         while (
             child.distribution.rosters.revisions_by_service
--- a/packages/zinniahook-daemon/tests/test_metrics.py
+++ b/packages/zinniahook-daemon/tests/test_metrics.py
@@ -40,10 +40,10 @@
         assert metrics.counters_by_name == {"entry.dropped.NO_AGENT": 4}
 
     def test_a_server_may_have_an_ipv6_address(self):
-        """Symptom: the daemon ended at its start, with code 0.
+        """Guards against a daemon that exits at its start, with code 0.
 
-        Sequence: the settings name a statsd by an IPv6 address. Cause: the
-        client of statsd takes every address for one of IPv4 unless told.
+        The settings contain an IPv6 address of a statsd. The statsd client
+        expects IPv4 addresses unless it is created with ``ipv6``.
         """
         with socket.socket(socket.AF_INET6, socket.SOCK_DGRAM) as server:
             server.bind(("::1", 0))
@@ -77,10 +77,10 @@
         assert decoded.get_max_value() == pytest.approx(MAX_TIME_MICROSECONDS, rel=0.02)
 
     def test_unsent_timings_are_bounded(self):
-        """Symptom: memory grows as long as no statsd is set.
+        """Guards against memory that grows while no statsd is set.
 
-        Sequence: times are recorded for hours and never sent.
-        Cause: single timings would be kept for a flush that never comes.
+        Times are recorded for hours and never sent. Without a limit, single
+        timings would be kept for a flush that never comes.
         """
         metrics = Metrics(MetricsSettings(), "a")
         for _ in range(10 * MAX_UNSENT_TIMINGS):
--- a/packages/zinniahook-daemon/tests/test_settings.py
+++ b/packages/zinniahook-daemon/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Checks of the settings file."""
+"""Validation of the settings file."""
 
 from __future__ import annotations
 
@@ -63,10 +63,10 @@
 
 
 class TestFaults:
-    """Symptom: a daemon started with a slip in its settings file.
+    """Guards against a daemon that starts with a mistake in its settings file.
 
-    Sequence: an operator edits the file, the daemon reads it. Cause: the
-    slip, which must be named with its place before anything is started.
+    An operator edits the file, and the daemon reads it. The mistake must be reported
+    with its location before anything is started.
     """
 
     @pytest.mark.parametrize(
@@ -137,11 +137,11 @@
         assert (done.returncode, done.stdout, done.stderr) == (0, "", "")
 
     def test_an_address_in_use_is_reported_with_its_code(self, directory):
-        """Two daemons of one machine were given the same address.
+        """Guards against a log with code 0 and without the address.
 
-        Symptom: the second one ends, and its log has code 0 and no address.
-        Sequence: the tunnel's address is bound, a daemon starts on it.
-        Cause: the error of the system names neither.
+        Two daemons of a machine have the same tunnel address in their settings,
+        so the second one exits. The error of the operating system contains
+        neither the address nor a result code.
         """
         Authority(directory).issue("daemon")
         text = ENTRY.replace('"ca.pem"', '"authority.pem"')
--- a/packages/zinniahook-daemon/tests/test_tree.py
+++ b/packages/zinniahook-daemon/tests/test_tree.py
@@ -1,4 +1,4 @@
-"""Many daemons that learn through few watches on a store."""
+"""Distribution to many daemons through few watches on a store."""
 
 from __future__ import annotations
 
@@ -53,10 +53,10 @@
         assert len(watching) == 2
 
     def test_every_path_leads_to_a_watcher(self):
-        """Symptom: some daemons learn from each other and from nobody else.
+        """Guards against daemons that follow only each other.
 
-        Sequence: each picks its parents by itself from the same list.
-        Cause: without a common order, three of them may form a ring.
+        Each daemon selects its parents by itself from the same list. Without a
+        common order, three of them may form a cycle.
         """
         positions = self.positions()
         for own in self.CANDIDATES:
@@ -90,11 +90,11 @@
 
 class TestTree:
     def test_a_watcher_is_replaced(self, nodes, store_process, eventually):
-        """Symptom: daemons miss every change after a watcher is gone.
+        """Guards against daemons that miss every change after a watcher stops.
 
-        Sequence: a change reaches all daemons through two watchers, one of
-        them stops, another change is made.
-        Cause: its children would wait for it, and nobody would take over.
+        A change reaches all daemons through two watchers, one of them stops, and
+        another change is made. Otherwise its children would wait for it, and no
+        daemon would replace it.
         """
 
         async def run():
@@ -118,7 +118,7 @@
                 await eventually(
                     lambda: all(node.generation == generation for node in running)
                 )
-                # Those that came first followed the store until others came.
+                # The first daemons followed the store until others were announced.
                 watcher = next(
                     node for node in running if node.distribution.selector.watches_store
                 )
@@ -136,10 +136,10 @@
     def test_few_watch_after_a_simultaneous_start(
         self, nodes, store_process, eventually, monkeypatch
     ):
-        """Symptom: the store's calls grow with the fleet after a mass restart.
+        """Guards against store calls that grow with the fleet after a mass restart.
 
-        Sequence: all daemons start at once; none finds another in the list.
-        Cause: each would take itself for one of the few that should watch.
+        All daemons start at once, and none finds another one in the list. Each
+        would then consider itself one of the few watchers.
         """
         monkeypatch.setattr(selection, "POSITION_CHECK_SECONDS", 0.5)
 
@@ -191,7 +191,7 @@
                     for number in range(DAEMONS)
                 ]
                 await eventually(lambda: all(node.generation == 1 for node in rest))
-                # The distance comes with the digest, after the generation.
+                # The depth arrives with the digest, after the generation.
                 await eventually(
                     lambda: all(node.distribution.depth == 2 for node in rest)
                 )
@@ -206,10 +206,10 @@
     def test_a_killed_daemon_is_removed(
         self, nodes, store_process, eventually, monkeypatch
     ):
-        """Symptom: daemons keep trying one that was killed long ago.
+        """Guards against daemons that keep trying an entry killed long ago.
 
-        Sequence: an entry is killed, so that it can't withdraw.
-        Cause: nobody else would take it from the list.
+        A killed entry can't withdraw, and no other daemon would remove it from
+        the list.
         """
         monkeypatch.setattr(announcements, "PROBE_INTERVAL_SECONDS", 0.05)
 
@@ -233,10 +233,10 @@
     def test_a_removed_daemon_announces_itself_again(
         self, nodes, store_process, eventually
     ):
-        """Symptom: a daemon runs, and operators don't see it.
+        """Guards against a running daemon that operators don't see.
 
-        Sequence: it is paused, taken off as dead, and goes on.
-        Cause: it would announce itself at its start only.
+        The daemon is paused, removed from the list as dead, and resumed. Without
+        the check, it would announce itself only at its start.
         """
 
         async def run():
