--- a/packages/zinniahook-daemon/tests/test_distribution.py
+++ b/packages/zinniahook-daemon/tests/test_distribution.py
@@ -38,8 +38,10 @@
     node.distribution.update_roster(roster, documents.roster_to_json(roster))
 
 
-class TestLearningFromParents:
-    def test_a_restarted_daemon_learns_with_the_store_down(self, nodes, eventually):
+class TestFollowingParents:
+    def test_a_restarted_daemon_follows_a_parent_while_the_store_is_down(
+        self, nodes, eventually
+    ):
         """Guards against a daemon that stays idle after a restart without the store.
 
         The store is down, a daemon starts, and a peer has everything it needs.
@@ -106,7 +108,9 @@
 
         asyncio.run(run())
 
-    def test_a_manifest_of_another_content_is_asked_for_whole(self, nodes, eventually):
+    def test_a_manifest_with_other_content_is_requested_as_a_whole(
+        self, nodes, eventually
+    ):
         """Guards against a daemon that switches parents at each change.
 
         The child and its parent hold different manifests of the same generation,
@@ -133,7 +137,7 @@
 
         asyncio.run(run())
 
-    def test_an_agent_learns_its_own_service_only(self, nodes, eventually):
+    def test_an_agent_receives_only_its_own_service(self, nodes, eventually):
         async def run():
             async with nodes.start("parent") as parent:
                 nodes.commit(parent, 1, TALLY, LEDGER)
@@ -418,7 +422,7 @@
 
         asyncio.run(run())
 
-    def test_not_ready_says_why(self, nodes):
+    def test_not_ready_contains_the_reason(self, nodes):
         async def run():
             async with nodes.start("entry-1") as node:
                 status = await call(node, "Status", StatusRequest())
--- a/packages/zinniahook-daemon/tests/test_settings.py
+++ b/packages/zinniahook-daemon/tests/test_settings.py
@@ -62,7 +62,7 @@
         assert settings.agent.slots == 4
 
 
-class TestFaults:
+class TestInvalidFiles:
     """Guards against a daemon that starts with a mistake in its settings file.
 
     An operator edits the file, and the daemon reads it. The mistake must be reported
