--- a/packages/zinniahook-daemon/src/zinniahook_daemon/announcements.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/announcements.py
@@ -108,8 +108,8 @@
     def check(self) -> None:
         """Schedule a check that this daemon is still in the list.
 
-        It may have been removed while it was paused or cut off, when it also
-        loses its source.
+        It may have been removed while it was paused or cut off. In both cases it
+        also loses its source, so this is called whenever all sources have failed.
         """
         self._check_requested.set()
 
@@ -169,7 +169,7 @@
         return True
 
     def _withdraw(self, daemons: Daemons) -> bool:
-        # A new process of the same name may already have replaced the item.
+        # A new process of the same name may already have announced itself.
         if daemons.get(self._daemon.name) != self._daemon:
             return False
         del daemons[self._daemon.name]
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/selection.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/selection.py
@@ -185,7 +185,7 @@
     async def _read_candidates(self) -> frozenset[str]:
         """Return the control addresses of the daemons that may be parents.
 
-        If the list can't be read, those of the last read.
+        If the list can't be read, return those of the last read.
         """
         settings = self._node.settings
         if settings.control.parents:
@@ -217,7 +217,7 @@
         except Exception as error:
             # A bug in the handling of an update would otherwise silently end
             # this task, and the daemon would keep an old generation forever.
-            # Updates of another source may not trigger it.
+            # Another source may send the update in a form that works.
             reason = f"{type(error).__name__}: {error}"
             self._node.count("distribution.source_failed")
         self._node.count("distribution.source_left")
--- a/packages/zinniahook-daemon/tests/test_tree.py
+++ b/packages/zinniahook-daemon/tests/test_tree.py
@@ -208,8 +208,8 @@
     ):
         """Guards against daemons that keep trying an entry killed long ago.
 
-        A killed entry can't withdraw, and no other daemon would remove it from
-        the list.
+        A killed entry can't withdraw. Without probes, no other daemon would remove
+        it from the list.
         """
         monkeypatch.setattr(announcements, "PROBE_INTERVAL_SECONDS", 0.05)
 
