--- a/packages/zinniahook-daemon/src/zinniahook_daemon/announcements.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/announcements.py
@@ -1,8 +1,8 @@
-"""The list of the daemons of a data centre, as each of them writes it.
+"""The list of the running entries of a data centre, kept in the store.
 
-Entries announce themselves there, since no roster names them; agents stand
-in the roster of their service. Operators ask those daemons, and the daemons
-derive from the list who learns from whom.
+Entries announce themselves in the list, as no roster contains them; agents are
+in the roster of their service. Operators use the list to find daemons, and the
+daemons derive the distribution tree from it.
 """
 
 from __future__ import annotations
@@ -25,23 +25,23 @@
 
 __all__ = ["Announcement", "read_daemons"]
 
-RETRY = 0.2
-RETRY_LIMIT = 10.0
-"""Seconds between attempts, doubled after each; many daemons start at once."""
+MIN_RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 10.0
+"""Pause between attempts, doubled after each, as many daemons may start at once."""
 
-WITHDRAW_TIMEOUT = 1.0
-"""Seconds that a stopping daemon spends on taking itself from the list."""
+WITHDRAW_TIMEOUT_SECONDS = 1.0
+"""Time that a stopping daemon spends on removing itself from the list."""
 
-PROBE_INTERVAL = 10.0
-"""Seconds between looks at one other daemon of the list."""
+PROBE_INTERVAL_SECONDS = 10.0
+"""Time between probes; each goes to one random daemon of the list."""
 
-PROBE_TIMEOUT = 2.0
+PROBE_TIMEOUT_SECONDS = 2.0
 
-PROBES = 3
-"""Failures in a row after which a daemon is taken from the list.
+MAX_FAILED_PROBES = 3
+"""Consecutive failures after which a daemon is removed from the list.
 
-A killed daemon can't take itself off, and its place in the distribution would
-stay empty; its children would each try it first.
+A killed daemon can't remove itself. If it stayed in the list, it would keep its
+position in the distribution tree, and each of its children would try it first.
 """
 
 Daemons = dict[str, Daemon]
@@ -54,14 +54,14 @@
     Raises
     ------
     ZinniahookError
-        If the store gives no answer or the value can't be read.
+        If the store doesn't answer or the value can't be read.
     """
     item = await store.get(documents.daemons_key(data_centre))
     return documents.daemons_from_json(item.value) if item else {}
 
 
 class Announcement:
-    """Keeps this daemon in the list, and dead ones out of it.
+    """Keeps this daemon in the list, and removes dead daemons from it.
 
     Parameters
     ----------
@@ -71,7 +71,7 @@
     Attributes
     ----------
     announced : bool
-        Whether this daemon has once stood in the list.
+        Whether this daemon has been added to the list.
     """
 
     def __init__(self, node: Node) -> None:
@@ -85,15 +85,15 @@
         )
         self._failures_by_name: dict[str, int] = {}
         self.announced = False
-        self._unsure = asyncio.Event()
+        self._check_requested = asyncio.Event()
         self._task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Start to announce."""
+        """Start to announce this daemon."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Take this daemon from the list, if the store answers in time."""
+        """Remove this daemon from the list, if the store answers in time."""
         if self._task is None:
             return
         self._task.cancel()
@@ -102,44 +102,46 @@
         if not self.announced:
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(WITHDRAW_TIMEOUT):
-                await self._until_written(self._withdraw)
+            async with asyncio.timeout(WITHDRAW_TIMEOUT_SECONDS):
+                await self._update_with_retries(self._withdraw)
 
     def check(self) -> None:
-        """Look soon whether this daemon still stands in the list.
+        """Schedule a check that this daemon is still in the list.
 
-        It may have been taken off while it was paused or cut off, which also
-        costs it the source that it learns from.
+        It may have been removed while it was paused or cut off. In both cases it
+        also loses its source, so this is called whenever all sources have failed.
         """
-        self._unsure.set()
+        self._check_requested.set()
 
     async def _run(self) -> None:
-        await self._until_written(self._announce)
+        await self._update_with_retries(self._announce)
         self.announced = True
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(PROBE_INTERVAL * random.uniform(0.5, 1.5)):
-                    await self._unsure.wait()
-            if self._unsure.is_set():
-                self._unsure.clear()
-                await self._until_written(self._announce)
-            # Only those few look that follow the store: each look reads the
+                async with asyncio.timeout(
+                    PROBE_INTERVAL_SECONDS * random.uniform(0.5, 1.5)
+                ):
+                    await self._check_requested.wait()
+            if self._check_requested.is_set():
+                self._check_requested.clear()
+                await self._update_with_retries(self._announce)
+            # Only the few watchers of the store probe: each probe reads the
             # list, which grows with the data centre.
-            elif self._node.distribution.learner.watches:
+            elif self._node.distribution.selector.watches_store:
                 await self._probe_one()
 
-    async def _until_written(self, change: Change) -> None:
-        """Make a change of the list, however often others are first."""
-        pause = RETRY
-        while not await self._write(change):
+    async def _update_with_retries(self, change: Change) -> None:
+        """Change the list, with a retry after each conflict or failed call."""
+        pause = MIN_RETRY_SECONDS
+        while not await self._try_update(change):
             await asyncio.sleep(pause * random.uniform(0.5, 1.5))
-            pause = min(RETRY_LIMIT, pause * 2)
+            pause = min(MAX_RETRY_SECONDS, pause * 2)
 
-    async def _write(self, change: Change) -> bool:
-        """Try a change once; False if it has to be tried again.
+    async def _try_update(self, change: Change) -> bool:
+        """Try to change the list; return False if a retry is needed.
 
-        A lost answer needs no settling here: the next try finds the change
-        made, or makes it.
+        A lost answer of the store needs no special handling: the next attempt
+        finds the change made, or makes it.
         """
         store = self._node.store
         try:
@@ -154,7 +156,7 @@
         except StoreError:
             return False
         except ZinniahookError as error:
-            self._node.distribution.unusable(self._key, error)
+            self._node.distribution.log_unusable(self._key, error)
             return False
         revision = item.revision if item else 0
         outcome = await store.compare_and_swap(self._key, revision, value)
@@ -167,30 +169,32 @@
         return True
 
     def _withdraw(self, daemons: Daemons) -> bool:
-        # A successor of the same name may already have taken the place.
+        # A new process of the same name may already have announced itself.
         if daemons.get(self._daemon.name) != self._daemon:
             return False
         del daemons[self._daemon.name]
         return True
 
     async def _probe_one(self) -> None:
-        """Look at one other daemon, and take it off if it is gone."""
+        """Probe another daemon, and remove it from the list if it is gone."""
         try:
             daemons = await read_daemons(
                 self._node.store, self._node.settings.data_centre
             )
         except ZinniahookError:
             return
-        others = [one for one in daemons.values() if one.name != self._daemon.name]
+        others = [
+            daemon for daemon in daemons.values() if daemon.name != self._daemon.name
+        ]
         if not others:
             return
         other = random.choice(others)
         failures = self._failures_by_name
-        if await _listens(other):
+        if await _accepts_connections(other):
             failures.pop(other.name, None)
             return
         failures[other.name] = failures.get(other.name, 0) + 1
-        if failures[other.name] < PROBES:
+        if failures[other.name] < MAX_FAILED_PROBES:
             return
 
         def remove(daemons: Daemons) -> bool:
@@ -198,7 +202,7 @@
                 daemons.pop(other.name, None)
             )
 
-        await self._write(remove)
+        await self._try_update(remove)
         del failures[other.name]
         self._node.log("daemon-removed", daemon=other.name)
 
@@ -212,10 +216,10 @@
     )
 
 
-async def _listens(daemon: Daemon) -> bool:
-    """Whether something takes connections at a daemon's control address."""
+async def _accepts_connections(daemon: Daemon) -> bool:
+    """Return whether a daemon's control address accepts connections."""
     try:
-        async with asyncio.timeout(PROBE_TIMEOUT):
+        async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(*daemon.control)
     except (OSError, TimeoutError):
         return False
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/distribution.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/distribution.py
@@ -1,8 +1,8 @@
-"""What a daemon knows of the configuration and the rosters, and from whom.
+"""Distribution of the configuration and the rosters to and from a daemon.
 
-A daemon learns from its parents, or from the store if it has none or none
-answers. What it learned is served to daemons that subscribe here. Whatever
-the source, a lower generation or revision is never taken.
+A daemon follows one of its parents, or the store if it has no parent or none
+answers. It serves what it received to the daemons that subscribe to it. A lower
+generation or revision is never accepted, whatever the source.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from zinniahook_wire.rosters import Rosters
 
 from .generations import Generations
-from .learning import TOLERANCE, Learner
 from .origin import Origin
+from .selection import MAX_STORE_AGE_SECONDS, SourceSelector
 from .settings import Role
 from .subscriptions import Subscription
 
@@ -32,12 +32,13 @@
 
 __all__ = ["Distribution"]
 
-SUSPICION_INTERVAL = 2.0
-"""Seconds between two suspicions taken up; each costs the source a call."""
+MIN_REPORT_INTERVAL_SECONDS = 2.0
+"""Minimum time between two reports of a newer generation that are acted on; each
+costs the source a call."""
 
 
 class Distribution:
-    """Learns, keeps and passes on configuration and rosters.
+    """Receives, holds and passes on the configuration and the rosters.
 
     Parameters
     ----------
@@ -49,17 +50,17 @@
     configuration : Configuration or None
         The generation in force here.
     rosters : Rosters
-        The newest roster known of each service that matters here.
+        The newest known roster of each service that this daemon needs.
     generations : Generations
-        The values that the configuration was made from.
-    learned : asyncio.Event
-        Set once a configuration is in force and the rosters have come.
-    suspicion : asyncio.Event
-        Set while another daemon is known to have a newer generation.
+        The stored values that the configuration is compiled from.
+    synchronized : asyncio.Event
+        Set once a configuration is in force and the rosters have arrived.
+    newer_generation_reported : asyncio.Event
+        Set while another daemon is known to have a newer generation in force.
     depth : int
-        Steps between this daemon and the store.
-    learner : Learner
-        Chooses whom to learn from.
+        Hops between this daemon and the store.
+    selector : SourceSelector
+        Chooses and follows the source.
     """
 
     def __init__(self, node: Node) -> None:
@@ -71,50 +72,56 @@
         self.configuration: Configuration | None = None
         self.rosters = Rosters()
         self.generations = Generations(settings.name, settings.data_centre, services)
-        self.learned = asyncio.Event()
-        self.suspicion = asyncio.Event()
+        self.synchronized = asyncio.Event()
+        self.newer_generation_reported = asyncio.Event()
         self.depth = 0
-        self.learner = Learner(node, self)
+        self.selector = SourceSelector(node, self)
         self.origin = Origin(self, node.store)
-        self._heard_at = -float("inf")
-        self._in_force_at = 0.0
-        self._suspected_at = -float("inf")
-        # Each subscriber asks once a second, and thousands of revisions take
-        # milliseconds.
+        self._store_contact_at = -float("inf")
+        self._installed_at = 0.0
+        self._reported_at = -float("inf")
+        # Cached: each subscriber needs its digest once a second, and hashing
+        # thousands of revisions takes milliseconds.
         self._digests_by_services: dict[frozenset[str] | None, bytes] = {}
         self._subscriptions: set[Subscription] = set()
 
-    # What is known
+    # State
 
     @property
     def age(self) -> float:
-        """Seconds since the store was last heard of; infinite if never."""
-        return time.monotonic() - self._heard_at
+        """Seconds since the last contact with the store, direct or through parents.
+
+        Infinite before the first contact.
+        """
+        return time.monotonic() - self._store_contact_at
 
     @property
     def lagging(self) -> bool:
-        """Whether what is known may be out of date."""
-        return self.age > TOLERANCE or self._node.generation != self.generations.wanted
+        """Whether the configuration or the rosters may be out of date."""
+        return (
+            self.age > MAX_STORE_AGE_SECONDS
+            or self._node.generation != self.generations.desired_generation
+        )
 
     @property
     def in_force(self) -> float:
-        """Seconds since the generation in force was put so."""
-        return time.monotonic() - self._in_force_at if self.configuration else 0.0
+        """Seconds since the generation in force was installed; 0 without one."""
+        return time.monotonic() - self._installed_at if self.configuration else 0.0
 
     @property
     def reason(self) -> str:
-        """Why there is no configuration yet: what each source answered."""
-        reason = self.learner.reason or "store not asked yet"
-        return f"no configuration learned yet ({reason})"
+        """Why there is no configuration yet, with the last error of each source."""
+        reason = self.selector.reason or "store not queried yet"
+        return f"no configuration received yet ({reason})"
 
     @property
     def control(self) -> str:
-        """Control address of this daemon, by which its parent knows it."""
+        """Control address of this daemon; identifies it to its parent."""
         return str(self._node.control_address)
 
     @property
     def subscribers(self) -> list[str]:
-        """Control addresses of the daemons that learn from this one."""
+        """Control addresses of the daemons that subscribe to this one."""
         return sorted(each.subscriber for each in self._subscriptions)
 
     @property
@@ -123,12 +130,18 @@
         return self._node.certificates.client
 
     def wants(self, service: str) -> bool:
-        """Whether the roster of a service matters here."""
+        """Return whether this daemon needs the roster of a service."""
         services = self.generations.services
         return services is None or service in services
 
     def rosters_digest(self, services: frozenset[str] | None) -> bytes:
-        """Return the digest of the revisions of these services' rosters."""
+        """Return the digest of the revisions of these services' rosters.
+
+        Parameters
+        ----------
+        services : frozenset of str or None
+            Names of the services; None for all.
+        """
         found = self._digests_by_services.get(services)
         if found is None:
             found = documents.revisions_digest(
@@ -141,62 +154,69 @@
             self._digests_by_services[services] = found
         return found
 
-    # What sources tell
+    # Updates from sources
+
+    def record_store_contact(self, age: float, depth: int) -> None:
+        """Record that the followed source had contact with the store.
 
-    def heard(self, age: float, depth: int) -> None:
-        """Note that the followed source heard of the store ``age`` seconds ago.
+        Parameters
+        ----------
+        age : float
+            Seconds since that contact.
+        depth : int
+            Hops between this daemon and the store by way of the source.
 
         Raises
         ------
         SourceError
-            If that is too long ago, and another source may be better.
+            If the contact is too old and another source may be better.
         """
-        self._heard_at = max(self._heard_at, time.monotonic() - age)
+        self._store_contact_at = max(self._store_contact_at, time.monotonic() - age)
         self.depth = depth
-        self.learner.judge(age)
+        self.selector.check_age(age)
 
     def apply(self) -> None:
-        """Put the wanted generation in force if it is whole and newer.
+        """Put the desired generation in force if it is complete and newer.
 
         Raises
         ------
         ZinniahookError
-            If a value of it can't be read.
+            If one of its values can't be read.
         """
         generations = self.generations
-        if generations.wanted > self._node.generation:
+        if generations.desired_generation > self._node.generation:
             configuration = generations.compile()
             if configuration is None:
                 return
             self.configuration = configuration
-            self._in_force_at = time.monotonic()
+            self._installed_at = time.monotonic()
             self._node.configuration_changed(configuration)
-        self.suspicion.clear()
+        self.newer_generation_reported.clear()
         for subscription in self._subscriptions:
-            subscription.changed()
+            subscription.notify_configuration()
 
-    def caught_up(self) -> None:
-        """Note that all that the followed source knew has come in.
+    def mark_synchronized(self) -> None:
+        """Record that everything the followed source has was received.
 
-        A daemon that was ready with its configuration alone would drop new
-        flows until the rosters came.
+        A daemon that reported ready with the configuration alone would drop new
+        flows until the rosters arrived.
         """
         if self.configuration is not None:
-            self.learned.set()
+            self.synchronized.set()
 
-    def take_roster(
+    def update_roster(
         self, roster: Roster, value: bytes = b"", packed: bytes = b""
     ) -> None:
-        """Take a roster if it is newer than the one known.
+        """Replace the known roster of a service by a newer one.
 
         Parameters
         ----------
         roster : Roster
-            As decoded.
+            The decoded roster.
         value : bytes
-            As stored; empty if it isn't at hand or was deleted.
+            Its value as stored; empty if it is not available or was deleted.
         packed : bytes
-            The same compressed, if it came so.
+            The same value compressed, if it was received compressed.
         """
         service = roster.service
         if not self.wants(service) or not self.rosters.put(roster, value, packed):
@@ -204,46 +224,47 @@
         self._digests_by_services.clear()
         self._node.roster_changed(roster)
         for subscription in self._subscriptions:
-            subscription.roster_changed(service)
+            subscription.notify_roster(service)
 
-    def unusable(self, what: str, error: ZinniahookError) -> None:
-        """Note a stored value that couldn't be read."""
+    def log_unusable(self, what: str, error: ZinniahookError) -> None:
+        """Count and log a stored value that can't be read."""
         self._node.count("distribution.unusable", code=error.code.name)
         self._node.log("value-unusable", value=what, reason=str(error))
 
-    def suspect(self, generation: int) -> None:
-        """Note that another daemon has this generation in force.
+    def report_generation(self, generation: int) -> None:
+        """Record that another daemon has this generation in force.
 
-        An update may have been lost on its way here, or the source lags; the
-        sender is authenticated, so its generation exists.
+        If it is newer than the known one, an update was lost on its way to this
+        daemon or the source lags. The sender is authenticated, so the generation
+        exists.
         """
         now = time.monotonic()
         if generation <= self.generations.pointer.generation:
             return
-        if now - self._suspected_at < SUSPICION_INTERVAL:
+        if now - self._reported_at < MIN_REPORT_INTERVAL_SECONDS:
             return
-        self._suspected_at = now
+        self._reported_at = now
         self._node.count("distribution.suspected")
-        self.suspicion.set()
+        self.newer_generation_reported.set()
 
-    # Learning
+    # Lifecycle
 
     def start(self) -> None:
-        """Start to learn."""
-        self.learner.start()
+        """Start to follow sources."""
+        self.selector.start()
 
     async def stop(self) -> None:
-        """Stop to learn and to serve."""
+        """Stop following sources and serving subscribers."""
         for subscription in self._subscriptions:
             subscription.close()
-        await self.learner.stop()
+        await self.selector.stop()
 
     # Serving
 
     async def serve(
         self, request: SubscribeRequest, stream: Stream[SubscribeRequest, Update]
     ) -> None:
-        """Push to a subscriber until it is gone."""
+        """Send updates to a subscriber until it disconnects."""
         subscription = Subscription(self, request, stream)
         self._subscriptions.add(subscription)
         try:
@@ -256,19 +277,19 @@
     # Rosters in the store
 
     async def write_roster(self, effect: WriteRoster) -> RosterWritten:
-        """Compare-and-swap a roster; never raises for what the store does."""
+        """Write a roster by compare-and-swap; a failure is in the result's code."""
         written = await self.origin.write_roster(effect)
         if written.roster is not None:
-            self.take_roster(written.roster)
+            self.update_roster(written.roster)
         self._node.count("roster.written", code=written.code.name)
         return written
 
     async def read_roster(self, service: str) -> Roster | None:
-        """Read a roster from the store; None if the store doesn't answer."""
+        """Return a roster read from the store; None if the read fails."""
         try:
             roster = await self.origin.read_roster(service)
         except ZinniahookError:
             return None
         if roster.revision:
-            self.take_roster(roster)
+            self.update_roster(roster)
         return roster
--- a/packages/zinniahook-daemon/tests/test_clocks.py
+++ b/packages/zinniahook-daemon/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""The clock of a daemon goes on while its machine sleeps."""
+"""The clock of a daemon includes time that its machine is suspended."""
 
 import time
 
@@ -6,12 +6,11 @@
 
 
 class TestLoop:
-    def test_a_suspension_shows(self, monkeypatch):
-        """Suspended machine.
+    def test_suspended_time_is_counted(self, monkeypatch):
+        """Guards against an agent that continues after its peers have taken over.
 
-        Symptom: an agent goes on after a pause in which peers took over.
-        Sequence: the machine is suspended and resumed. Cause: the monotonic
-        clock stands still meanwhile, the time since boot does not.
+        Its machine is suspended and resumed. The monotonic clock stops meanwhile,
+        the time since boot doesn't.
         """
         slept = 0.0
         read = time.clock_gettime
@@ -20,7 +19,7 @@
             return read(clock) + (slept if clock == time.CLOCK_BOOTTIME else 0.0)
 
         monkeypatch.setattr(time, "clock_gettime", clock_gettime)
-        loop = clocks.Loop()
+        loop = clocks.BoottimeEventLoop()
         try:
             fired = []
             loop.call_later(60.0, fired.append, "timer")
--- a/packages/zinniahook-daemon/tests/test_distribution.py
+++ b/packages/zinniahook-daemon/tests/test_distribution.py
@@ -1,4 +1,4 @@
-"""How daemons learn what is in force, from each other and from the store."""
+"""Distribution of configuration and rosters between daemons."""
 
 from __future__ import annotations
 
@@ -33,34 +33,39 @@
     return Roster(service, revision, members)
 
 
-def take(node, roster: Roster) -> None:
-    """Hand a roster to a node, as the store would."""
-    node.distribution.take_roster(roster, documents.roster_to_json(roster))
+def hand_over_roster(node, roster: Roster) -> None:
+    """Give a roster to a node, as if read from the store."""
+    node.distribution.update_roster(roster, documents.roster_to_json(roster))
 
 
-class TestLearningFromParents:
-    def test_a_restarted_daemon_learns_with_the_store_down(self, nodes, eventually):
-        """Symptom: a daemon restarted during an outage of the store stays idle.
+class TestFollowingParents:
+    def test_a_restarted_daemon_follows_a_parent_while_the_store_is_down(
+        self, nodes, eventually
+    ):
+        """Guards against a daemon that stays idle after a restart without the store.
 
-        Sequence: the store is down, a daemon starts, a peer has all it needs.
-        Cause: it would ask the store only.
+        The store is down, a daemon starts, and a peer has everything it needs.
+        Otherwise the daemon would ask only the store.
         """
 
         async def run():
             async with nodes.start("parent") as parent:
                 nodes.commit(parent, 3, TALLY, LEDGER)
-                take(parent, roster("tally", 8, "a", "b"))
+                hand_over_roster(parent, roster("tally", 8, "a", "b"))
                 async with nodes.start("child", parent.control_address) as child:
                     await asyncio.wait_for(child.ready(), 20)
                     assert child.generation == 3
                     assert child.configuration == parent.configuration
-                    # Ready with the rosters, or new flows would be dropped.
-                    known, told = (
+                    # Ready only with the rosters; otherwise it would drop new flows.
+                    child_rosters, parent_rosters = (
                         child.distribution.rosters,
                         parent.distribution.rosters,
                     )
-                    assert known.revisions_by_service == told.revisions_by_service
-                    assert known.get("tally") == told.get("tally")
+                    assert (
+                        child_rosters.revisions_by_service
+                        == parent_rosters.revisions_by_service
+                    )
+                    assert child_rosters.get("tally") == parent_rosters.get("tally")
                     await eventually(lambda: child.distribution.depth == 1)
 
         asyncio.run(run())
@@ -76,8 +81,8 @@
                 nodes.commit(parent, 2, TALLY, LEDGER)
                 await eventually(lambda: child.generation == 2)
                 assert set(child.configuration.services_by_name) == {"tally", "ledger"}
-                take(parent, roster("ledger", 5, "c"))
-                await nodes_agree(parent, child)
+                hand_over_roster(parent, roster("ledger", 5, "c"))
+                await wait_for_same_rosters(parent, child)
 
         asyncio.run(run())
 
@@ -103,12 +108,14 @@
 
         asyncio.run(run())
 
-    def test_a_manifest_of_another_content_is_asked_for_whole(self, nodes, eventually):
-        """Symptom: a daemon goes from parent to parent at each change.
+    def test_a_manifest_with_other_content_is_requested_as_a_whole(
+        self, nodes, eventually
+    ):
+        """Guards against a daemon that switches parents at each change.
 
-        Sequence: the child holds another manifest of the same number than
-        its parent, as after the store was emptied; the parent gets a change.
-        Cause: a change against one doesn't fit the other.
+        The child and its parent hold different manifests of the same generation,
+        as after the store was emptied, and the parent receives a change. A change
+        against its manifest doesn't apply to the child's.
         """
 
         async def run():
@@ -118,7 +125,7 @@
             ):
                 nodes.commit(child, 1, LEDGER)
                 nodes.commit(parent, 1, TALLY)
-                await asyncio.wait_for(child.distribution.learned.wait(), 20)
+                await asyncio.wait_for(child.distribution.synchronized.wait(), 20)
                 nodes.commit(parent, 2, TALLY, LEDGER)
                 await eventually(lambda: child.generation == 2)
                 assert (
@@ -130,12 +137,12 @@
 
         asyncio.run(run())
 
-    def test_an_agent_learns_its_own_service_only(self, nodes, eventually):
+    def test_an_agent_receives_only_its_own_service(self, nodes, eventually):
         async def run():
             async with nodes.start("parent") as parent:
                 nodes.commit(parent, 1, TALLY, LEDGER)
-                take(parent, roster("ledger", 4, "c"))
-                take(parent, roster("tally", 5, "a"))
+                hand_over_roster(parent, roster("ledger", 4, "c"))
+                hand_over_roster(parent, roster("tally", 5, "a"))
                 start = nodes.start("a", parent.control_address, service="tally")
                 async with start as agent:
                     await eventually(
@@ -149,11 +156,11 @@
         asyncio.run(run())
 
     def test_a_lagging_parent_is_left(self, nodes, eventually):
-        """Symptom: an accepted change never reaches some daemons.
+        """Guards against an accepted change that never reaches some daemons.
 
-        Sequence: a parent is cut off from the store, its child is told of a
-        newer generation by a tunnel datagram, another parent has it.
-        Cause: a quiet parent looks the same as a parent that lags.
+        A parent is cut off from the store, its child receives the number of a newer
+        generation in a tunnel datagram, and another parent has that generation. A
+        parent that lags looks like a parent without changes.
         """
 
         async def run():
@@ -170,16 +177,16 @@
                     followed = first if first.distribution.subscribers else second
                     other = second if followed is first else first
                     nodes.commit(other, 2, TALLY, LEDGER)
-                    child.distribution.suspect(2)
+                    child.distribution.report_generation(2)
                     await eventually(lambda: child.generation == 2)
 
         asyncio.run(run())
 
     def test_a_dead_parent_is_replaced(self, nodes, eventually):
-        """Symptom: daemons stop hearing of changes after one was killed.
+        """Guards against daemons that receive no changes after a parent was killed.
 
-        Sequence: the followed parent ends, the other one gets a change.
-        Cause: the child would wait for its own parent to come back.
+        The followed parent ends, and the other one receives a change. Otherwise the
+        child would wait for its parent to return.
         """
 
         async def run():
@@ -187,23 +194,23 @@
                 async with nodes.start("p1") as first:
                     nodes.commit(first, 1, TALLY)
                     parents = (first.control_address, second.control_address)
-                    child_at = nodes.start("child", *parents)
-                    child = await child_at.__aenter__()
+                    child_context = nodes.start("child", *parents)
+                    child = await child_context.__aenter__()
                     await eventually(lambda: child.generation == 1)
                 nodes.commit(second, 2, TALLY)
                 await eventually(lambda: child.generation == 2)
-                await child_at.__aexit__(None, None, None)
+                await child_context.__aexit__(None, None, None)
 
         asyncio.run(run())
 
 
 class TestStagedRollout:
-    def test_each_stage_reaches_whom_it_names(self, nodes, eventually):
-        """Symptom: a risky change is in force where it should not be yet.
+    def test_each_stage_reaches_only_the_named_instances(self, nodes, eventually):
+        """Guards against a staged change that is in force too early.
 
-        Sequence: it is rolled out to one instance, which passes it on to the
-        daemons that learn from it; then the rollout goes on to all.
-        Cause: a daemon would put in force whatever its parent has.
+        The change is rolled out to a single instance, which passes it on to the
+        daemons that follow it, and then to all. Otherwise a daemon would put in
+        force whatever its parent has in force.
         """
 
         async def run():
@@ -222,12 +229,12 @@
         asyncio.run(run())
 
 
-class TestNeverBack:
+class TestNoRollback:
     def test_a_lower_generation_is_refused(self, nodes):
-        """Symptom: an accepted change reverts on a daemon.
+        """Guards against an accepted change that is reverted on a daemon.
 
-        Sequence: a daemon changes to a source that lags behind.
-        Cause: the source's word would be taken without a comparison.
+        A daemon switches to a source that lags. Without a comparison, it would
+        accept the source's older generation.
         """
 
         async def run():
@@ -242,8 +249,8 @@
     def test_a_lower_revision_is_refused(self, nodes):
         async def run():
             async with nodes.start("node") as node:
-                take(node, roster("tally", 5, "a"))
-                take(node, roster("tally", 4, "b"))
+                hand_over_roster(node, roster("tally", 5, "a"))
+                hand_over_roster(node, roster("tally", 4, "b"))
                 known = node.distribution.rosters.get("tally")
                 assert set(known.by_name) == {"a"}
 
@@ -271,17 +278,17 @@
         ]
         wanted = []
         for stage in (*stages, *stages):
-            generations.point(documents.pointer_to_json(stage))
-            wanted.append(generations.wanted)
+            generations.set_pointer(documents.pointer_to_json(stage))
+            wanted.append(generations.desired_generation)
         assert wanted == [6, 7, 7, 7, 7, 7]
 
 
 class TestAuthentication:
     def test_a_foreign_certificate_gets_nothing(self, nodes):
-        """Symptom: a stranger reads the keys of the configuration.
+        """Guards against a foreign process that reads the configuration's keys.
 
-        Sequence: a process with a certificate of another authority calls.
-        Cause: TLS without a check of the client's certificate.
+        A process with a certificate of another authority calls. The keys would leak
+        if TLS didn't verify the client's certificate.
         """
 
         async def run():
@@ -303,10 +310,10 @@
         asyncio.run(run())
 
     def test_certificates_are_reloaded(self, nodes, eventually):
-        """Symptom: calls fail once a certificate has been replaced.
+        """Guards against calls that fail once a certificate has been replaced.
 
-        Sequence: the files change under a running daemon, which is told.
-        Cause: the context would keep what it read at the start.
+        The files of a running daemon change, and it is asked to reload them.
+        Otherwise the context would keep the certificate read at the start.
         """
 
         async def run():
@@ -339,13 +346,13 @@
 
 
 class TestPermissions:
-    """What a certificate of our own authority doesn't open."""
+    """Limits of certificates issued by the daemons' own authority."""
 
     def test_an_operator_gets_no_keys(self, nodes):
-        """Symptom: who finds an operator's certificate reads the keys.
+        """Guards against a stolen operator's certificate that gives access to the keys.
 
-        Sequence: a subscriber shows an operator's certificate.
-        Cause: every certificate of the authority would be a daemon's.
+        A subscriber presents an operator's certificate. Otherwise every certificate
+        of the authority would be accepted as a daemon's.
         """
 
         async def run():
@@ -369,7 +376,7 @@
             async with nodes.start("a", service="tally") as node:
                 amina = Operator("amina", services)
                 nodes.commit(node, 1, TALLY, operators={"amina": amina})
-                take(node, roster("tally", 9, "a", "b"))
+                hand_over_roster(node, roster("tally", 9, "a", "b"))
                 drained = []
                 node.on_drain(drained.append)
                 files = nodes.authority.issue("amina")
@@ -384,12 +391,12 @@
         asyncio.run(run())
 
 
-class TestOperatorsCalls:
-    def test_status_tells_what_is_in_force(self, nodes):
+class TestOperatorCalls:
+    def test_status_reports_what_is_in_force(self, nodes):
         async def run():
             async with nodes.start("entry-1") as node:
                 nodes.commit(node, 4, TALLY)
-                take(node, roster("tally", 9, "a"))
+                hand_over_roster(node, roster("tally", 9, "a"))
                 node.count("entry.dropped", code=Code.NO_AGENT.name)
                 node.histogram("tally", "ticket").record(0.25)
                 request = StatusRequest(counters=True, rosters=True)
@@ -415,7 +422,7 @@
 
         asyncio.run(run())
 
-    def test_not_ready_says_why(self, nodes):
+    def test_not_ready_contains_the_reason(self, nodes):
         async def run():
             async with nodes.start("entry-1") as node:
                 status = await call(node, "Status", StatusRequest())
@@ -428,7 +435,7 @@
     def test_the_last_target_is_not_drained_unforced(self, nodes):
         async def run():
             async with nodes.start("a", service="tally") as node:
-                take(node, roster("tally", 9, "a"))
+                hand_over_roster(node, roster("tally", 9, "a"))
                 drained = []
                 node.on_drain(drained.append)
                 reply = await call(node, "Drain", DrainRequest(seconds=3))
@@ -442,7 +449,7 @@
 
 
 async def call(node, name, request, context=None):
-    """Call a node's control server as one of its own kind."""
+    """Call a node's control server, by default with the node's own certificate."""
     context = context or node.certificates.client
     channel = Channel(*node.control_address, ssl=context)
     try:
@@ -451,8 +458,8 @@
         channel.close()
 
 
-async def nodes_agree(parent, child):
-    """Wait until both hold the same rosters."""
+async def wait_for_same_rosters(parent, child):
+    """Wait until both nodes hold the same revisions of the rosters."""
     async with asyncio.timeout(20):
         while (
             child.distribution.rosters.revisions_by_service
