--- a/packages/zinniahook-daemon/src/zinniahook_daemon/distribution.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/distribution.py
@@ -111,8 +111,8 @@
     @property
     def reason(self) -> str:
         """Why there is no configuration yet, with the last error of each source."""
-        reason = self.selector.reason or "store not queried yet"
-        return f"no configuration received yet ({reason})"
+        reason = self.selector.reason or "store not asked yet"
+        return f"no configuration learned yet ({reason})"
 
     @property
     def control(self) -> str:
--- a/packages/zinniahook-daemon/src/zinniahook_daemon/subscriptions.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/subscriptions.py
@@ -134,7 +134,7 @@
                     return
                 raise GRPCError(
                     Status.FAILED_PRECONDITION,
-                    "this daemon holds fewer services than requested",
+                    "holds fewer services than wanted",
                 )
             if not await self._send_generation(pointer, stored):
                 return
