--- a/packages/zinniahook-daemon/src/zinniahook_daemon/entries.py
+++ b/packages/zinniahook-daemon/src/zinniahook_daemon/entries.py
@@ -152,7 +152,7 @@
             self._drop(agent)
             return
         if socket.prefix:
-            data = self._tunnel.wrapper(socket.prefix, caller) + payload
+            data = self._tunnel.encode_header(socket.prefix, caller) + payload
         else:
             data = self._encode(service, caller, payload)
         self._to_agent(data, agent)
@@ -169,7 +169,7 @@
         if isinstance(agent, Code):
             self._drop(agent)
             return
-        self._buffer[:OVERHEAD] = self._tunnel.wrapper(socket.prefix, source[:2])
+        self._buffer[:OVERHEAD] = self._tunnel.encode_header(socket.prefix, source[:2])
         self._to_agent(self._buffer[: OVERHEAD + size], agent)
 
     def _to_agent(self, data: bytes | memoryview, agent: Address) -> None:
--- a/packages/zinniahook-store/src/zinniahook_store/client.py
+++ b/packages/zinniahook-store/src/zinniahook_store/client.py
@@ -12,9 +12,9 @@
 from .messages import (
     BATCH_SIZE,
     batches,
-    first_differing,
-    integer,
+    first_conflict,
     items_of,
+    parse_integer,
     put_request,
     read_request,
     responses_of,
@@ -31,7 +31,7 @@
     WriteOutcome,
     Written,
 )
-from .watches import SILENCE, Watch
+from .watches import SILENCE_SECONDS, Watch
 
 __all__ = ["Store", "TIMEOUT"]
 
@@ -82,7 +82,7 @@
         self.calls_by_kind = self._gateway.calls_by_kind
         self.failures_by_kind = self._gateway.failures_by_kind
         self.history = 0
-        self._seen = 0
+        self._latest_revision = 0
 
     # Reads
 
@@ -153,7 +153,7 @@
         while True:
             answer = await self._read({**body, "key": encode_key(key)})
             if count is None:
-                count = integer({"count": 0, **answer}, "count")
+                count = parse_integer({"count": 0, **answer}, "count")
             # Later pages are read at the revision of the first, or the pages
             # would show a state that never was.
             body.setdefault("revision", revision_of(answer))
@@ -182,7 +182,7 @@
             }
         )
         revision = max((item.revision for item in items_of(answer)), default=0)
-        return revision, integer({"count": 0, **answer}, "count")
+        return revision, parse_integer({"count": 0, **answer}, "count")
 
     # Writes
 
@@ -330,7 +330,7 @@
         """
         body = {"TTL": str(seconds)}
         answer = await self._call_to_read("lease", "/v3/lease/grant", body)
-        return integer(answer, "ID")
+        return parse_integer(answer, "ID")
 
     async def keep_alive(self, lease: int) -> int:
         """Renew a lease and return its seconds left, 0 if it has lapsed.
@@ -345,8 +345,8 @@
         result = answer.get("result")
         # No seconds left are left out, so only the id tells such an answer
         # from a broken one.
-        integer(result, "ID")
-        return integer({"TTL": 0, **result}, "TTL")
+        parse_integer(result, "ID")
+        return parse_integer({"TTL": 0, **result}, "TTL")
 
     async def revoke(self, lease: int) -> WriteOutcome:
         """End a lease and delete the values that depend on it."""
@@ -355,7 +355,7 @@
     # Watches
 
     def watch(
-        self, prefix: str, revision: int = 0, *, silence: float = SILENCE
+        self, prefix: str, revision: int = 0, *, silence: float = SILENCE_SECONDS
     ) -> Watch:
         """Return an async iterator over the changes under a prefix.
 
@@ -378,9 +378,9 @@
 
     # Calls
 
-    def saw(self, revision: int) -> None:
+    def observe(self, revision: int) -> None:
         """Note a revision that a watch has brought."""
-        self._seen = max(self._seen, revision)
+        self._latest_revision = max(self._latest_revision, revision)
 
     async def _read(self, body: dict[str, Any]) -> dict[str, Any]:
         return await self._call_to_read("range", "/v3/kv/range", body)
@@ -388,7 +388,7 @@
     async def _call_to_read(
         self, kind: str, path: str, body: dict[str, Any]
     ) -> dict[str, Any]:
-        seen, history = self._seen, self.history
+        revision_before, history_before = self._latest_revision, self.history
         try:
             answer = await self._gateway.call(kind, path, body, repeat=True)
         except GatewayError as error:
@@ -396,25 +396,27 @@
         if kind == "range":
             # An answer without a revision isn't the store's; taken for one, it
             # would say that nothing is stored.
-            self._check(revision_of(answer), seen, history)
+            self._check(revision_of(answer), revision_before, history_before)
         return answer
 
-    def _check(self, revision: int, seen: int, history: int) -> None:
+    def _check(self, revision: int, revision_before: int, history_before: int) -> None:
         """Refuse an answer whose history isn't the one in which it was asked for.
 
-        Reads are linearizable, so a revision below one ``seen`` before the
+        Reads are linearizable, so a revision below one ``revision_before`` before the
         question is that of a restored store. What goes wrong without: values
         of a history that is over pass for newer than what is stored.
         """
-        if history != self.history:
+        if history_before != self.history:
             raise StoreRestoredError("the store was restored meanwhile")
-        if revision >= seen:
-            self.saw(revision)
+        if revision >= revision_before:
+            self.observe(revision)
             return
         self.history += 1
-        self._seen = revision
+        self._latest_revision = revision
         self.failures_by_kind["restored"] += 1
-        raise StoreRestoredError(f"the store's revision fell from {seen} to {revision}")
+        raise StoreRestoredError(
+            f"the store's revision fell from {revision_before} to {revision}"
+        )
 
     async def _write(
         self,
@@ -423,7 +425,7 @@
         body: dict[str, Any],
         revisions_by_key: Mapping[str, int] | None = None,
     ) -> WriteOutcome:
-        seen, history = self._seen, self.history
+        revision_before, history_before = self._latest_revision, self.history
         try:
             answer = await self._gateway.call(kind, path, body, repeat=False)
         except GatewayError as error:
@@ -434,9 +436,9 @@
             # Checked first: without it, an empty answer of something else than
             # the store would read as a conflict, and so as certain.
             revision = revision_of(answer)
-            self._check(revision, seen, history)
+            self._check(revision, revision_before, history_before)
             if revisions_by_key is not None and not answer.get("succeeded"):
-                return Conflict(first_differing(answer, revisions_by_key))
+                return Conflict(first_conflict(answer, revisions_by_key))
             return Written(revision)
         except StoreRestoredError as error:
             # It may have taken effect by a condition on a revision that was
--- a/packages/zinniahook-store/src/zinniahook_store/configurations.py
+++ b/packages/zinniahook-store/src/zinniahook_store/configurations.py
@@ -63,8 +63,8 @@
 ATTEMPTS = 3
 """Times that a transaction is sent while its answers are lost."""
 
-SECRET_SIZE = 32
-OPERATION_SIZE = 8
+SECRET_BYTES = 32
+OPERATION_ID_BYTES = 8
 
 
 class Stage(NamedTuple):
@@ -103,13 +103,13 @@
 
 def new_operation() -> str:
     """Draw an operation id."""
-    return secrets.token_hex(OPERATION_SIZE)
+    return secrets.token_hex(OPERATION_ID_BYTES)
 
 
 def new_keys(number: int = 1) -> KeyRing:
     """Draw the ring of a first generation, with one key of each kind."""
-    flow = Key(number, secrets.token_bytes(SECRET_SIZE))
-    tunnel = Key(number, secrets.token_bytes(SECRET_SIZE))
+    flow = Key(number, secrets.token_bytes(SECRET_BYTES))
+    tunnel = Key(number, secrets.token_bytes(SECRET_BYTES))
     return KeyRing({number: flow}, {number: tunnel}, number, number)
 
 
@@ -152,7 +152,7 @@
     if problems:
         return Refused(problems[0].code, "; ".join(map(str, problems)))
     if base.pointer.previous and not take_over:
-        return _refuse_amid_stages(base.pointer)
+        return _refuse_during_rollout(base.pointer)
     try:
         parts = documents.split(
             document,
@@ -171,11 +171,13 @@
         failure = await _put_values(store, base, parts)
         if failure is not None:
             return failure
-        deletes = await _superfluous(store, parts.manifest)
+        deletes = await _unreferenced_keys(store, parts.manifest)
     except ZinniahookError as error:
         return Refused(error.code, str(error))
     pointer = Pointer(base.generation + 1, operation, *(stage or ()))
-    return await _move(store, base.pointer, base.revision, pointer, values, deletes)
+    return await _move_pointer(
+        store, base.pointer, base.revision, pointer, values, deletes
+    )
 
 
 async def move_stage(store: Store, generation: int, stage: Stage | None) -> Outcome:
@@ -200,7 +202,7 @@
     moved = Pointer(generation, pointer.operation, *(stage or ()))
     if moved == pointer:
         return Committed(generation)
-    return await _move(store, pointer, revision, moved, {}, ())
+    return await _move_pointer(store, pointer, revision, moved, {}, ())
 
 
 async def settle(store: Store, operation: str) -> Outcome:
@@ -212,7 +214,7 @@
     """
     command = f"settle {operation}"
     try:
-        found = await _find(store, operation)
+        found = await _find_operation(store, operation)
         if found is not None:
             return found
         item = await store.get(documents.POINTER_KEY)
@@ -220,7 +222,7 @@
             # Nothing can be written anew in place of what isn't there.
             return Unknown(operation, command)
         fenced = await store.compare_and_swap(item.key, item.revision, item.value)
-        found = await _find(store, operation)
+        found = await _find_operation(store, operation)
     except ZinniahookError:
         return Unknown(operation, command)
     if found is not None:
@@ -254,7 +256,7 @@
     return Refused(Code.STORE_DOWN, f"nothing was changed: {reason and reason.reason}")
 
 
-async def _superfluous(store: Store, manifest: Manifest) -> list[str]:
+async def _unreferenced_keys(store: Store, manifest: Manifest) -> list[str]:
     """Return the keys that the transaction of this generation should delete.
 
     Values are only deleted together with a move of the pointer. Deleted on
@@ -278,7 +280,7 @@
     return deletes[:DELETES_LIMIT]
 
 
-async def _move(
+async def _move_pointer(
     store: Store,
     before: Pointer,
     revision: int,
@@ -310,7 +312,7 @@
         if lost:
             return await _settle_lost(store, after, written.current)
         if found != before:
-            return Refused(Code.CONFLICT, _first(written.current))
+            return Refused(Code.CONFLICT, _conflict_reason(written.current))
         # The pointer was only written anew, by `settle`.
         revision = written.current.revision
     return Unknown(after.operation, f"settle {after.operation}")
@@ -324,24 +326,24 @@
         return Unknown(after.operation, f"settle {after.operation}")
     if manifest is not None and manifest.operation == after.operation:
         return Committed(after.generation)
-    return Refused(Code.CONFLICT, _first(current))
+    return Refused(Code.CONFLICT, _conflict_reason(current))
 
 
-async def _find(store: Store, operation: str) -> Committed | None:
+async def _find_operation(store: Store, operation: str) -> Committed | None:
     for manifest in await history(store):
         if manifest.operation == operation:
             return Committed(manifest.generation)
     return None
 
 
-def _first(item: Item | None) -> str:
+def _conflict_reason(item: Item | None) -> str:
     if item is None:
         return "the configuration was deleted"
     pointer = documents.pointer_from_json(item.value)
     return f"another operator was first: generation {pointer.generation} is in force"
 
 
-def _refuse_amid_stages(pointer: Pointer) -> Refused:
+def _refuse_during_rollout(pointer: Pointer) -> Refused:
     return Refused(
         Code.CONFLICT,
         f"generation {pointer.generation} is being rolled out in stages; "
--- a/packages/zinniahook-store/src/zinniahook_store/gateway.py
+++ b/packages/zinniahook-store/src/zinniahook_store/gateway.py
@@ -19,8 +19,8 @@
 from .resolvers import AddressResolver
 
 __all__ = [
-    "CONNECT_TIMEOUT",
-    "WRONG_SHAPE",
+    "CONNECT_TIMEOUT_SECONDS",
+    "MALFORMED_ANSWER_ERRORS",
     "Gateway",
     "GatewayError",
     "Stream",
@@ -28,20 +28,20 @@
     "prefix_end",
 ]
 
-CONNECT_TIMEOUT = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 """Seconds to connect to one endpoint before the next is tried."""
 
-MAX_CLIENTS = 64
+MAX_CONCURRENT_CALLS = 64
 """Calls in progress at once; more of them wait in order."""
 
-BACKOFF_BASE = 0.1
-BACKOFF_LIMIT = 2.0
+BACKOFF_BASE_SECONDS = 0.1
+BACKOFF_LIMIT_SECONDS = 2.0
 """Bounds in seconds of the pause before a call is repeated."""
 
 SERVER_ERROR = 500
 COMPACTED_TEXT = "compacted"
 
-WRONG_SHAPE = (AttributeError, KeyError, TypeError, ValueError)
+MALFORMED_ANSWER_ERRORS = (AttributeError, KeyError, TypeError, ValueError)
 """What reading an answer of the wrong shape raises."""
 
 _FETCH_ERRORS = (OSError, HTTPError, HTTPInputError)
@@ -114,14 +114,14 @@
         sent = False
         for _ in self._endpoints:
             try:
-                return await self._call_one(kind, path, body)
+                return await self._call_endpoint(kind, path, body)
             except GatewayError as error:
                 self.failures_by_kind[kind] += 1
                 failure = error
                 sent = sent or error.sent
                 if error.compacted:
                     break
-                self.advance()
+                self.use_next_endpoint()
                 if error.sent and not repeat:
                     break
         raise GatewayError(str(failure), sent=sent, compacted=failure.compacted)
@@ -131,7 +131,7 @@
         self.calls_by_kind[kind] += 1
         return Stream(self._endpoints[self._current] + path, json.dumps(body))
 
-    def advance(self) -> None:
+    def use_next_endpoint(self) -> None:
         """Go on with the next endpoint."""
         self._current = (self._current + 1) % len(self._endpoints)
 
@@ -141,8 +141,10 @@
         The whole range is drawn from, so that a fleet that lost the store
         doesn't come back to it in step.
         """
-        limit = min(BACKOFF_LIMIT, BACKOFF_BASE * 2 ** min(failures, 10))
-        return self.rng.uniform(BACKOFF_BASE / 2, limit)
+        limit = min(
+            BACKOFF_LIMIT_SECONDS, BACKOFF_BASE_SECONDS * 2 ** min(failures, 10)
+        )
+        return self.rng.uniform(BACKOFF_BASE_SECONDS / 2, limit)
 
     def close(self) -> None:
         """Release the client; calls in progress end by their timeout."""
@@ -150,23 +152,23 @@
             self._client.close()
             self._client = None
 
-    async def _call_one(
+    async def _call_endpoint(
         self, kind: str, path: str, body: dict[str, Any]
     ) -> dict[str, Any]:
         if self._client is None:
             self._client = SimpleAsyncHTTPClient(
                 force_instance=True,
-                max_clients=MAX_CLIENTS,
+                max_clients=MAX_CONCURRENT_CALLS,
                 resolver=AddressResolver(),
             )
         self.calls_by_kind[kind] += 1
-        content = _Content(json.dumps(body))
+        content = _RequestBody(json.dumps(body))
         request = HTTPRequest(
             self._endpoints[self._current] + path,
             method="POST",
             headers=content.headers,
             body_producer=content.produce,
-            connect_timeout=min(CONNECT_TIMEOUT, self.timeout),
+            connect_timeout=min(CONNECT_TIMEOUT_SECONDS, self.timeout),
             request_timeout=self.timeout,
         )
         try:
@@ -193,8 +195,8 @@
             force_instance=True, max_clients=1, resolver=AddressResolver()
         )
         self._lines: asyncio.Queue[bytes | None] = asyncio.Queue()
-        self._rest = b""
-        content = _Content(body)
+        self._partial_line = b""
+        content = _RequestBody(body)
         self._fetch = asyncio.ensure_future(
             self._client.fetch(
                 HTTPRequest(
@@ -203,7 +205,7 @@
                     headers=content.headers,
                     body_producer=content.produce,
                     streaming_callback=self._receive,
-                    connect_timeout=CONNECT_TIMEOUT,
+                    connect_timeout=CONNECT_TIMEOUT_SECONDS,
                     request_timeout=0,
                 ),
                 raise_error=False,
@@ -229,7 +231,7 @@
         self._client.abort()
 
     def _receive(self, chunk: bytes) -> None:
-        *lines, self._rest = (self._rest + chunk).split(b"\n")
+        *lines, self._partial_line = (self._partial_line + chunk).split(b"\n")
         for line in filter(None, lines):
             self._lines.put_nowait(line)
 
@@ -240,7 +242,7 @@
         self._lines.put_nowait(None)
 
 
-class _Content:
+class _RequestBody:
     """A request body that remembers whether any of it was handed out.
 
     Without that, a failed connect and a lost answer would look alike, and a
--- a/packages/zinniahook-store/src/zinniahook_store/messages.py
+++ b/packages/zinniahook-store/src/zinniahook_store/messages.py
@@ -9,14 +9,14 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from .gateway import WRONG_SHAPE, encode_key
+from .gateway import MALFORMED_ANSWER_ERRORS, encode_key
 from .outcomes import Item, StoreError
 
 __all__ = [
     "BATCH_SIZE",
     "batches",
-    "first_differing",
-    "integer",
+    "first_conflict",
+    "parse_integer",
     "items_of",
     "put_request",
     "read_request",
@@ -29,7 +29,7 @@
 """Operations and bytes of values in one transaction of a batch."""
 
 
-def first_differing(
+def first_conflict(
     answer: dict[str, Any], revisions_by_key: Mapping[str, int]
 ) -> Item | None:
     """Find the first compared key whose revision differs."""
@@ -45,7 +45,7 @@
     """Return the answers to the reads of a transaction."""
     try:
         responses = [item["response_range"] for item in answer["responses"]]
-    except WRONG_SHAPE:
+    except MALFORMED_ANSWER_ERRORS:
         raise StoreError("the store's answer has the wrong shape") from None
     if len(responses) != count:
         raise StoreError("the store's answer is incomplete")
@@ -88,18 +88,18 @@
                 base64.b64decode(value.get("value", ""), validate=True),
                 int(value["mod_revision"]),
             )
-    except WRONG_SHAPE:
+    except MALFORMED_ANSWER_ERRORS:
         raise StoreError("the store's answer has the wrong shape") from None
 
 
 def revision_of(answer: dict[str, Any]) -> int:
     """Return the revision of the store that an answer tells."""
-    return integer(answer.get("header"), "revision")
+    return parse_integer(answer.get("header"), "revision")
 
 
-def integer(fields: Any, name: str) -> int:
+def parse_integer(fields: Any, name: str) -> int:
     """Return a number, which the JSON form carries as text."""
     try:
         return int(fields[name])
-    except WRONG_SHAPE:
+    except MALFORMED_ANSWER_ERRORS:
         raise StoreError(f"the store's answer has no {name}") from None
--- a/packages/zinniahook-store/src/zinniahook_store/watches.py
+++ b/packages/zinniahook-store/src/zinniahook_store/watches.py
@@ -16,7 +16,7 @@
 from typing import Any, Protocol
 
 from .gateway import (
-    WRONG_SHAPE,
+    MALFORMED_ANSWER_ERRORS,
     Gateway,
     GatewayError,
     Stream,
@@ -25,15 +25,15 @@
 )
 from .outcomes import Change, Snapshot, StoreError, StoreRestoredError
 
-__all__ = ["SILENCE", "Watch"]
+__all__ = ["SILENCE_SECONDS", "Watch"]
 
-SILENCE = 2.0
+SILENCE_SECONDS = 2.0
 """Seconds without a message before a watch is checked."""
 
-GRACE = 0.3
+GRACE_SECONDS = 0.3
 """Seconds that a message already on its way has to arrive."""
 
-RESTORED_TRIES = 2
+RESTORED_ATTEMPTS = 2
 """Reads of a store that was restored: the first tells so, the second what it holds."""
 
 SILENCE_JITTER = 0.2
@@ -48,7 +48,7 @@
 
     history: int
 
-    def saw(self, revision: int) -> None:
+    def observe(self, revision: int) -> None:
         """Note the revision of an answer."""
 
     async def newest(self, prefix: str) -> tuple[int, int]:
@@ -105,7 +105,7 @@
 
     async def _run(self) -> AsyncIterator[Change]:
         failures = 0
-        for change in await self._first_read():
+        for change in await self._read_initial():
             yield change
         while True:
             heard = self.heard
@@ -116,10 +116,10 @@
             finally:
                 stream.abort()
             if self._behind:
-                for change in await self._try_to_read():
+                for change in await self._read_with_retry():
                     yield change
             failures = 0 if self.heard > heard else failures + 1
-            self._gateway.advance()
+            self._gateway.use_next_endpoint()
             await asyncio.sleep(self._gateway.pause(failures))
 
     def _open(self) -> Stream:
@@ -139,7 +139,7 @@
                 return
             try:
                 changes = self._report(message["result"])
-            except WRONG_SHAPE:
+            except MALFORMED_ANSWER_ERRORS:
                 # An error, or nothing that this client understands.
                 self._behind = True
                 return
@@ -164,7 +164,7 @@
                     self._gateway.failures_by_kind["watch"] += 1
                     return None
             self._behind = await self._is_behind()
-            wait = GRACE if self._behind else self._silence
+            wait = GRACE_SECONDS if self._behind else self._silence
 
     async def _is_behind(self) -> bool:
         """Compare what is stored with what was seen."""
@@ -193,10 +193,10 @@
             # The header's revision may be ahead of the events sent so far,
             # so only the events tell where to resume.
             self.revision = max(self.revision, change.revision)
-        self._store.saw(self.revision)
-        return [change for change in changes if self._note(change)]
+        self._store.observe(self.revision)
+        return [change for change in changes if self._record(change)]
 
-    def _note(self, change: Change) -> bool:
+    def _record(self, change: Change) -> bool:
         """Remember a change; False if it is older than what was reported."""
         if change.revision <= self._revisions_by_key.get(change.key, 0):
             return False
@@ -205,7 +205,7 @@
         self._revisions_by_key[change.key] = change.revision
         return True
 
-    async def _first_read(self) -> list[Change]:
+    async def _read_initial(self) -> list[Change]:
         failures = 0
         while True:
             try:
@@ -214,8 +214,8 @@
                 failures += 1
                 await asyncio.sleep(self._gateway.pause(failures))
 
-    async def _try_to_read(self) -> list[Change]:
-        for _ in range(RESTORED_TRIES):
+    async def _read_with_retry(self) -> list[Change]:
+        for _ in range(RESTORED_ATTEMPTS):
             try:
                 return await self._read_missed()
             except StoreRestoredError:
@@ -229,25 +229,25 @@
             return await self._read_all()
         snapshot = await self._store.snapshot(self._prefix, after=self.revision)
         changes = [Change(*item) for item in snapshot.items_by_key.values()]
-        reported = [change for change in changes if self._note(change)]
+        reported = [change for change in changes if self._record(change)]
         if snapshot.count != len(self._revisions_by_key):
             return reported + await self._read_all()
-        self._caught_up(snapshot.revision)
+        self._mark_caught_up(snapshot.revision)
         return reported
 
     async def _read_all(self) -> list[Change]:
         snapshot = await self._store.snapshot(self._prefix)
         if self._store.history != self._history:
-            return self._begin_again(snapshot)
+            return self._restart_history(snapshot)
         gone = self._revisions_by_key.keys() - snapshot.items_by_key.keys()
         changes = [Change(key, None, snapshot.revision) for key in sorted(gone)]
         changes += [Change(*item) for item in snapshot.items_by_key.values()]
         since, self.revision = self.revision, max(self.revision, snapshot.revision)
-        reported = [change for change in changes if self._note(change)]
-        self._caught_up(snapshot.revision)
+        reported = [change for change in changes if self._record(change)]
+        self._mark_caught_up(snapshot.revision)
         return [change for change in reported if change.revision > since]
 
-    def _begin_again(self, snapshot: Snapshot) -> list[Change]:
+    def _restart_history(self, snapshot: Snapshot) -> list[Change]:
         """Take another history of the store; return all that it holds.
 
         What goes wrong with the revisions of the former one: what is written
@@ -261,10 +261,10 @@
             item.key: item.revision for item in snapshot.items_by_key.values()
         }
         self.revision = snapshot.revision
-        self._caught_up(snapshot.revision)
+        self._mark_caught_up(snapshot.revision)
         return changes
 
-    def _caught_up(self, revision: int) -> None:
+    def _mark_caught_up(self, revision: int) -> None:
         self.revision = max(self.revision, revision)
         self.heard = time.monotonic()
         self._behind = False
--- a/packages/zinniahook-store/tests/test_restores.py
+++ b/packages/zinniahook-store/tests/test_restores.py
@@ -44,7 +44,7 @@
     def open(self, kind, path, body):
         return Silence()
 
-    def advance(self):
+    def use_next_endpoint(self):
         pass
 
     def pause(self, failures):
@@ -95,12 +95,12 @@
 
             def restored_meanwhile():
                 store.history += 1
-                store._seen = 4
+                store._latest_revision = 4
 
             gateway.before_answer = restored_meanwhile
             with pytest.raises(StoreRestoredError):
                 await store.get(KEY)
-            return store._seen
+            return store._latest_revision
 
         assert played(story) == 4
 
--- a/packages/zinniahook-wire/src/zinniahook_wire/compression.py
+++ b/packages/zinniahook-wire/src/zinniahook_wire/compression.py
@@ -6,9 +6,9 @@
 
 from .values import DocumentError
 
-__all__ = ["SIZE_LIMIT", "compress", "decompress"]
+__all__ = ["SIZE_LIMIT_BYTES", "compress", "decompress"]
 
-SIZE_LIMIT = 1 << 20
+SIZE_LIMIT_BYTES = 1 << 20
 """Bytes that a value may have; the store keeps none above a megabyte."""
 
 
@@ -17,7 +17,7 @@
     return zlib.compress(value)
 
 
-def decompress(data: bytes, what: str, limit: int = SIZE_LIMIT) -> bytes:
+def decompress(data: bytes, what: str, limit: int = SIZE_LIMIT_BYTES) -> bytes:
     """Return what was compressed.
 
     Parameters
--- a/packages/zinniahook-wire/src/zinniahook_wire/documents.py
+++ b/packages/zinniahook-wire/src/zinniahook_wire/documents.py
@@ -35,8 +35,8 @@
     roster_to_json,
 )
 from .values import (
-    VALUE_LIMIT,
-    WRONG_VALUE,
+    MALFORMED_VALUE_ERRORS,
+    VALUE_LIMIT_BYTES,
     DocumentError,
     digest_of,
     dump,
@@ -57,7 +57,7 @@
     "Pointer",
     "POINTER_KEY",
     "ROSTER_PREFIX",
-    "VALUE_LIMIT",
+    "VALUE_LIMIT_BYTES",
     "chunk_key",
     "chunk_number",
     "daemons_from_json",
@@ -290,7 +290,7 @@
             int(value["flow_key"]),
             int(value["tunnel_key"]),
         )
-    except WRONG_VALUE:
+    except MALFORMED_VALUE_ERRORS:
         raise DocumentError("keys: not a key ring") from None
 
 
@@ -316,7 +316,7 @@
     value = load(data, "manifest")
     try:
         manifest = Manifest(**{**value, "chunks": tuple(map(str, value["chunks"]))})
-    except WRONG_VALUE as error:
+    except MALFORMED_VALUE_ERRORS as error:
         raise invalid("manifest", error) from None
     if type(manifest.generation) is not int or not isinstance(manifest.head, dict):
         raise DocumentError("manifest: a field has the wrong type")
@@ -345,7 +345,7 @@
             tuple(map(str, value.get("instances", ()))),
             tuple(map(str, value.get("data_centres", ()))),
         )
-    except WRONG_VALUE as error:
+    except MALFORMED_VALUE_ERRORS as error:
         raise invalid("pointer", error) from None
 
 
--- a/packages/zinniahook-wire/src/zinniahook_wire/peers.py
+++ b/packages/zinniahook-wire/src/zinniahook_wire/peers.py
@@ -81,7 +81,7 @@
         return Code.TUNNEL_MALFORMED
 
 
-def _encodes(kind: type, field: str) -> Callable[[Encoder], Encoder]:
+def _encoder_of(kind: type, field: str) -> Callable[[Encoder], Encoder]:
     def register(encoder: Encoder) -> Encoder:
         _encoders_by_type[kind] = field, encoder
         return encoder
@@ -89,7 +89,7 @@
     return register
 
 
-def _decodes(field: str) -> Callable[[Decoder], Decoder]:
+def _decoder_of(field: str) -> Callable[[Decoder], Decoder]:
     def register(decoder: Decoder) -> Decoder:
         _decoders_by_field[field] = decoder
         return decoder
@@ -97,7 +97,7 @@
     return register
 
 
-@_encodes(Heartbeat, "heartbeat")
+@_encoder_of(Heartbeat, "heartbeat")
 def _encode_heartbeat(message: Heartbeat) -> peers_pb2.Heartbeat:
     return peers_pb2.Heartbeat(
         incarnation=message.incarnation,
@@ -109,7 +109,7 @@
     )
 
 
-@_decodes("heartbeat")
+@_decoder_of("heartbeat")
 def _decode_heartbeat(message: peers_pb2.Heartbeat) -> Heartbeat:
     load = message.load
     return Heartbeat(
@@ -122,53 +122,53 @@
     )
 
 
-@_encodes(FlowAsk, "flow_ask")
+@_encoder_of(FlowAsk, "flow_ask")
 def _encode_flow_ask(message: FlowAsk) -> peers_pb2.FlowAsk:
     return peers_pb2.FlowAsk(number=message.number, flow=message.flow)
 
 
-@_decodes("flow_ask")
+@_decoder_of("flow_ask")
 def _decode_flow_ask(message: peers_pb2.FlowAsk) -> FlowAsk:
     return FlowAsk(message.number, message.flow)
 
 
-@_encodes(FlowAnswer, "flow_answer")
+@_encoder_of(FlowAnswer, "flow_answer")
 def _encode_flow_answer(message: FlowAnswer) -> peers_pb2.FlowAnswer:
     return peers_pb2.FlowAnswer(**message._asdict())
 
 
-@_decodes("flow_answer")
+@_decoder_of("flow_answer")
 def _decode_flow_answer(message: peers_pb2.FlowAnswer) -> FlowAnswer:
     return FlowAnswer(message.number, message.flow, message.owner)
 
 
-@_encodes(FlowPointers, "flow_pointers")
+@_encoder_of(FlowPointers, "flow_pointers")
 def _encode_flow_pointers(message: FlowPointers) -> peers_pb2.FlowPointers:
     return peers_pb2.FlowPointers(**message._asdict())
 
 
-@_decodes("flow_pointers")
+@_decoder_of("flow_pointers")
 def _decode_flow_pointers(message: peers_pb2.FlowPointers) -> FlowPointers:
     return FlowPointers(message.owner, message.incarnation, tuple(message.flows))
 
 
-@_encodes(Placed, "placed")
+@_encoder_of(Placed, "placed")
 def _encode_placed(message: Placed) -> peers_pb2.Placed:
     host, port = message.caller
     return peers_pb2.Placed(flow=message.flow, host=host, port=port)
 
 
-@_decodes("placed")
+@_decoder_of("placed")
 def _decode_placed(message: peers_pb2.Placed) -> Placed:
     return Placed(message.flow, Address(message.host, message.port))
 
 
-@_encodes(ClaimAsk, "claim_ask")
+@_encoder_of(ClaimAsk, "claim_ask")
 def _encode_claim_ask(message: ClaimAsk) -> peers_pb2.ClaimAsk:
     return peers_pb2.ClaimAsk(**message._asdict())
 
 
-@_decodes("claim_ask")
+@_decoder_of("claim_ask")
 def _decode_claim_ask(message: peers_pb2.ClaimAsk) -> ClaimAsk:
     return ClaimAsk(
         message.number,
@@ -181,12 +181,12 @@
     )
 
 
-@_encodes(ClaimAnswer, "claim_answer")
+@_encoder_of(ClaimAnswer, "claim_answer")
 def _encode_claim_answer(message: ClaimAnswer) -> peers_pb2.ClaimAnswer:
     return peers_pb2.ClaimAnswer(**message._asdict())
 
 
-@_decodes("claim_answer")
+@_decoder_of("claim_answer")
 def _decode_claim_answer(message: peers_pb2.ClaimAnswer) -> ClaimAnswer:
     return ClaimAnswer(
         message.number,
@@ -202,12 +202,12 @@
     )
 
 
-@_encodes(ClaimFinished, "claim_finished")
+@_encoder_of(ClaimFinished, "claim_finished")
 def _encode_claim_finished(message: ClaimFinished) -> peers_pb2.ClaimFinished:
     return peers_pb2.ClaimFinished(**message._asdict())
 
 
-@_decodes("claim_finished")
+@_decoder_of("claim_finished")
 def _decode_claim_finished(message: peers_pb2.ClaimFinished) -> ClaimFinished:
     return ClaimFinished(
         message.key,
@@ -218,7 +218,7 @@
     )
 
 
-@_encodes(ClaimRecords, "claim_records")
+@_encoder_of(ClaimRecords, "claim_records")
 def _encode_claim_records(message: ClaimRecords) -> peers_pb2.ClaimRecords:
     return peers_pb2.ClaimRecords(
         sender=message.sender,
@@ -233,7 +233,7 @@
     )
 
 
-@_decodes("claim_records")
+@_decoder_of("claim_records")
 def _decode_claim_records(message: peers_pb2.ClaimRecords) -> ClaimRecords:
     return ClaimRecords(
         message.sender,
--- a/packages/zinniahook-wire/src/zinniahook_wire/rosters.py
+++ b/packages/zinniahook-wire/src/zinniahook_wire/rosters.py
@@ -10,7 +10,14 @@
 from zinniahook_core.models import Address, AgentState, Member, Roster
 
 from .compression import compress, decompress
-from .values import DIGEST_SIZE, OPERATIONS_KEPT, WRONG_VALUE, dump, invalid, load
+from .values import (
+    DIGEST_BYTES,
+    MALFORMED_VALUE_ERRORS,
+    OPERATIONS_KEPT,
+    dump,
+    invalid,
+    load,
+)
 
 __all__ = [
     "DAEMONS_PREFIX",
@@ -97,12 +104,12 @@
     value = load(data, what)
     try:
         members = {name: _member(name, item) for name, item in value["members"].items()}
-    except WRONG_VALUE as error:
+    except MALFORMED_VALUE_ERRORS as error:
         raise invalid(what, error) from None
     return Roster(service, revision, members)
 
 
-class Packed(NamedTuple):
+class CompressedRoster(NamedTuple):
     """A roster as stored, compressed; empty if it was deleted."""
 
     revision: int
@@ -117,14 +124,14 @@
     """
 
     def __init__(self) -> None:
-        self._packed_by_service: dict[str, Packed] = {}
+        self._compressed_by_service: dict[str, CompressedRoster] = {}
 
     @property
     def revisions_by_service(self) -> Mapping[str, int]:
         """The store's revision of each roster."""
         return {
             service: packed.revision
-            for service, packed in self._packed_by_service.items()
+            for service, packed in self._compressed_by_service.items()
         }
 
     def put(self, roster: Roster, value: bytes = b"", packed: bytes = b"") -> bool:
@@ -139,19 +146,21 @@
         packed : bytes
             The same compressed, if it came so.
         """
-        known = self._packed_by_service.get(roster.service)
+        known = self._compressed_by_service.get(roster.service)
         if known is not None and known.revision >= roster.revision:
             return False
         if not packed and not value and roster.by_name:
             value = roster_to_json(roster)
         if value and not packed:
             packed = compress(value)
-        self._packed_by_service[roster.service] = Packed(roster.revision, packed)
+        self._compressed_by_service[roster.service] = CompressedRoster(
+            roster.revision, packed
+        )
         return True
 
     def revision(self, service: str) -> int:
         """Return the revision known of a roster, 0 if none."""
-        packed = self._packed_by_service.get(service)
+        packed = self._compressed_by_service.get(service)
         return packed.revision if packed else 0
 
     def value(self, service: str) -> bytes:
@@ -173,11 +182,11 @@
         KeyError
             If none is known.
         """
-        return self._packed_by_service[service].value
+        return self._compressed_by_service[service].value
 
     def get(self, service: str) -> Roster | None:
         """Return a roster; None if none is known."""
-        packed = self._packed_by_service.get(service)
+        packed = self._compressed_by_service.get(service)
         if packed is None:
             return None
         value = self.value(service)
@@ -227,13 +236,13 @@
             )
             for name, item in value["daemons"].items()
         }
-    except WRONG_VALUE as error:
+    except MALFORMED_VALUE_ERRORS as error:
         raise invalid("list of daemons", error) from None
 
 
 def revisions_digest(revisions_by_service: Mapping[str, int]) -> bytes:
     """Return a digest of roster revisions, for finding what got lost."""
-    digest = hashlib.blake2b(digest_size=DIGEST_SIZE)
+    digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for service, revision in sorted(revisions_by_service.items()):
         digest.update(f"{service}\0{revision}\0".encode())
     return digest.digest()
--- a/packages/zinniahook-wire/src/zinniahook_wire/tunnels.py
+++ b/packages/zinniahook-wire/src/zinniahook_wire/tunnels.py
@@ -41,21 +41,21 @@
 
 _HEADER = struct.Struct("!BBBBHI18s18s")
 _PREFIX = struct.Struct("!BBBBHI")
-_FLAGS_AT = 2
-_TAG_SIZE = 16
-_PAYLOAD_AT = _HEADER.size + _TAG_SIZE
+_FLAGS_OFFSET = 2
+_TAG_BYTES = 16
+_PAYLOAD_OFFSET = _HEADER.size + _TAG_BYTES
 
-OVERHEAD = _PAYLOAD_AT
+OVERHEAD = _PAYLOAD_OFFSET
 """Bytes that the tunnel adds to each payload."""
 
 _VERSION = 0x10
-_HANDED = 0x01
-_BARE = 0x02
+_HANDED_FLAG = 0x01
+_HEADER_ONLY_FLAG = 0x02
 """The tag covers the header only."""
 
-_FLAGS = _HANDED | _BARE
-_MAPPED = bytes(10) + b"\xff\xff"
-_NO_ADDRESS_PACKED = _MAPPED + bytes(6)
+_KNOWN_FLAGS = _HANDED_FLAG | _HEADER_ONLY_FLAG
+_IPV4_MAPPED_PREFIX = bytes(10) + b"\xff\xff"
+_PACKED_NO_ADDRESS = _IPV4_MAPPED_PREFIX + bytes(6)
 
 
 class TunnelKind(enum.IntEnum):
@@ -116,12 +116,16 @@
         packed = socket.inet_pton(socket.AF_INET6, host.partition("%")[0])
         return packed + port.to_bytes(2, "big")
     # No cache of packed addresses: with many open flows it only misses.
-    return _MAPPED + socket.inet_pton(socket.AF_INET, host) + port.to_bytes(2, "big")
+    return (
+        _IPV4_MAPPED_PREFIX
+        + socket.inet_pton(socket.AF_INET, host)
+        + port.to_bytes(2, "big")
+    )
 
 
 def _unpack_address(packed: bytes) -> Address:
     port = int.from_bytes(packed[16:], "big")
-    if packed.startswith(_MAPPED):
+    if packed.startswith(_IPV4_MAPPED_PREFIX):
         return make_address((socket.inet_ntoa(packed[12:16]), port))
     return Address(socket.inet_ntop(socket.AF_INET6, packed[:16]), port)
 
@@ -151,11 +155,11 @@
                 raise ValueError(f"tunnel key number out of range: {number}")
         # Hashing the key anew for each datagram would double the cost of a
         # short one; a copy of the keyed state doesn't.
-        self._copies_by_number = {
-            number: hashlib.blake2b(digest_size=_TAG_SIZE, key=key.secret).copy
+        self._keyed_copies_by_number = {
+            number: hashlib.blake2b(digest_size=_TAG_BYTES, key=key.secret).copy
             for number, key in keys_by_number.items()
         }
-        self._copy = self._copies_by_number[key]
+        self._keyed_copy = self._keyed_copies_by_number[key]
         self.key = key
 
     def encode(self, datagram: TunnelDatagram) -> bytes:
@@ -171,7 +175,11 @@
         )
         if not covered and kind is TunnelKind.PEER:
             raise ValueError("cannot be encoded: a bare message between agents")
-        flags = _VERSION | (_HANDED if handed else 0) | (0 if covered else _BARE)
+        flags = (
+            _VERSION
+            | (_HANDED_FLAG if handed else 0)
+            | (0 if covered else _HEADER_ONLY_FLAG)
+        )
         try:
             header = _HEADER.pack(
                 self.key,
@@ -185,25 +193,27 @@
             )
         except (struct.error, OSError, OverflowError) as error:
             raise ValueError(f"cannot be encoded: {error}") from None
-        digest = self._copy()
+        digest = self._keyed_copy()
         digest.update(header)
         if covered:
             digest.update(payload)
         return b"".join((header, digest.digest(), payload))
 
     def prefix(self, kind: TunnelKind, service: int, generation: int) -> bytes:
-        """Encode what the headers of many bare datagrams share; see `wrapper`."""
-        return _PREFIX.pack(self.key, kind, _VERSION | _BARE, 0, service, generation)
+        """Encode what the headers of many bare datagrams share; see `encode_header`."""
+        return _PREFIX.pack(
+            self.key, kind, _VERSION | _HEADER_ONLY_FLAG, 0, service, generation
+        )
 
-    def wrapper(self, prefix: bytes, caller: tuple[str, int]) -> bytes:
+    def encode_header(self, prefix: bytes, caller: tuple[str, int]) -> bytes:
         """Encode what stands in front of a bare payload that names no entry.
 
         With the payload behind it, it is what `encode` returns with
         ``covered`` False. It is the packet path of an entry: ``caller`` is an
         address as a socket gives it.
         """
-        header = prefix + _pack_address(caller) + _NO_ADDRESS_PACKED
-        digest = self._copy()
+        header = prefix + _pack_address(caller) + _PACKED_NO_ADDRESS
+        digest = self._keyed_copy()
         digest.update(header)
         return header + digest.digest()
 
@@ -216,26 +226,28 @@
             TUNNEL_MALFORMED, TUNNEL_KEY_UNKNOWN or TUNNEL_UNAUTHENTICATED
             for a datagram that is not to be trusted.
         """
-        if len(data) < _PAYLOAD_AT:
+        if len(data) < _PAYLOAD_OFFSET:
             return Code.TUNNEL_MALFORMED
-        copy = self._copies_by_number.get(data[0])
+        copy = self._keyed_copies_by_number.get(data[0])
         if copy is None:
             return Code.TUNNEL_KEY_UNKNOWN
-        payload = data[_PAYLOAD_AT:]
+        payload = data[_PAYLOAD_OFFSET:]
         digest = copy()
         digest.update(data[: _HEADER.size])
-        bare = data[_FLAGS_AT] & _BARE
-        if not bare:
+        header_only = data[_FLAGS_OFFSET] & _HEADER_ONLY_FLAG
+        if not header_only:
             digest.update(payload)
-        if not hmac.compare_digest(digest.digest(), data[_HEADER.size : _PAYLOAD_AT]):
+        if not hmac.compare_digest(
+            digest.digest(), data[_HEADER.size : _PAYLOAD_OFFSET]
+        ):
             return Code.TUNNEL_UNAUTHENTICATED
         (_, number, flags, hops, service, generation, caller, entry) = (
             _HEADER.unpack_from(data)
         )
         kind = _KINDS_BY_NUMBER.get(number)
-        if kind is None or flags & ~_FLAGS != _VERSION:
+        if kind is None or flags & ~_KNOWN_FLAGS != _VERSION:
             return Code.TUNNEL_MALFORMED
-        if bare and kind is TunnelKind.PEER:
+        if header_only and kind is TunnelKind.PEER:
             # Nothing but the tag protects a message between agents.
             return Code.TUNNEL_UNAUTHENTICATED
         return _make_datagram(
@@ -244,10 +256,10 @@
                 service,
                 generation,
                 hops,
-                bool(flags & _HANDED),
+                bool(flags & _HANDED_FLAG),
                 _unpack_address(caller),
-                NO_ADDRESS if entry == _NO_ADDRESS_PACKED else _unpack_address(entry),
+                NO_ADDRESS if entry == _PACKED_NO_ADDRESS else _unpack_address(entry),
                 payload,
-                not bare,
+                not header_only,
             )
         )
--- a/packages/zinniahook-wire/src/zinniahook_wire/values.py
+++ b/packages/zinniahook-wire/src/zinniahook_wire/values.py
@@ -13,8 +13,8 @@
 __all__ = [
     "DocumentError",
     "OPERATIONS_KEPT",
-    "VALUE_LIMIT",
-    "WRONG_VALUE",
+    "VALUE_LIMIT_BYTES",
+    "MALFORMED_VALUE_ERRORS",
     "digest_of",
     "dump",
     "invalid",
@@ -22,7 +22,7 @@
     "operations_of",
 ]
 
-VALUE_LIMIT = 900_000
+VALUE_LIMIT_BYTES = 900_000
 """Largest value that is written; the store refuses one above a megabyte."""
 
 OPERATIONS_KEPT = 16
@@ -32,10 +32,10 @@
 later writes and take a write that took effect for one that did not.
 """
 
-WRONG_VALUE = (KeyError, TypeError, ValueError, AttributeError)
+MALFORMED_VALUE_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
 """What reading a value of the wrong shape raises."""
 
-DIGEST_SIZE = 16
+DIGEST_BYTES = 16
 
 
 class DocumentError(ZinniahookError):
@@ -44,7 +44,7 @@
 
 def digest_of(data: bytes) -> str:
     """Return the digest that names a value by its content."""
-    digest = hashlib.blake2b(data, digest_size=DIGEST_SIZE).digest()
+    digest = hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest()
     return base64.urlsafe_b64encode(digest).rstrip(b"=").decode()
 
 
@@ -85,9 +85,9 @@
     # Sorted, so that the same content always has the same digest.
     text = json.dumps(value, ensure_ascii=False, separators=(",", ":"), sort_keys=True)
     data = text.encode()
-    if len(data) > VALUE_LIMIT:
+    if len(data) > VALUE_LIMIT_BYTES:
         raise DocumentError(
-            f"{what}: {len(data)} bytes, {VALUE_LIMIT} are allowed", code
+            f"{what}: {len(data)} bytes, {VALUE_LIMIT_BYTES} are allowed", code
         )
     return data
 
--- a/packages/zinniahook-wire/tests/test_documents.py
+++ b/packages/zinniahook-wire/tests/test_documents.py
@@ -91,7 +91,7 @@
         parts = split(document(SERVICES))
         sizes = [len(value) for value in parts.values_by_key.values()]
         sizes.append(len(documents.manifest_to_json(parts.manifest)))
-        assert max(sizes) < documents.VALUE_LIMIT / 20
+        assert max(sizes) < documents.VALUE_LIMIT_BYTES / 20
 
     def test_missing_chunk_is_named(self):
         manifest = split(document(1)).manifest
--- a/packages/zinniahook-wire/tests/test_manifests.py
+++ b/packages/zinniahook-wire/tests/test_manifests.py
@@ -8,7 +8,7 @@
 from zinniahook_core.configuration import Document, KeyRing
 from zinniahook_core.models import Address, Key, Service
 from zinniahook_wire import documents
-from zinniahook_wire.compression import SIZE_LIMIT, compress, decompress
+from zinniahook_wire.compression import SIZE_LIMIT_BYTES, compress, decompress
 from zinniahook_wire.documents import Manifest
 from zinniahook_wire.manifests import BaseError, apply_change, change_between
 from zinniahook_wire.values import DocumentError
@@ -36,12 +36,14 @@
     def test_a_value_comes_back(self):
         value = b"tally" * 1000
         assert decompress(compress(value), "value") == value
-        assert decompress(compress(bytes(SIZE_LIMIT)), "value") == bytes(SIZE_LIMIT)
+        assert decompress(compress(bytes(SIZE_LIMIT_BYTES)), "value") == bytes(
+            SIZE_LIMIT_BYTES
+        )
 
     @pytest.mark.parametrize(
         "data",
         [
-            compress(bytes(SIZE_LIMIT + 1)),
+            compress(bytes(SIZE_LIMIT_BYTES + 1)),
             compress(b"value") + b"more",
             compress(b"value")[:-1],
             b"not compressed",
--- a/packages/zinniahook-wire/tests/test_tunnels.py
+++ b/packages/zinniahook-wire/tests/test_tunnels.py
@@ -113,7 +113,7 @@
             TunnelKind.TO_AGENT, 7, 41, 0, False, caller, NO_ADDRESS, payload, False
         )
         prefix = tunnel.prefix(TunnelKind.TO_AGENT, 7, 41)
-        assert tunnel.wrapper(prefix, caller) + payload == tunnel.encode(datagram)
+        assert tunnel.encode_header(prefix, caller) + payload == tunnel.encode(datagram)
 
     @given(bare_datagrams, st.integers(0, OVERHEAD * 8 - 1))
     def test_one_changed_bit_of_the_header(self, datagram, bit):
@@ -135,7 +135,7 @@
             tunnel.encode(bare)
         sealed = bytearray(tunnel.encode(example(covered=False)))
         prefix = tunnel.prefix(TunnelKind.PEER, 7, 41)
-        forged = tunnel.wrapper(prefix, example().caller) + b"payload"
+        forged = tunnel.encode_header(prefix, example().caller) + b"payload"
         assert tunnel.decode(forged) is Code.TUNNEL_UNAUTHENTICATED
         assert isinstance(tunnel.decode(bytes(sealed)), TunnelDatagram)
 
@@ -199,7 +199,7 @@
         proves the sender, not the layout.
         """
         tunnel = Tunnel({2: NEW}, 2)
-        copied = tunnel._copy
+        copied = tunnel._keyed_copy
         sealed = bytearray(tunnel.encode(example()))
         sealed[2] = 0x20
         digest = copied()
