--- a/packages/zinniahook-store/tests/test_answers.py
+++ b/packages/zinniahook-store/tests/test_answers.py
@@ -13,7 +13,7 @@
 from zinniahook_core.codes import Code
 from zinniahook_store import AnswerLost, NotWritten, Store, StoreError
 
-BOUND = 20.0
+TIMEOUT_SECONDS = 20.0
 
 BAD_ANSWERS = [
     (200, b""),
@@ -50,7 +50,7 @@
         await scenario(Store(["{}:{}".format(*sockets[0].getsockname())]))
         server.stop()
 
-    asyncio.run(asyncio.wait_for(serve(), BOUND))
+    asyncio.run(asyncio.wait_for(serve(), TIMEOUT_SECONDS))
 
 
 class TestBadAnswers:
@@ -138,7 +138,7 @@
 
         run(200, answer, scenario)
 
-    def test_a_name_that_nobody_knows_is_an_error(self):
+    def test_an_unknown_name_is_an_error(self):
         async def scenario(store):
             store._gateway._endpoints = ["http://nowhere.invalid:1"]
             with pytest.raises(StoreError):
--- a/packages/zinniahook-store/tests/test_restores.py
+++ b/packages/zinniahook-store/tests/test_restores.py
@@ -7,7 +7,7 @@
 from zinniahook_core.codes import Code
 from zinniahook_store import AnswerLost, Store, StoreRestoredError, Written
 
-BOUND = 20.0
+TIMEOUT_SECONDS = 20.0
 PREFIX = "/zinniahook/roster/"
 KEY = f"{PREFIX}tally"
 
@@ -42,7 +42,7 @@
         return answer
 
     def open(self, kind, path, body):
-        return Silence()
+        return SilentStream()
 
     def use_next_endpoint(self):
         pass
@@ -51,7 +51,7 @@
         return 0.0
 
 
-class Silence:
+class SilentStream:
     """A watch's connection that brings nothing."""
 
     async def read(self):
@@ -61,12 +61,12 @@
         pass
 
 
-def played(story):
+def run_scenario(scenario):
     async def run():
         store = Store(["127.0.0.1:9"])
-        return await story(store, Gateway(store))
+        return await scenario(store, Gateway(store))
 
-    return asyncio.run(asyncio.wait_for(run(), BOUND))
+    return asyncio.run(asyncio.wait_for(run(), TIMEOUT_SECONDS))
 
 
 class TestCalls:
@@ -77,7 +77,7 @@
     """
 
     def test_a_revision_that_falls_is_an_error_once(self):
-        async def story(store, gateway):
+        async def scenario(store, gateway):
             await store.get(KEY)
             gateway.restore(4, b"four")
             with pytest.raises(StoreRestoredError) as error:
@@ -86,11 +86,11 @@
             assert store.failures_by_kind["restored"] == 1
             return await store.get(KEY), store.history
 
-        item, history = played(story)
+        item, history = run_scenario(scenario)
         assert (item.value, item.revision, history) == (b"four", 4, 1)
 
     def test_a_late_answer_of_the_former_history_is_refused(self):
-        async def story(store, gateway):
+        async def scenario(store, gateway):
             await store.get(KEY)
 
             def restored_meanwhile():
@@ -102,27 +102,27 @@
                 await store.get(KEY)
             return store._latest_revision
 
-        assert played(story) == 4
+        assert run_scenario(scenario) == 4
 
     def test_a_write_may_have_taken_effect(self):
-        async def story(store, gateway):
+        async def scenario(store, gateway):
             await store.get(KEY)
             gateway.restore(4, b"four")
             lost = await store.compare_and_swap(KEY, 10, b"x")
             return lost, await store.compare_and_swap(KEY, 4, b"x")
 
-        lost, written = played(story)
+        lost, written = run_scenario(scenario)
         assert isinstance(lost, AnswerLost)
         assert lost.failure.code is Code.STORE_RESTORED
         assert written == Written(4)
 
     def test_the_same_revision_is_no_restore(self):
-        async def story(store, gateway):
+        async def scenario(store, gateway):
             await store.get(KEY)
             await store.get(KEY)
             return store.history
 
-        assert played(story) == 0
+        assert run_scenario(scenario) == 0
 
 
 class TestWatches:
@@ -133,7 +133,7 @@
     """
 
     def followed(self, value):
-        async def story(store, gateway):
+        async def scenario(store, gateway):
             watch = store.watch(PREFIX, silence=0.01)
             first = await anext(watch)
             gateway.restore(4, value)
@@ -145,7 +145,7 @@
             await watch.aclose()
             return first, second, revision, third
 
-        return played(story)
+        return run_scenario(scenario)
 
     def test_what_the_copy_holds_is_reported_and_what_follows(self):
         first, second, revision, third = self.followed(b"four")
@@ -164,7 +164,7 @@
         is told that the revision fell.
         """
 
-        async def story(store, gateway):
+        async def scenario(store, gateway):
             watches = [store.watch(PREFIX, silence=0.01) for _ in range(3)]
             for watch in watches:
                 await anext(watch)
@@ -174,16 +174,16 @@
                 await watch.aclose()
             return changes, store.history
 
-        changes, history = played(story)
+        changes, history = run_scenario(scenario)
         assert [change.value for change in changes] == [b"four"] * 3
         assert history == 1
 
     def test_a_message_of_a_lower_revision_is_not_taken(self):
-        async def story(store, gateway):
+        async def scenario(store, gateway):
             watch = store.watch(PREFIX, silence=0.01)
             await anext(watch)
             header = {"header": {"revision": "4"}, "events": [{"kv": {}}]}
             assert watch._report(header) == []
             return watch._behind
 
-        assert played(story)
+        assert run_scenario(scenario)
--- a/packages/zinniahook-store/tests/test_store.py
+++ b/packages/zinniahook-store/tests/test_store.py
@@ -17,10 +17,10 @@
 )
 from zinniahook_testkit import faults, stores
 
-BOUND = 20.0
+TIMEOUT_SECONDS = 20.0
 """Seconds after which a wait counts as failed."""
 
-SILENCE = 0.3
+SILENCE_SECONDS = 0.3
 
 
 @pytest.fixture(scope="module")
@@ -45,14 +45,14 @@
 
 def run(scenario):
     """Run a scenario within the bound."""
-    return asyncio.run(asyncio.wait_for(scenario, BOUND))
+    return asyncio.run(asyncio.wait_for(scenario, TIMEOUT_SECONDS))
 
 
 def client(server, timeout=2.0):
     return Store([server.address], timeout, random.Random(1))
 
 
-def has(operation):
+def contains(operation):
     return lambda value: operation in value
 
 
@@ -105,8 +105,8 @@
             outcomes = await asyncio.gather(
                 *(store.compare_and_swap(key, 0, b"%d" % n) for n in range(8))
             )
-            written = [one for one in outcomes if isinstance(one, Written)]
-            conflicts = [one for one in outcomes if isinstance(one, Conflict)]
+            written = [outcome for outcome in outcomes if isinstance(outcome, Written)]
+            conflicts = [each for each in outcomes if isinstance(each, Conflict)]
             assert (len(written), len(conflicts)) == (1, 7)
             current = await store.get(key)
             assert {conflict.current for conflict in conflicts} == {current}
@@ -128,7 +128,7 @@
             lease = await store.grant(1)
             assert await store.keep_alive(lease) == 1
             await store.put(prefix + "leased", b"x", lease)
-            watch = store.watch(prefix, silence=SILENCE)
+            watch = store.watch(prefix, silence=SILENCE_SECONDS)
             assert (await anext(watch)).value == b"x"
             assert (await anext(watch)).value is None
             assert await store.keep_alive(lease) == 0
@@ -210,7 +210,7 @@
             server.set_faults(lose=1, lose_prefix=prefix)
             lost = await store.compare_and_swap(key, 0, b"operation-1")
             assert isinstance(lost, AnswerLost)
-            settled = await store.settle(key, 0, has(b"operation-1"))
+            settled = await store.settle(key, 0, contains(b"operation-1"))
             assert settled == Written((await store.get(key)).revision)
 
         run(scenario())
@@ -220,7 +220,7 @@
             store = client(server)
             key = prefix + "key"
             await store.put(key, b"operation-2")
-            settled = await store.settle(key, 0, has(b"operation-1"))
+            settled = await store.settle(key, 0, contains(b"operation-1"))
             assert settled == Conflict(await store.get(key))
 
         run(scenario())
@@ -237,13 +237,13 @@
         async def scenario():
             store = client(server)
             key = prefix + "key"
-            watch = store.watch(prefix, silence=SILENCE)
+            watch = store.watch(prefix, silence=SILENCE_SECONDS)
             server.set_faults(lose=1, lose_prefix=prefix, late=0.5)
             await store.compare_and_swap(key, 0, b"operation-1")
-            early = await store.settle(key, 0, has(b"operation-1"))
+            early = await store.settle(key, 0, contains(b"operation-1"))
             assert isinstance(early, AnswerLost)
             change = await anext(watch)
-            settled = await store.settle(key, 0, has(b"operation-1"))
+            settled = await store.settle(key, 0, contains(b"operation-1"))
             assert settled == Written(change.revision)
             await watch.aclose()
 
@@ -262,7 +262,7 @@
             store = client(server)
             key = prefix + "key"
             server.set_faults(lose=2, lose_prefix=prefix, late=late)
-            outcome = await store.swap(key, 0, b"operation-1", has(b"operation-1"))
+            outcome = await store.swap(key, 0, b"operation-1", contains(b"operation-1"))
             item = await store.get(key)
             assert outcome == Written(item.revision)
             assert item.value == b"operation-1"
@@ -314,7 +314,7 @@
         """
 
         async def scenario():
-            store, watch = await self.started(server, prefix, silence=SILENCE)
+            store, watch = await self.started(server, prefix, silence=SILENCE_SECONDS)
             server.set_faults(silent=True)
             written = await store.put(prefix + "a", b"1")
             assert await anext(watch) == Change(prefix + "a", b"1", written.revision)
@@ -336,7 +336,7 @@
         """
 
         async def scenario():
-            store, watch = await self.started(server, prefix, silence=SILENCE)
+            store, watch = await self.started(server, prefix, silence=SILENCE_SECONDS)
             pending = asyncio.ensure_future(anext(watch))
             server.set_faults(outage="refuse")
             while store.calls_by_kind["watch"] < 2:
@@ -392,7 +392,7 @@
                 far = Store([proxy.address], 2.0, random.Random(1))
                 store = client(server)
                 await store.put(prefix + "first", b"1")
-                watch = far.watch(prefix, silence=SILENCE)
+                watch = far.watch(prefix, silence=SILENCE_SECONDS)
                 await anext(watch)
                 pending = asyncio.ensure_future(anext(watch))
                 while server.state()["watches"] == 0:
--- a/packages/zinniahook-store/tests/test_watches.py
+++ b/packages/zinniahook-store/tests/test_watches.py
@@ -8,8 +8,8 @@
 from zinniahook_store import Store, Written
 from zinniahook_testkit import faults, stores
 
-BOUND = 30.0
-SILENCE = 0.15
+TIMEOUT_SECONDS = 30.0
+SILENCE_SECONDS = 0.15
 KEYS = 6
 STEPS = 30
 PREFIX = "/zinniahook/roster/"
@@ -83,14 +83,14 @@
             with stores.start() as server, faults.start(server.address) as proxy:
                 near = Store([server.address], 2.0, random.Random(seed))
                 far = Store([proxy.address], 0.5, random.Random(seed))
-                follower = Follower(far.watch(PREFIX, silence=SILENCE))
+                follower = Follower(far.watch(PREFIX, silence=SILENCE_SECONDS))
                 following = asyncio.ensure_future(follower.follow())
                 trouble = Faults(rng, server, proxy)
                 for step in range(STEPS):
                     await change_something(rng, near, step)
                     if rng.random() < 0.4:
                         trouble.draw()
-                    await asyncio.sleep(rng.uniform(0, SILENCE))
+                    await asyncio.sleep(rng.uniform(0, SILENCE_SECONDS))
                 trouble.clear()
                 stored = {item.key: item.value for item in await near.range(PREFIX)}
                 while follower.values_by_key != stored:
@@ -99,7 +99,7 @@
                 following.cancel()
                 await asyncio.wait([following])
 
-        asyncio.run(asyncio.wait_for(scenario(), BOUND))
+        asyncio.run(asyncio.wait_for(scenario(), TIMEOUT_SECONDS))
 
 
 class TestCancellation:
@@ -115,7 +115,7 @@
 
         async def scenario():
             store = Store(["127.0.0.1:9"])
-            watch = store.watch(PREFIX, silence=BOUND)
+            watch = store.watch(PREFIX, silence=TIMEOUT_SECONDS)
             messages = asyncio.Queue()
             stream = types.SimpleNamespace(read=messages.get)
             reader = asyncio.ensure_future(watch._next_message(stream))
@@ -129,4 +129,4 @@
                 assert reader.cancelled()
             store.close()
 
-        asyncio.run(asyncio.wait_for(scenario(), BOUND))
+        asyncio.run(asyncio.wait_for(scenario(), TIMEOUT_SECONDS))
--- a/packages/zinniahook-wire/tests/test_tunnels.py
+++ b/packages/zinniahook-wire/tests/test_tunnels.py
@@ -44,7 +44,7 @@
     st.binary(max_size=1500),
     st.just(True),
 )
-bare_datagrams = st.builds(
+header_only_datagrams = st.builds(
     TunnelDatagram,
     st.sampled_from([TunnelKind.TO_AGENT, TunnelKind.TO_CALLER]),
     st.integers(0, 0xFFFF),
@@ -93,21 +93,21 @@
             {"entry": Address("10.0.0.1", 70000)},
         ],
     )
-    def test_what_has_no_room_is_refused(self, changes):
+    def test_out_of_range_values_are_refused(self, changes):
         with pytest.raises(ValueError, match="cannot be encoded"):
             Tunnel({2: NEW}, 2).encode(example(**changes))
 
 
-class TestBare:
+class TestHeaderOnlyTag:
     """Datagrams whose payload, a QUIC packet, authenticates itself."""
 
-    @given(bare_datagrams)
+    @given(header_only_datagrams)
     def test_every_field_comes_back(self, datagram):
         tunnel = Tunnel({2: NEW}, 2)
         assert tunnel.decode(tunnel.encode(datagram)) == datagram
 
     @given(addresses, st.binary(max_size=1500))
-    def test_wrapped_as_encoded(self, caller, payload):
+    def test_header_is_the_encoded_one(self, caller, payload):
         tunnel = Tunnel({2: NEW}, 2)
         datagram = TunnelDatagram(
             TunnelKind.TO_AGENT, 7, 41, 0, False, caller, NO_ADDRESS, payload, False
@@ -115,14 +115,14 @@
         prefix = tunnel.prefix(TunnelKind.TO_AGENT, 7, 41)
         assert tunnel.encode_header(prefix, caller) + payload == tunnel.encode(datagram)
 
-    @given(bare_datagrams, st.integers(0, OVERHEAD * 8 - 1))
+    @given(header_only_datagrams, st.integers(0, OVERHEAD * 8 - 1))
     def test_one_changed_bit_of_the_header(self, datagram, bit):
         tunnel = Tunnel({2: NEW}, 2)
-        sealed = bytearray(tunnel.encode(datagram))
-        sealed[bit // 8] ^= 1 << bit % 8
-        assert tunnel.decode(bytes(sealed)) in REFUSALS
+        encoded = bytearray(tunnel.encode(datagram))
+        encoded[bit // 8] ^= 1 << bit % 8
+        assert tunnel.decode(bytes(encoded)) in REFUSALS
 
-    def test_a_message_between_agents_is_never_bare(self):
+    def test_a_message_between_agents_is_covered_whole(self):
         """Forged message of a peer.
 
         Symptom: a claim is granted that no agent asked for. Sequence: one
@@ -130,14 +130,14 @@
         nothing protects a message between agents but the tag over it.
         """
         tunnel = Tunnel({2: NEW}, 2)
-        bare = example(kind=TunnelKind.PEER, covered=False)
+        header_only = example(kind=TunnelKind.PEER, covered=False)
         with pytest.raises(ValueError, match="cannot be encoded"):
-            tunnel.encode(bare)
-        sealed = bytearray(tunnel.encode(example(covered=False)))
+            tunnel.encode(header_only)
+        encoded = bytearray(tunnel.encode(example(covered=False)))
         prefix = tunnel.prefix(TunnelKind.PEER, 7, 41)
         forged = tunnel.encode_header(prefix, example().caller) + b"payload"
         assert tunnel.decode(forged) is Code.TUNNEL_UNAUTHENTICATED
-        assert isinstance(tunnel.decode(bytes(sealed)), TunnelDatagram)
+        assert isinstance(tunnel.decode(bytes(encoded)), TunnelDatagram)
 
 
 class TestKeys:
@@ -176,16 +176,16 @@
     @given(datagrams, st.data())
     def test_one_changed_bit(self, datagram, data):
         tunnel = Tunnel({2: NEW}, 2)
-        sealed = bytearray(tunnel.encode(datagram))
-        bit = data.draw(st.integers(0, len(sealed) * 8 - 1))
-        sealed[bit // 8] ^= 1 << bit % 8
-        assert tunnel.decode(bytes(sealed)) in REFUSALS
+        encoded = bytearray(tunnel.encode(datagram))
+        bit = data.draw(st.integers(0, len(encoded) * 8 - 1))
+        encoded[bit // 8] ^= 1 << bit % 8
+        assert tunnel.decode(bytes(encoded)) in REFUSALS
 
     @given(datagrams, st.integers(1, 2000))
     def test_cut_short(self, datagram, amount):
         tunnel = Tunnel({2: NEW}, 2)
-        sealed = tunnel.encode(datagram)
-        assert tunnel.decode(sealed[:-amount]) in REFUSALS
+        encoded = tunnel.encode(datagram)
+        assert tunnel.decode(encoded[:-amount]) in REFUSALS
 
     def test_same_key_id_with_another_secret(self):
         data = Tunnel({2: FOREIGN}, 2).encode(example())
@@ -200,9 +200,9 @@
         """
         tunnel = Tunnel({2: NEW}, 2)
         copied = tunnel._keyed_copy
-        sealed = bytearray(tunnel.encode(example()))
-        sealed[2] = 0x20
+        encoded = bytearray(tunnel.encode(example()))
+        encoded[2] = 0x20
         digest = copied()
-        digest.update(sealed[: OVERHEAD - 16] + sealed[OVERHEAD:])
-        sealed[OVERHEAD - 16 : OVERHEAD] = digest.digest()
-        assert tunnel.decode(bytes(sealed)) is Code.TUNNEL_MALFORMED
+        digest.update(encoded[: OVERHEAD - 16] + encoded[OVERHEAD:])
+        encoded[OVERHEAD - 16 : OVERHEAD] = digest.digest()
+        assert tunnel.decode(bytes(encoded)) is Code.TUNNEL_MALFORMED
