--- a/packages/zinniahook-cli/src/zinniahook_cli/rotations.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/rotations.py
@@ -9,7 +9,7 @@
 from zinniahook_core.configuration import KeyRing
 from zinniahook_core.models import Key
 from zinniahook_store import configurations
-from zinniahook_store.configurations import SECRET_SIZE, Committed, Stored
+from zinniahook_store.configurations import SECRET_BYTES, Committed, Stored
 
 from .answers import Answer, Status
 from .contexts import Context
@@ -111,7 +111,7 @@
 
 
 def _draw(number: int) -> Key:
-    return Key(number, secrets.token_bytes(SECRET_SIZE))
+    return Key(number, secrets.token_bytes(SECRET_BYTES))
 
 
 def _next(ring: KeyRing) -> int:
