--- a/packages/zinniahook-store/src/zinniahook_store/client.py
+++ b/packages/zinniahook-store/src/zinniahook_store/client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's key-value service (etcd v3, JSON over HTTP)."""
+"""Client of the platform's key-value store (etcd v3, JSON over HTTP)."""
 
 from __future__ import annotations
 
@@ -36,40 +36,38 @@
 __all__ = ["Store", "TIMEOUT"]
 
 TIMEOUT = 2.0
-"""Seconds that a call waits for its answer."""
+"""Timeout of a call, in seconds."""
 
 PAGE_SIZE = 200
-"""Values read by one call of a range.
+"""Values read by one range call.
 
-Decoding a page keeps the loop from its packets meanwhile: for rosters of 2 KB
-about 5 ms, with 500 values 13 ms.
+Decoding a page blocks the event loop, and with it the packets. A page of rosters of
+2 KB takes about 5 ms; one of 500 values would take 13 ms.
 """
 
 
 class Store:
-    """The platform's service, where all that must last is kept.
+    """Client of the store that holds all persistent state.
 
-    Reads raise `StoreError`. Writes return a tagged outcome: `Written`,
-    `Conflict`, `NotWritten` (certain) or `AnswerLost`, which `settle` clears
-    up. No write is repeated by the client unless asked by `swap`.
+    Reads raise `StoreError`. Writes return `Written`, `Conflict`, `NotWritten`
+    (certain) or `AnswerLost` (unknown; see `settle`). Only `swap` repeats a write.
 
     Parameters
     ----------
     addresses : sequence of Address or str
-        Endpoints, each ``host:port``; the next is used when one fails.
+        Endpoints, each ``host:port``. If a call fails, the next one is tried.
     timeout : float
-        Seconds that each call waits at one endpoint.
+        Seconds that a call waits for one endpoint.
     rng : random.Random, optional
         Source of the jitter.
 
     Attributes
     ----------
     calls_by_kind, failures_by_kind : Counter
-        Calls made, a waiting watch as one, and those without a usable
-        answer.
+        Calls made and calls that failed, by kind. An open watch is one call.
     history : int
-        How often the store's revision has fallen. Revisions of different
-        histories can't be compared.
+        Number of times that the store's revision has gone back. Revisions of
+        different histories can't be compared.
     """
 
     def __init__(
@@ -87,7 +85,7 @@
     # Reads
 
     async def get(self, key: str) -> Item | None:
-        """Return what is stored under a key, None if nothing is.
+        """Return the item stored under a key, or None.
 
         Raises
         ------
@@ -98,7 +96,7 @@
         return next(items_of(answer), None)
 
     async def get_many(self, keys: Iterable[str]) -> dict[str, Item]:
-        """Return what is stored under the keys, in few calls.
+        """Return the items stored under the keys, read in batches.
 
         Raises
         ------
@@ -116,7 +114,7 @@
         return found
 
     async def range(self, prefix: str) -> list[Item]:
-        """Return everything under a prefix, in the order of the keys.
+        """Return all items under a prefix, sorted by key.
 
         Raises
         ------
@@ -127,14 +125,14 @@
         return list(snapshot.items_by_key.values())
 
     async def snapshot(self, prefix: str, after: int = 0) -> Snapshot:
-        """Return what is under a prefix as of one revision.
+        """Return the items under a prefix as of one revision.
 
         Parameters
         ----------
         prefix : str
-            What to read.
+            Prefix of the keys.
         after : int
-            Only values written after this revision are read.
+            Only items written after this revision are returned.
 
         Raises
         ------
@@ -154,8 +152,8 @@
             answer = await self._read({**body, "key": encode_key(key)})
             if count is None:
                 count = parse_integer({"count": 0, **answer}, "count")
-            # Later pages are read at the revision of the first, or the pages
-            # would show a state that never was.
+            # All pages are read at the revision of the first. Otherwise they could
+            # show a state that never existed.
             body.setdefault("revision", revision_of(answer))
             for item in items_of(answer):
                 items[item.key] = item
@@ -164,7 +162,7 @@
                 return Snapshot(int(body["revision"]), items, count)
 
     async def newest(self, prefix: str) -> tuple[int, int]:
-        """Return the revision of the last write under a prefix, and the count.
+        """Return the latest revision under a prefix and the number of keys.
 
         Raises
         ------
@@ -187,14 +185,14 @@
     # Writes
 
     async def put(self, key: str, value: bytes, lease: int = 0) -> WriteOutcome:
-        """Store a value, whatever was stored before."""
+        """Store a value unconditionally."""
         return await self._write("put", "/v3/kv/put", put_request(key, value, lease))
 
     async def put_many(self, values_by_key: Mapping[str, bytes]) -> WriteOutcome:
-        """Store values in as few calls as fit; not all at once.
+        """Store values in batches, each of them atomic.
 
-        Meant for values that nothing refers to yet. Ends at the first
-        batch that is not written.
+        Intended for values that nothing refers to yet. Stops at the first batch that
+        isn't written.
         """
         outcome: WriteOutcome = Written(0)
         for batch in batches(values_by_key):
@@ -204,16 +202,16 @@
         return outcome
 
     async def delete(self, key: str) -> WriteOutcome:
-        """Delete a value if there is one."""
+        """Delete a key if it exists."""
         body = {"key": encode_key(key)}
         return await self._write("delete", "/v3/kv/deleterange", body)
 
     async def compare_and_swap(
         self, key: str, revision: int, value: bytes, lease: int = 0
     ) -> WriteOutcome:
-        """Store a value if the key's revision is still ``revision``.
+        """Store a value if the key still has the given revision.
 
-        Revision 0 stands for a key that does not exist.
+        Revision 0 means that the key doesn't exist.
         """
         return await self.transact({key: revision}, {key: value}, lease=lease)
 
@@ -224,18 +222,18 @@
         deletes: Iterable[str] = (),
         lease: int = 0,
     ) -> WriteOutcome:
-        """Make all writes at once if all compared revisions hold.
+        """Apply all writes atomically if all keys have the expected revisions.
 
         Parameters
         ----------
         revisions_by_key : Mapping[str, int]
-            Expected revision of keys; 0: the key does not exist.
+            Expected revision of each key; 0 if it must not exist.
         values_by_key : Mapping[str, bytes]
             Values to store.
         deletes : iterable of str
             Keys to delete.
         lease : int
-            Lease that the values end with; 0 for none.
+            Lease that the values are attached to; 0 for none.
         """
         writes = [
             {"request_put": put_request(key, value, lease)}
@@ -262,25 +260,24 @@
     async def settle(
         self, key: str, revision: int, contains: Callable[[bytes], bool]
     ) -> WriteOutcome:
-        """Find out what became of a compare-and-swap whose answer was lost.
+        """Determine the outcome of a compare-and-swap whose answer was lost.
 
         Parameters
         ----------
         key : str
-            The key that was written.
+            Key of the write.
         revision : int
-            The revision that the write compared.
+            Revision that the write expected.
         contains : callable
-            Tells whether a stored value carries the write's operation id;
-            later writes have to hand the ids of earlier ones on.
+            Returns whether a stored value contains the write's operation id. Later
+            writes must keep the ids of earlier ones.
 
         Returns
         -------
         WriteOutcome
-            `Written` or `Conflict` for certain. `AnswerLost` if the store
-            doesn't answer, or while the key still has the compared revision:
-            the write may then still be on its way and take effect later, so
-            that only making it again settles it.
+            `Written` or `Conflict`, which are certain. `AnswerLost` if the store
+            doesn't answer or the key still has the expected revision. In that case
+            the write may still take effect; only repeating it gives certainty.
         """
         try:
             item = await self.get(key)
@@ -290,7 +287,7 @@
             return Written(item.revision)
         if (item.revision if item else 0) != revision:
             return Conflict(item)
-        reason = f"{key}: not written yet, but it may still be on its way"
+        reason = f"{key}: not written yet, the write may still be in transit"
         return AnswerLost(Failure(Code.STORE_ANSWER_LOST, reason))
 
     async def swap(
@@ -301,10 +298,10 @@
         contains: Callable[[bytes], bool],
         attempts: int = 3,
     ) -> WriteOutcome:
-        """Compare and swap, and settle a lost answer by making it again.
+        """Compare and swap; repeat the write while its answer is lost.
 
-        Making it again is safe: once one of the copies took effect, the
-        compared revision is gone for good.
+        Repeating is safe. Once one of the copies has taken effect, the key never has
+        the expected revision again.
         """
         lost: AnswerLost | None = None
         for _ in range(attempts):
@@ -321,7 +318,7 @@
     # Leases
 
     async def grant(self, seconds: int) -> int:
-        """Return the id of a new lease.
+        """Create a lease and return its id.
 
         Raises
         ------
@@ -333,7 +330,7 @@
         return parse_integer(answer, "ID")
 
     async def keep_alive(self, lease: int) -> int:
-        """Renew a lease and return its seconds left, 0 if it has lapsed.
+        """Renew a lease; return its remaining seconds, or 0 if it has expired.
 
         Raises
         ------
@@ -343,13 +340,13 @@
         body = {"ID": str(lease)}
         answer = await self._call_to_read("lease", "/v3/lease/keepalive", body)
         result = answer.get("result")
-        # No seconds left are left out, so only the id tells such an answer
-        # from a broken one.
+        # A TTL of 0 is omitted from the answer. The id distinguishes such an answer
+        # from a malformed one.
         parse_integer(result, "ID")
         return parse_integer({"TTL": 0, **result}, "TTL")
 
     async def revoke(self, lease: int) -> WriteOutcome:
-        """End a lease and delete the values that depend on it."""
+        """Revoke a lease, which deletes the keys attached to it."""
         return await self._write("lease", "/v3/lease/revoke", {"ID": str(lease)})
 
     # Watches
@@ -362,24 +359,23 @@
         Parameters
         ----------
         prefix : str
-            What to watch.
+            Prefix of the keys.
         revision : int
-            Changes after this revision are reported; with 0, everything
-            stored comes first.
+            Changes after this revision are reported. With 0, all stored items are
+            reported first.
         silence : float
-            Seconds without a message after which the watch is checked
-            against a read.
+            Seconds without a message after which a read checks the watch.
         """
         return Watch(self, self._gateway, prefix, revision, silence)
 
     def close(self) -> None:
-        """Release the HTTP client."""
+        """Close the HTTP client."""
         self._gateway.close()
 
     # Calls
 
     def observe(self, revision: int) -> None:
-        """Note a revision that a watch has brought."""
+        """Record a revision received by a watch."""
         self._latest_revision = max(self._latest_revision, revision)
 
     async def _read(self, body: dict[str, Any]) -> dict[str, Any]:
@@ -394,20 +390,21 @@
         except GatewayError as error:
             raise StoreError(str(error)) from error
         if kind == "range":
-            # An answer without a revision isn't the store's; taken for one, it
-            # would say that nothing is stored.
+            # An answer without a revision isn't from the store. If it were accepted,
+            # it would mean that nothing is stored.
             self._check(revision_of(answer), revision_before, history_before)
         return answer
 
     def _check(self, revision: int, revision_before: int, history_before: int) -> None:
-        """Refuse an answer whose history isn't the one in which it was asked for.
+        """Reject an answer of another history than that of its request.
 
-        Reads are linearizable, so a revision below one ``revision_before`` before the
-        question is that of a restored store. What goes wrong without: values
-        of a history that is over pass for newer than what is stored.
+        Reads are linearizable. A revision below ``revision_before``, the latest one
+        known before the request, therefore means that the store was restored.
+        Without this check, values of an obsolete history are considered newer than
+        the stored ones.
         """
         if history_before != self.history:
-            raise StoreRestoredError("the store was restored meanwhile")
+            raise StoreRestoredError("the store was restored during the call")
         if revision >= revision_before:
             self.observe(revision)
             return
@@ -433,16 +430,16 @@
                 return AnswerLost(Failure(Code.STORE_ANSWER_LOST, str(error)))
             return NotWritten(Failure(Code.STORE_DOWN, str(error)))
         try:
-            # Checked first: without it, an empty answer of something else than
-            # the store would read as a conflict, and so as certain.
+            # The revision is checked first. Otherwise an empty answer that isn't from
+            # the store would be a conflict, which is certain.
             revision = revision_of(answer)
             self._check(revision, revision_before, history_before)
             if revisions_by_key is not None and not answer.get("succeeded"):
                 return Conflict(first_conflict(answer, revisions_by_key))
             return Written(revision)
         except StoreRestoredError as error:
-            # It may have taken effect by a condition on a revision that was
-            # given out again.
+            # A restored store reuses revisions, so the condition may have held and
+            # the write may have taken effect.
             return AnswerLost(error.failure)
         except StoreError as error:
             return AnswerLost(Failure(Code.STORE_ANSWER_LOST, str(error)))
