--- a/packages/zinniahook-cli/src/zinniahook_cli/answers.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/answers.py
@@ -39,12 +39,12 @@
 class Answer:
     """What a statement gives.
 
-    ``facts`` are what `text` says, for programs that read JSON.
+    ``data`` are what `text` says, for programs that read JSON.
     """
 
     text: str = ""
     table: Table | None = None
-    facts: dict[str, Any] | None = None
+    data: dict[str, Any] | None = None
     status: Status = Status.OK
 
     def as_text(self) -> str:
@@ -58,7 +58,7 @@
         value: dict[str, Any] = {"status": self.status.name.lower()}
         if self.text:
             value["text"] = self.text
-        value.update(self.facts or {})
+        value.update(self.data or {})
         if self.table is not None:
             value.update(json.loads(as_json(self.table)))
         return json.dumps(value)
--- a/packages/zinniahook-cli/src/zinniahook_cli/changes.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/changes.py
@@ -21,7 +21,13 @@
 from .grammar import CommandError
 from .statements import Apply, Create, Remove, Set, Setting, Word
 
-__all__ = ["Change", "change", "changed_settings", "not_permitted", "unknown"]
+__all__ = [
+    "Change",
+    "change",
+    "changed_settings",
+    "not_permitted",
+    "unknown_name_error",
+]
 
 Change = Set | Create | Remove | Apply
 Table = dict[str, Any]
@@ -32,7 +38,7 @@
     "class": CLASS_FIELDS_BY_NAME,
     "operator": OPERATOR_FIELDS_BY_NAME,
 }
-NOTHING = "none"
+EMPTY_LIST_WORD = "none"
 """The word for an empty list."""
 
 _steps_by_type: dict[type, Callable[[Table, Any], Table]] = {}
@@ -84,15 +90,15 @@
     """
     if not before.operators_by_name:
         return ()
-    may = before.operators_by_name.get(operator, configuration.Operator(operator))
+    rights = before.operators_by_name.get(operator, configuration.Operator(operator))
     return tuple(
         item.key
         for item in configuration.diff(before, after)
-        if not _allowed(may, item.key)
+        if not _allowed(rights, item.key)
     )
 
 
-def unknown(word: Word, what: str, names: Iterable[str]) -> CommandError:
+def unknown_name_error(word: Word, what: str, names: Iterable[str]) -> CommandError:
     """Return the error for a name that isn't there, with the nearest one.
 
     Parameters
@@ -142,7 +148,7 @@
     for setting in step.settings:
         field = fields.get(setting.path.text)
         if field is None:
-            raise unknown(setting.path, f"setting of a {step.kind}", fields)
+            raise unknown_name_error(setting.path, f"setting of a {step.kind}", fields)
         values[setting.path.text] = _value(field, setting)
     parent[name] = values
     return table
@@ -152,7 +158,7 @@
 def _remove(table: Table, step: Remove) -> Table:
     parent, name = _parent(table, step.kind, step.path)
     if name not in parent:
-        raise unknown(step.path, step.kind, parent)
+        raise unknown_name_error(step.path, step.kind, parent)
     del parent[name]
     return table
 
@@ -176,7 +182,7 @@
         raise CommandError("a class is named as SERVICE.CLASS", word=path)
     service = table["services"].get(name)
     if service is None:
-        raise unknown(path, "service", table["services"])
+        raise unknown_name_error(path, "service", table["services"])
     return service.setdefault("classes", {}), item
 
 
@@ -206,19 +212,19 @@
             raise CommandError(reason, Code.COMMAND_UNKNOWN_NAME, path)
         field = CLASS_FIELDS_BY_NAME[name]
         return [(item, field) for item in classes.values()]
-    raise unknown(path, "setting", _paths(table))
+    raise unknown_name_error(path, "setting", _paths(table))
 
 
 def _child(table: Table, name: str, what: str, path: Word) -> Table:
     if name in table:
         return table[name]
-    raise unknown(path._replace(text=name), what, table)
+    raise unknown_name_error(path._replace(text=name), what, table)
 
 
 def _field(fields: Any, name: str, path: Word) -> Field:
     if name in fields:
         return fields[name]
-    raise unknown(path, "setting", [*fields])
+    raise unknown_name_error(path, "setting", [*fields])
 
 
 def _paths(table: Table) -> Iterator[str]:
@@ -232,11 +238,11 @@
     words = setting.values
     texts = [word.text for word in words]
     if field.kind == "list of texts":
-        value: Any = [] if texts == [NOTHING] else texts
+        value: Any = [] if texts == [EMPTY_LIST_WORD] else texts
     elif len(words) > 1:
         raise CommandError("takes one value", Code.CONFIGURATION_INVALID, words[1])
     else:
-        value = _plain(texts[0])
+        value = _parse_scalar(texts[0])
     try:
         field.read(value)
     except ValueError as error:
@@ -246,7 +252,7 @@
     return value
 
 
-def _plain(text: str) -> Any:
+def _parse_scalar(text: str) -> Any:
     if text in ("true", "false"):
         return text == "true"
     for kind in (int, float):
--- a/packages/zinniahook-cli/src/zinniahook_cli/contexts.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/contexts.py
@@ -7,12 +7,12 @@
 from zinniahook_store import Store
 
 from .daemons import Daemons
-from .identity import operator_of
+from .identity import operator_name
 from .settings import ClientSettings
 
-__all__ = ["Context", "Say"]
+__all__ = ["Context", "ProgressCallback"]
 
-Say = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 
 class Context:
@@ -24,7 +24,7 @@
         Addresses, certificate and patience.
     store : Store
         The store.
-    say : callable
+    on_progress : callable
         Prints one line of progress.
     wait : bool
         Whether a commit waits until it is in force everywhere.
@@ -34,17 +34,17 @@
         self,
         settings: ClientSettings,
         store: Store,
-        say: Say,
+        on_progress: ProgressCallback,
         *,
         wait: bool = False,
     ) -> None:
         self.settings = settings
         self.store = store
         self.daemons = Daemons(settings)
-        self.say = say
+        self.on_progress = on_progress
         self.wait = wait
 
     @property
     def operator(self) -> str:
         """The operator's name, from the certificate."""
-        return operator_of(self.settings)
+        return operator_name(self.settings)
--- a/packages/zinniahook-cli/src/zinniahook_cli/daemons.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/daemons.py
@@ -28,14 +28,14 @@
 
 from .settings import ClientSettings
 
-__all__ = ["Daemons", "Progress", "Silent", "Survey", "progress"]
+__all__ = ["Daemons", "Progress", "NoReply", "Survey", "progress"]
 
-CALLS_LIMIT = 64
+MAX_CONCURRENT_CALLS = 64
 """Calls at a time: a fleet of thousands must not exhaust our sockets."""
 
 
 @dataclass(frozen=True, slots=True)
-class Silent:
+class NoReply:
     """A daemon that gave no answer.
 
     ``refused`` tells that nothing listens there any more, which a partition
@@ -51,7 +51,7 @@
     """The answers of many daemons."""
 
     answers_by_control: dict[Address, StatusReply]
-    silent: tuple[Silent, ...]
+    unanswered: tuple[NoReply, ...]
 
 
 class Progress(NamedTuple):
@@ -79,7 +79,7 @@
     def __init__(self, settings: ClientSettings) -> None:
         self._settings = settings
         self._context: ssl.SSLContext | None = None
-        self._limit = asyncio.Semaphore(CALLS_LIMIT)
+        self._limit = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
     async def survey(
         self,
@@ -91,25 +91,27 @@
         """Ask every daemon for its status, many at a time."""
         request = StatusRequest(counters=counters, rosters=rosters)
         wanted = list(dict.fromkeys(controls))
-        replies = await asyncio.gather(*(self._status(one, request) for one in wanted))
+        replies = await asyncio.gather(
+            *(self._status(control, request) for control in wanted)
+        )
         answers = {}
-        silent = []
+        unanswered = []
         for control, reply in zip(wanted, replies, strict=True):
-            if isinstance(reply, Silent):
-                silent.append(reply)
+            if isinstance(reply, NoReply):
+                unanswered.append(reply)
             else:
                 answers[control] = reply
-        return Survey(answers, tuple(silent))
+        return Survey(answers, tuple(unanswered))
 
     async def drain(
         self, control: Address, request: DrainRequest
-    ) -> DrainReply | Silent:
+    ) -> DrainReply | NoReply:
         """Ask one daemon to drain, or how far its drain is."""
         return await self._call(control, "Drain", request)
 
     async def _status(
         self, control: Address, request: StatusRequest
-    ) -> StatusReply | Silent:
+    ) -> StatusReply | NoReply:
         return await self._call(control, "Status", request)
 
     async def _call(self, control: Address, method: str, request):
@@ -119,11 +121,11 @@
                     request, timeout=self._settings.timeout
                 )
             except GRPCError as error:
-                return Silent(control, _reason(error))
+                return NoReply(control, _reason(error))
             except ConnectionRefusedError:
-                return Silent(control, "connection refused", refused=True)
+                return NoReply(control, "connection refused", refused=True)
             except (OSError, StreamTerminatedError, TimeoutError) as error:
-                return Silent(control, str(error) or type(error).__name__)
+                return NoReply(control, str(error) or type(error).__name__)
 
     @asynccontextmanager
     async def _stub(self, control: Address) -> AsyncIterator[ControlStub]:
@@ -178,7 +180,9 @@
             in_force.append(reply.name)
         else:
             lagging.append(f"{reply.name} (at {reply.generation})")
-    lagging += [f"{one.control} (no answer: {one.reason})" for one in survey.silent]
+    lagging += [
+        f"{reply.control} (no answer: {reply.reason})" for reply in survey.unanswered
+    ]
     lagging += [f"{name} (its address is unknown)" for name in unlisted]
     return Progress(generation, tuple(sorted(in_force)), tuple(sorted(lagging)))
 
--- a/packages/zinniahook-cli/src/zinniahook_cli/drains.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/drains.py
@@ -14,19 +14,19 @@
 from zinniahook_wire.control_pb2 import DrainReply, DrainRequest
 
 from .answers import Answer, Status
-from .changes import unknown
+from .changes import unknown_name_error
 from .contexts import Context
-from .daemons import Silent
-from .fleets import Fleet, others_ready, read_fleet
+from .daemons import NoReply
+from .fleets import Fleet, count_other_ready, read_fleet
 from .statements import Drain, Restart
 
-__all__ = ["Stop", "drain", "emptied", "restart", "waves"]
+__all__ = ["Stop", "drain", "services_without_targets", "restart", "waves"]
 
-LOOK_EVERY = 0.5
+POLL_INTERVAL_SECONDS = 0.5
 """Seconds between two questions about the progress."""
 
 
-WAVE_LIMIT = 64
+MAX_WAVE_SIZE = 64
 """Daemons that are drained at the same time."""
 
 ALL_SERVICES = "*"
@@ -61,19 +61,19 @@
     await _check_permitted(context, [stop for wave in plan for stop in wave])
     for number, wave in enumerate(plan, 1):
         names = ", ".join(stop.name for stop in wave)
-        context.say(f"wave {number} of {len(plan)}: {names}")
+        context.on_progress(f"wave {number} of {len(plan)}: {names}")
         now = await read_fleet(context.store, context.daemons)
         answer = _refusal(now, wave, statement.force)
         if answer is None:
             began = time.monotonic()
             answer = await _drain_all(context, wave, statement.force)
             if answer.status is Status.OK:
-                answer = await _until_back(context, wave, began)
+                answer = await _wait_until_restarted(context, wave, began)
         if answer.status is not Status.OK:
             text = f"stopped at wave {number} of {len(plan)} ({names}): {answer.text}"
-            return Answer(text, facts=answer.facts, status=answer.status)
+            return Answer(text, data=answer.data, status=answer.status)
     count = sum(map(len, plan))
-    return Answer(f"restarted {count} daemons", facts={"restarted": count})
+    return Answer(f"restarted {count} daemons", data={"restarted": count})
 
 
 def waves(agents: list[Stop], entries: list[Stop]) -> list[list[Stop]]:
@@ -86,12 +86,12 @@
     for stop in agents:
         waiting_by_service.setdefault(stop.service, []).append(stop)
     plan = []
-    for together in itertools.zip_longest(*waiting_by_service.values()):
-        plan += _pieces([stop for stop in together if stop], WAVE_LIMIT)
-    return plan + _pieces(entries, min(WAVE_LIMIT, max(1, len(entries) // 8)))
+    for batch in itertools.zip_longest(*waiting_by_service.values()):
+        plan += _chunks([stop for stop in batch if stop], MAX_WAVE_SIZE)
+    return plan + _chunks(entries, min(MAX_WAVE_SIZE, max(1, len(entries) // 8)))
 
 
-def _pieces(stops: list[Stop], size: int) -> list[list[Stop]]:
+def _chunks(stops: list[Stop], size: int) -> list[list[Stop]]:
     return [stops[start : start + size] for start in range(0, len(stops), size)]
 
 
@@ -115,21 +115,21 @@
             raise ZinniahookError(reason, Code.NOT_PERMITTED)
 
 
-def emptied(fleet: Fleet, stops: list[Stop]) -> list[str]:
+def services_without_targets(fleet: Fleet, stops: list[Stop]) -> list[str]:
     """Return the services that the stops would leave without a ready target."""
     leaving = {stop.name for stop in stops}
     affected = {stop.service for stop in stops if stop.service}
     return sorted(
         service
         for service in affected
-        if not others_ready(fleet.rosters_by_service[service], leaving)
+        if not count_other_ready(fleet.rosters_by_service[service], leaving)
     )
 
 
 def _refusal(fleet: Fleet, stops: list[Stop], force: bool) -> Answer | None:
     if force:
         return None
-    services = emptied(fleet, stops)
+    services = services_without_targets(fleet, stops)
     entries = {stop.name for stop in _entries(fleet)}
     stopped = {stop.name for stop in stops if not stop.service}
     if services:
@@ -141,7 +141,7 @@
     code = Code.WOULD_EMPTY_SERVICE
     return Answer(
         f"refused: {reason}; `force` does it all the same ({code.name} {int(code)})",
-        facts={"outcome": "refused", "code": int(code), "reason": reason},
+        data={"outcome": "refused", "code": int(code), "reason": reason},
         status=Status.REFUSED,
     )
 
@@ -155,45 +155,47 @@
         )
     )
     for stop, reply in zip(stops, replies, strict=True):
-        if isinstance(reply, Silent):
-            return _answer_silent(stop, reply)
+        if isinstance(reply, NoReply):
+            return _answer_no_reply(stop, reply)
         if reply.code:
             return _answer_refused(stop, reply)
     deadline = time.monotonic() + context.settings.patience
     waiting = {stop.name: stop for stop in stops}
-    said: dict[str, str] = {}
+    last_line_by_name: dict[str, str] = {}
     while waiting and time.monotonic() < deadline:
         for stop in list(waiting.values()):
-            line, safe = await _look(context, stop)
-            if said.get(stop.name) != line:
-                context.say(f"{stop.name}: {line}")
-                said[stop.name] = line
+            line, safe = await _poll(context, stop)
+            if last_line_by_name.get(stop.name) != line:
+                context.on_progress(f"{stop.name}: {line}")
+                last_line_by_name[stop.name] = line
             if safe:
                 del waiting[stop.name]
         if waiting:
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
     done = [stop.name for stop in stops if stop.name not in waiting]
-    facts = {"safe": done, "draining": list(waiting)}
+    data = {"safe": done, "draining": list(waiting)}
     if waiting:
         text = f"still draining: {', '.join(waiting)}; safe: {', '.join(done) or '-'}"
-        return Answer(text, facts=facts, status=Status.UNFINISHED)
-    return Answer(f"safe to stop: {', '.join(done)}", facts=facts)
+        return Answer(text, data=data, status=Status.UNFINISHED)
+    return Answer(f"safe to stop: {', '.join(done)}", data=data)
 
 
-async def _look(context: Context, stop: Stop) -> tuple[str, bool]:
+async def _poll(context: Context, stop: Stop) -> tuple[str, bool]:
     """Say how far a drain is, and whether nothing is in progress any more.
 
     A daemon that has drained ends, and then refuses connections. One that
     gives no answer otherwise may still be at work: it counts as draining.
     """
     reply = await context.daemons.drain(stop.control, DrainRequest(look=True))
-    if isinstance(reply, Silent):
+    if isinstance(reply, NoReply):
         return ("ended" if reply.refused else reply.reason), reply.refused
     line = f"{reply.state}, {reply.flows} flows, {reply.requests} requests"
     return line, reply.safe
 
 
-async def _until_back(context: Context, wave: list[Stop], began: float) -> Answer:
+async def _wait_until_restarted(
+    context: Context, wave: list[Stop], began: float
+) -> Answer:
     """Wait until every daemon of the wave serves in a life begun since then."""
     deadline = time.monotonic() + context.settings.patience
     while True:
@@ -208,8 +210,8 @@
             return Answer("back")
         if time.monotonic() >= deadline:
             text = f"{', '.join(missing)} did not come back"
-            return Answer(text, facts={"missing": missing}, status=Status.UNFINISHED)
-        await asyncio.sleep(LOOK_EVERY)
+            return Answer(text, data={"missing": missing}, status=Status.UNFINISHED)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
 
 def _agents(fleet: Fleet) -> list[Stop]:
@@ -238,7 +240,7 @@
     if not found:
         names = [str(member.target) for _, member in fleet.agents]
         names += [member.name for _, member in fleet.agents]
-        raise unknown(statement.name, "target", names)
+        raise unknown_name_error(statement.name, "target", names)
     return found
 
 
@@ -246,7 +248,9 @@
     entries = _entries(fleet)
     found = [stop for stop in entries if stop.name == statement.name.text]
     if not found:
-        raise unknown(statement.name, "entry", [stop.name for stop in entries])
+        raise unknown_name_error(
+            statement.name, "entry", [stop.name for stop in entries]
+        )
     return found
 
 
@@ -263,8 +267,10 @@
     ]
     if not agents and not entries:
         names = {member.data_centre for member in members.values()}
-        names |= {one.data_centre for one in fleet.survey.answers_by_control.values()}
-        raise unknown(statement.name, "data centre", sorted(names))
+        names |= {
+            reply.data_centre for reply in fleet.survey.answers_by_control.values()
+        }
+        raise unknown_name_error(statement.name, "data centre", sorted(names))
     return agents + entries
 
 
@@ -278,15 +284,15 @@
 def _answer_refused(stop: Stop, reply: DrainReply) -> Answer:
     return Answer(
         f"refused: {stop.name}: {reply.reason} (code {reply.code})",
-        facts={"outcome": "refused", "code": reply.code, "reason": reply.reason},
+        data={"outcome": "refused", "code": reply.code, "reason": reply.reason},
         status=Status.REFUSED,
     )
 
 
-def _answer_silent(stop: Stop, silent: Silent) -> Answer:
+def _answer_no_reply(stop: Stop, no_reply: NoReply) -> Answer:
     return Answer(
-        f"unknown: {stop.name} gave no answer ({silent.reason}); "
+        f"unknown: {stop.name} gave no answer ({no_reply.reason}); "
         "`show daemons` tells whether it drains",
-        facts={"outcome": "unknown", "reason": silent.reason},
+        data={"outcome": "unknown", "reason": no_reply.reason},
         status=Status.UNKNOWN,
     )
--- a/packages/zinniahook-cli/src/zinniahook_cli/explanations.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/explanations.py
@@ -19,9 +19,9 @@
 
 from .answers import Answer, Status, status_of
 
-__all__ = ["Explanation", "Line", "explain", "explained", "read"]
+__all__ = ["Explanation", "Line", "explain", "build_explanation", "read_logs"]
 
-CONTEXT = frozenset(
+CONTEXT_EVENTS = frozenset(
     (
         "started",
         "stopping",
@@ -41,23 +41,23 @@
 )
 """What a daemon believes or lives through, told without a flow."""
 
-MARGIN = 2.0
+CONTEXT_MARGIN_SECONDS = 2.0
 """Seconds around the flow's own lines of a daemon within which such lines are
 shown: a process runs again, and a target beats, in less."""
 
-BEGINNINGS = frozenset(("flow.placed", "request.begun"))
-REQUIRED = frozenset(("instance", "event"))
-TEXTS = ("instance", "event", "flow", "request", "agent", "to", "address")
+START_EVENTS = frozenset(("flow.placed", "request.begun"))
+REQUIRED_FIELDS = frozenset(("instance", "event"))
+STRING_FIELDS = ("instance", "event", "flow", "request", "agent", "to", "address")
 """Fields that lines are found and ordered by."""
 
-SHOWN_ELSEWHERE = ("time", "instance", "event", "flow")
+PREFIX_FIELDS = ("time", "instance", "event", "flow")
 
 
 class Line(NamedTuple):
-    """A line of a log. ``place`` is its number in its file."""
+    """A line of a log. ``position`` is its number in its file."""
 
     instance: str
-    place: int
+    position: int
     fields: dict[str, Any]
 
     @property
@@ -71,9 +71,9 @@
         return float(self.fields.get("time", 0.0))
 
     def __str__(self) -> str:
-        rest = {k: v for k, v in self.fields.items() if k not in SHOWN_ELSEWHERE}
-        told = " ".join(f"{key}={value}" for key, value in rest.items())
-        return f"{self.time:.3f} {self.instance} {self.event} {told}".rstrip()
+        rest = {k: v for k, v in self.fields.items() if k not in PREFIX_FIELDS}
+        text = " ".join(f"{key}={value}" for key, value in rest.items())
+        return f"{self.time:.3f} {self.instance} {self.event} {text}".rstrip()
 
 
 class Explanation(NamedTuple):
@@ -155,7 +155,7 @@
 
 
 @decides("request.reset")
-def _broken_off(line: Line) -> str:
+def _closed_by_target(line: Line) -> str:
     return f"the target itself broke it off after {line.fields.get('took')} s"
 
 
@@ -166,19 +166,19 @@
 
 
 @decides("drop.no_agent", "drop.no_taker")
-def _nobody(line: Line) -> str:
+def _no_agent_accepted(line: Line) -> str:
     return "no agent could take it then"
 
 
 @decides("search.timeout", "drop.no_owner")
 def _undecided(line: Line) -> str:
-    silent = line.fields.get("silent") or line.fields.get("unseen")
-    silent = silent or line.fields.get("unsure") or "some that are gone"
-    return f"its owner wasn't found: no answer from {silent}"
+    agents = line.fields.get("silent") or line.fields.get("unseen")
+    agents = agents or line.fields.get("unsure") or "some that are gone"
+    return f"its owner wasn't found: no answer from {agents}"
 
 
 @decides("drop.hop_limit")
-def _hops(line: Line) -> str:
+def _hop_limit(line: Line) -> str:
     return "daemons with different rosters passed it to and fro"
 
 
@@ -192,7 +192,7 @@
     return f"it was placed at {line.fields.get('agent')}, which told nothing of it"
 
 
-def read(paths: Iterable[Path]) -> list[Line]:
+def read_logs(paths: Iterable[Path]) -> list[Line]:
     """Read logs, one file or more an instance.
 
     What isn't a log line is passed over: other programs write to the same
@@ -211,10 +211,10 @@
         except OSError as error:
             reason = f"{path}: {error.strerror}"
             raise ZinniahookError(reason, Code.SETTINGS_FILE_MISSING) from None
-    return [line._replace(place=place) for place, line in enumerate(lines)]
+    return [line._replace(position=position) for position, line in enumerate(lines)]
 
 
-def _line(text: str, place: int) -> Line | None:
+def _line(text: str, position: int) -> Line | None:
     start = text.find("{")
     if start < 0:
         return None
@@ -222,7 +222,7 @@
         fields = json.loads(text[start:])
     except ValueError:
         return None
-    return Line(fields["instance"], place, fields) if _is_line(fields) else None
+    return Line(fields["instance"], position, fields) if _is_line(fields) else None
 
 
 def _is_line(fields: Any) -> bool:
@@ -231,14 +231,14 @@
     What goes wrong without the check: another program's JSON, or a line that
     was cut and joined with the next, ends the whole explanation.
     """
-    if not isinstance(fields, dict) or not fields.keys() >= REQUIRED:
+    if not isinstance(fields, dict) or not fields.keys() >= REQUIRED_FIELDS:
         return False
     if not isinstance(fields.get("time", 0.0), int | float):
         return False
-    return all(isinstance(fields.get(name, ""), str) for name in TEXTS)
+    return all(isinstance(fields.get(name, ""), str) for name in STRING_FIELDS)
 
 
-def explained(name: str, lines: list[Line]) -> Explanation:
+def build_explanation(name: str, lines: list[Line]) -> Explanation:
     """Return what the logs tell of a request's id or a flow.
 
     Raises
@@ -247,11 +247,11 @@
         If no line names it (`Code.COMMAND_UNKNOWN_NAME`).
     """
     flows = _flows(name, lines)
-    own = [line for line in lines if _tells_of(line, name, flows)]
+    own = [line for line in lines if _concerns(line, name, flows)]
     if not own:
         reason = f"no line tells of {name!r}: is the log of its agent among these?"
         raise ZinniahookError(reason, Code.COMMAND_UNKNOWN_NAME)
-    ordered = _in_order(own + _context(own, lines), _instances_by_address(lines))
+    ordered = _in_causal_order(own + _context(own, lines), _instances_by_address(lines))
     deciding = _deciding(own, ordered)
     meaning = MEANINGS_BY_EVENT[deciding.event](deciding) if deciding else ""
     names = tuple(
@@ -275,7 +275,7 @@
     return flows
 
 
-def _tells_of(line: Line, name: str, flows: dict[str, int | None]) -> bool:
+def _concerns(line: Line, name: str, flows: dict[str, int | None]) -> bool:
     fields = line.fields
     if fields.get("request"):
         return fields["request"] == name or (name in flows and fields["flow"] == name)
@@ -295,11 +295,11 @@
     return [
         line
         for line in lines
-        if line.event in CONTEXT
+        if line.event in CONTEXT_EVENTS
         and line.instance in spans
-        and spans[line.instance][0] - MARGIN
+        and spans[line.instance][0] - CONTEXT_MARGIN_SECONDS
         <= line.time
-        <= spans[line.instance][1] + MARGIN
+        <= spans[line.instance][1] + CONTEXT_MARGIN_SECONDS
     ]
 
 
@@ -311,27 +311,27 @@
     }
 
 
-def _in_order(lines: list[Line], by_address: dict[str, str]) -> list[Line]:
+def _in_causal_order(lines: list[Line], by_address: dict[str, str]) -> list[Line]:
     """Sort lines so that each stands after what it follows from.
 
     Edges go from one line of an instance to its next, and from a placement, a
     return or a search to the next line of the instance that it names.
     """
     by_instance: dict[str, list[Line]] = {}
-    for line in sorted(lines, key=lambda line: line.place):
+    for line in sorted(lines, key=lambda line: line.position):
         by_instance.setdefault(line.instance, []).append(line)
-    after: dict[int, set[int]] = {line.place: set() for line in lines}
+    after: dict[int, set[int]] = {line.position: set() for line in lines}
     for own in by_instance.values():
         for line, following in itertools.pairwise(own):
-            after[line.place].add(following.place)
+            after[line.position].add(following.position)
     for line in lines:
-        effect = _effect(line, by_instance, by_address)
+        effect = _remote_effect(line, by_instance, by_address)
         if effect is not None:
-            after[line.place].add(effect.place)
-    return _sorted({line.place: line for line in lines}, after)
+            after[line.position].add(effect.position)
+    return _topological_order({line.position: line for line in lines}, after)
 
 
-def _effect(
+def _remote_effect(
     line: Line, by_instance: dict[str, list[Line]], by_address: dict[str, str]
 ) -> Line | None:
     """Return the first line at another instance that follows from this one."""
@@ -347,29 +347,33 @@
     return None
 
 
-def _sorted(by_place: dict[int, Line], after: dict[int, set[int]]) -> list[Line]:
+def _topological_order(
+    by_position: dict[int, Line], after: dict[int, set[int]]
+) -> list[Line]:
     """Sort by edges, ties by time. A circle is broken at its earliest line."""
-    before = dict.fromkeys(by_place, 0)
+    before = dict.fromkeys(by_position, 0)
     for following in after.values():
-        for place in following:
-            before[place] += 1
-    ready = [(by_place[p].time, p) for p, count in before.items() if not count]
+        for position in following:
+            before[position] += 1
+    ready = [(by_position[p].time, p) for p, count in before.items() if not count]
     heapq.heapify(ready)
     done: list[Line] = []
-    left = set(by_place)
+    left = set(by_position)
     while left:
         if not ready:
-            earliest = min(left, key=lambda place: (by_place[place].time, place))
-            heapq.heappush(ready, (by_place[earliest].time, earliest))
-        place = heapq.heappop(ready)[1]
-        if place not in left:
+            earliest = min(
+                left, key=lambda position: (by_position[position].time, position)
+            )
+            heapq.heappush(ready, (by_position[earliest].time, earliest))
+        position = heapq.heappop(ready)[1]
+        if position not in left:
             continue
-        left.remove(place)
-        done.append(by_place[place])
-        for following in after[place]:
+        left.remove(position)
+        done.append(by_position[position])
+        for following in after[position]:
             before[following] -= 1
             if not before[following] and following in left:
-                heapq.heappush(ready, (by_place[following].time, following))
+                heapq.heappush(ready, (by_position[following].time, following))
     return done
 
 
@@ -380,9 +384,9 @@
     closing after its answer; the first answer counts, as a target repeats it; else
     whatever was decided last.
     """
-    places = {line.place for line in own}
-    told = [line for line in ordered if line.place in places]
-    known = [line for line in told if line.event in MEANINGS_BY_EVENT]
+    positions = {line.position for line in own}
+    own_lines = [line for line in ordered if line.position in positions]
+    known = [line for line in own_lines if line.event in MEANINGS_BY_EVENT]
     answers = [line for line in known if line.event == "request.answered"]
     resets = [
         line
@@ -394,7 +398,7 @@
         return resets[-1]
     if answers:
         return answers[0]
-    ends = [line for line in known if line.event not in BEGINNINGS]
+    ends = [line for line in known if line.event not in START_EVENTS]
     return (ends or known or [None])[-1]
 
 
@@ -416,7 +420,7 @@
         Status of the process.
     """
     try:
-        found = explained(name, read(logs))
+        found = build_explanation(name, read_logs(logs))
     except ZinniahookError as error:
         print(f"{error.code.name} {int(error.code)}: {error}", file=sys.stderr)
         return status_of(error.code)
@@ -429,10 +433,10 @@
     rows = [f"{'>' if line is found.deciding else ' '} {line}" for line in found.lines]
     verdict = found.meaning or "no line decides about it"
     text = "\n".join([*(f"flow {flow}" for flow in found.flows), *rows, verdict])
-    facts = {
+    data = {
         "flows": list(found.flows),
         "lines": [line.fields for line in found.lines],
         "deciding": found.deciding.fields if found.deciding else None,
         "meaning": verdict,
     }
-    return Answer(text, facts=facts)
+    return Answer(text, data=data)
--- a/packages/zinniahook-cli/src/zinniahook_cli/fleets.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/fleets.py
@@ -12,7 +12,7 @@
 
 from .daemons import Daemons, Survey
 
-__all__ = ["Agent", "Fleet", "others_ready", "read_fleet", "read_rosters"]
+__all__ = ["Agent", "Fleet", "count_other_ready", "read_fleet", "read_rosters"]
 
 
 class Agent(NamedTuple):
@@ -114,7 +114,7 @@
     return Fleet(rosters, daemons_by_name, data_centres, addresses, survey)
 
 
-def others_ready(roster: Roster, leaving: set[str]) -> int:
+def count_other_ready(roster: Roster, leaving: set[str]) -> int:
     """Count the ready members of a roster besides those ``leaving``."""
     return sum(
         member.state is AgentState.READY
--- a/packages/zinniahook-cli/src/zinniahook_cli/grammar.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/grammar.py
@@ -14,7 +14,7 @@
 
 __all__ = ["CommandError", "keywords", "parse"]
 
-SPACES = " \t\n"
+WORD_SEPARATORS = " \t\n"
 """What stands between words; any other space is a wrong character."""
 
 TEXT_BY_TERMINAL = {
@@ -51,7 +51,7 @@
         super().__init__(reason, code)
         self.word = word
 
-    def pointed(self, source: str) -> str:
+    def format_with_source(self, source: str) -> str:
         """Return the message below the line of ``source`` it points at."""
         message = f"{self.code.name} {int(self.code)}: {self}"
         lines = source.split("\n")
@@ -109,8 +109,8 @@
     else:
         expected = set()
     wanted = sorted({_wanted(name) for name in expected})
-    found = repr(text) if text.strip(SPACES) else "the end"
-    word = _place(error, source, text)
+    found = repr(text) if text.strip(WORD_SEPARATORS) else "the end"
+    word = _locate(error, source, text)
     return CommandError(f"found {found}, expected {' or '.join(wanted)}", word=word)
 
 
@@ -120,9 +120,9 @@
     return terminal.lower()
 
 
-def _place(error: UnexpectedInput, source: str, text: str) -> Word:
+def _locate(error: UnexpectedInput, source: str, text: str) -> Word:
     """Point at the word, or just behind the last one if the end is wrong."""
-    if text.strip(SPACES):
+    if text.strip(WORD_SEPARATORS):
         return Word(text, error.line, error.column)
     if text == "\n":
         lines = source.split("\n")
--- a/packages/zinniahook-cli/src/zinniahook_cli/identity.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/identity.py
@@ -8,10 +8,10 @@
 
 from .settings import ClientSettings
 
-__all__ = ["operator_of"]
+__all__ = ["operator_name"]
 
 
-def operator_of(settings: ClientSettings) -> str:
+def operator_name(settings: ClientSettings) -> str:
     """Return the common name of the client's certificate.
 
     Raises
--- a/packages/zinniahook-cli/src/zinniahook_cli/losses.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/losses.py
@@ -17,16 +17,16 @@
 from zinniahook_core.codes import ZinniahookError
 
 from .answers import Answer, Status, status_of
-from .explanations import Line, read
+from .explanations import Line, read_logs
 from .tables import Table
 
-__all__ = ["losses", "measured"]
+__all__ = ["losses", "loss_table"]
 
-AFTER_RESET = 0.05
+AFTER_RESET_SECONDS = 0.05
 """Seconds within which an opening of a client follows the reset of its flow: two
 trips to the client and its own time."""
 
-RETRY = (1.3, 1.5)
+RETRY_WINDOW_SECONDS = (1.3, 1.5)
 """Seconds after which a client tries again whose opening waited in vain: it gives
 a try 1.4 s."""
 
@@ -50,7 +50,7 @@
 class Opening(NamedTuple):
     """The first placement of a flow, and when it was opened, if it was."""
 
-    at: float
+    placed_at: float
     client: str
     copy: int
     opened_at: float | None
@@ -71,9 +71,9 @@
 def cause(column: str) -> Callable[[Cause], Cause]:
     """Register what tells a cause."""
 
-    def register(tells: Cause) -> Cause:
-        CAUSES_BY_COLUMN[column] = tells
-        return tells
+    def register(matches: Cause) -> Cause:
+        CAUSES_BY_COLUMN[column] = matches
+        return matches
 
     return register
 
@@ -86,19 +86,24 @@
 @cause("after reset")
 def _follows_reset(opening: Opening, history: History) -> bool:
     resets = history.resets_by_client.get(opening.client, ())
-    return any(0 <= opening.at - at < AFTER_RESET for at in resets)
+    return any(
+        0 <= opening.placed_at - reset_at < AFTER_RESET_SECONDS for reset_at in resets
+    )
 
 
 @cause("retries")
 def _is_retry(opening: Opening, history: History) -> bool:
     """Tell whether the client's former try was never opened."""
     return any(
-        former.opened_at is None and RETRY[0] < opening.at - former.at < RETRY[1]
+        former.opened_at is None
+        and RETRY_WINDOW_SECONDS[0]
+        < opening.placed_at - former.placed_at
+        < RETRY_WINDOW_SECONDS[1]
         for former in history.openings_by_client[opening.client]
     )
 
 
-def measured(lines: Iterable[Line], goal: float) -> Table:
+def loss_table(lines: Iterable[Line], goal: float) -> Table:
     """Return the table of losses.
 
     Parameters
@@ -114,7 +119,7 @@
     history = _history(lines, openings)
     counts_by_second: dict[int, Counter[str]] = defaultdict(Counter)
     for opening in openings.values():
-        counts = counts_by_second[int(opening.at - start)]
+        counts = counts_by_second[int(opening.placed_at - start)]
         _count(opening, history, goal, counts)
     times_by_second: dict[int, list[float]] = defaultdict(list)
     for line in lines:
@@ -136,10 +141,10 @@
 ) -> None:
     counts["openings"] += 1
     counts["opened"] += opening.opened_at is not None
-    waited = (opening.opened_at or opening.at) - opening.at
+    waited = (opening.opened_at or opening.placed_at) - opening.placed_at
     counts["late"] += waited > goal
-    for column, tells in CAUSES_BY_COLUMN.items():
-        if tells(opening, history):
+    for column, matches in CAUSES_BY_COLUMN.items():
+        if matches(opening, history):
             counts[column] += 1
             return
 
@@ -157,13 +162,13 @@
 
 
 def _row(second: int, counts: Counter[str], times: list[float]) -> tuple:
-    middle = times[len(times) // 2] if times else 0.0
-    tenth = times[len(times) * 9 // 10] if times else 0.0
+    median = times[len(times) // 2] if times else 0.0
+    ninth_decile = times[len(times) * 9 // 10] if times else 0.0
     return (
         second,
         *(counts[c] for c in COLUMNS[1:-2]),
-        round(middle, 3),
-        round(tenth, 3),
+        round(median, 3),
+        round(ninth_decile, 3),
     )
 
 
@@ -222,7 +227,7 @@
         Status of the process.
     """
     try:
-        answer = Answer(table=measured(read(logs), goal))
+        answer = Answer(table=loss_table(read_logs(logs), goal))
     except ZinniahookError as error:
         print(f"{error.code.name} {int(error.code)}: {error}", file=sys.stderr)
         return status_of(error.code)
--- a/packages/zinniahook-cli/src/zinniahook_cli/main.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/main.py
@@ -23,7 +23,7 @@
 __all__ = ["evaluate", "main", "zinniahook"]
 
 
-READERS_BY_WORD = {"explain": explain, "losses": losses}
+LOG_COMMANDS_BY_NAME = {"explain": explain, "losses": losses}
 
 
 def main(argv: list[str] | None = None) -> None:
@@ -33,8 +33,8 @@
     that they work on an engineer's own machine; everything else is statements.
     """
     words = sys.argv[1:] if argv is None else argv
-    if words and (reader := READERS_BY_WORD.get(words[0])):
-        sys.exit(defopt.run(reader, argv=words[1:]))
+    if words and (command := LOG_COMMANDS_BY_NAME.get(words[0])):
+        sys.exit(defopt.run(command, argv=words[1:]))
     sys.exit(defopt.run(zinniahook, argv=words))
 
 
@@ -96,7 +96,7 @@
         loaded = load(settings, flags)
         text = _text(words, file)
     except ZinniahookError as error:
-        _complain(error, "", json)
+        _print_error(error, "", json)
         return Status.USAGE
     try:
         return asyncio.run(_run(loaded, text, json, wait, base))
@@ -126,12 +126,12 @@
 ) -> int:
     store = Store(settings.store, settings.timeout)
 
-    def say(line: str) -> None:
+    def on_progress(line: str) -> None:
         print(line, file=sys.stderr, flush=True)
 
-    session = Session(settings, store, say, wait=wait, base=base)
+    session = Session(settings, store, on_progress, wait=wait, base=base)
     if text is not None:
-        return await evaluate(session, text, json, whole=True)
+        return await evaluate(session, text, json, must_commit=True)
     from . import prompt
 
     return await prompt.run(
@@ -142,7 +142,7 @@
 
 
 async def evaluate(
-    session: Session, text: str, json: bool = False, whole: bool = False
+    session: Session, text: str, json: bool = False, must_commit: bool = False
 ) -> int:
     """Run a text of statements and print each answer.
 
@@ -164,22 +164,22 @@
     """
     try:
         parsed = grammar.parse(text)
-        if whole:
-            _check_whole(parsed)
+        if must_commit:
+            _check_committed(parsed)
         for statement in parsed:
             answer = await session.run(statement)
             _print(answer, json)
             if answer.status is not Status.OK:
                 return answer.status
     except ZinniahookError as error:
-        _complain(error, text, json)
-        if whole:
+        _print_error(error, text, json)
+        if must_commit:
             session.draft = None
         return status_of(error.code)
     return Status.OK
 
 
-def _check_whole(parsed: tuple[Statement, ...]) -> None:
+def _check_committed(parsed: tuple[Statement, ...]) -> None:
     """Refuse a text that would leave its change open: nobody could commit it."""
     begun = None
     for statement in parsed:
@@ -207,22 +207,22 @@
         # A full disk, or a reader such as head that has gone. What is left in
         # the buffer would fail again as the process ends, with a traceback
         # and a status of Python's own.
-        with open(os.devnull, "w") as nowhere:
-            os.dup2(nowhere.fileno(), sys.stdout.fileno())
+        with open(os.devnull, "w") as devnull:
+            os.dup2(devnull.fileno(), sys.stdout.fileno())
         reason = f"can't print the answer: {error.strerror or error}"
         raise ZinniahookError(reason, Code.UNKNOWN) from None
 
 
-def _complain(error: ZinniahookError, source: str, json: bool) -> None:
+def _print_error(error: ZinniahookError, source: str, json: bool) -> None:
     if json:
-        facts = {"code": int(error.code), "reason": str(error)}
+        data = {"code": int(error.code), "reason": str(error)}
         if isinstance(error, CommandError) and error.word is not None:
-            facts |= error.word._asdict()
+            data |= error.word._asdict()
         status = status_of(error.code)
-        print(Answer(str(error), facts=facts, status=status).as_json(), flush=True)
+        print(Answer(str(error), data=data, status=status).as_json(), flush=True)
         return
     if isinstance(error, CommandError):
-        print(error.pointed(source), file=sys.stderr)
+        print(error.format_with_source(source), file=sys.stderr)
     else:
         message = f"{error.code.name} {int(error.code)}: {error}"
         print(message, file=sys.stderr)
--- a/packages/zinniahook-cli/src/zinniahook_cli/prompt.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/prompt.py
@@ -14,12 +14,12 @@
 from .syntax import SYNTAX_BY_NAME
 from .views import VIEWS_BY_NAME
 
-__all__ = ["Words", "run"]
+__all__ = ["WordCompleter", "run"]
 
-LEAVE = ("quit", "exit")
+EXIT_COMMANDS = ("quit", "exit")
 
 
-class Words(Completer):
+class WordCompleter(Completer):
     """Completes statements, views, names and settings.
 
     Parameters
@@ -35,14 +35,16 @@
         """Return the words that may follow the text before the cursor's word."""
         words = before.rpartition(";")[2].split()
         if not words:
-            return (*SYNTAX_BY_NAME, *LEAVE)
+            return (*SYNTAX_BY_NAME, *EXIT_COMMANDS)
         if words == ["show"]:
             return tuple(VIEWS_BY_NAME)
         if words == ["help"]:
             return (*SYNTAX_BY_NAME, *VIEWS_BY_NAME)
         if words == ["set"]:
             fields = (*SERVICE_FIELDS_BY_NAME, *CLASS_FIELDS_BY_NAME)
-            return tuple(f"{one}.{field}" for one in self.services for field in fields)
+            return tuple(
+                f"{service}.{field}" for service in self.services for field in fields
+            )
         if words[-1] == "of":
             return self.services
         return tuple(sorted(keywords() - SYNTAX_BY_NAME.keys()))
@@ -61,7 +63,7 @@
 async def run(
     evaluate: Callable[[str], Awaitable[int]],
     services: Iterable[str],
-    pending: Callable[[], bool],
+    is_change_open: Callable[[], bool],
 ) -> int:
     """Read lines until the end of input; return the status of the last one.
 
@@ -76,18 +78,18 @@
     """
     # In memory: an instance keeps nothing on a disk.
     session: PromptSession[str] = PromptSession(
-        history=InMemoryHistory(), completer=Words(services)
+        history=InMemoryHistory(), completer=WordCompleter(services)
     )
     status = 0
     while True:
         try:
             text = await session.prompt_async(
-                "zinniahook (change open)> " if pending() else "zinniahook> "
+                "zinniahook (change open)> " if is_change_open() else "zinniahook> "
             )
         except KeyboardInterrupt:
             continue
         except EOFError:
             return status
-        if text.strip() in LEAVE:
+        if text.strip() in EXIT_COMMANDS:
             return status
         status = await evaluate(text)
--- a/packages/zinniahook-cli/src/zinniahook_cli/reports.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/reports.py
@@ -22,14 +22,14 @@
 if TYPE_CHECKING:
     from matplotlib.axes import Axes
 
-__all__ = ["Sample", "draw", "imbalance", "merged", "report"]
+__all__ = ["Sample", "draw", "imbalance", "merge_histograms", "report"]
 
-SECONDS = 10
-SECONDS_LIMIT = 3600
-SAMPLE_EVERY = 1.0
-LONGEST = 86_400 * 1_000_000
-DIGITS = 2
-MICROSECONDS = 1e6
+DEFAULT_DURATION_SECONDS = 10
+MAX_DURATION_SECONDS = 3600
+SAMPLE_INTERVAL_SECONDS = 1.0
+MAX_LATENCY_MICROSECONDS = 86_400 * 1_000_000
+SIGNIFICANT_DIGITS = 2
+MICROSECONDS_PER_SECOND = 1e6
 
 
 class Sample(NamedTuple):
@@ -49,13 +49,13 @@
         samples.append(Sample(time.monotonic() - started, imbalance(fleet)))
         if time.monotonic() - started >= seconds:
             break
-        await asyncio.sleep(SAMPLE_EVERY)
+        await asyncio.sleep(SAMPLE_INTERVAL_SECONDS)
     histograms = [
         histogram
         for reply in fleet.survey.answers_by_control.values()
         for histogram in reply.histograms
     ]
-    values_by_key = merged(histograms)
+    values_by_key = merge_histograms(histograms)
     try:
         draw(Path(statement.file.text), values_by_key, samples)
     except (OSError, ValueError) as error:
@@ -78,7 +78,7 @@
     }
 
 
-def merged(histograms: list[Histogram]) -> dict[tuple[str, str], object]:
+def merge_histograms(histograms: list[Histogram]) -> dict[tuple[str, str], object]:
     """Add up the daemons' histograms by service and class."""
     from hdrh.histogram import HdrHistogram
 
@@ -86,7 +86,9 @@
     for item in histograms:
         key = (item.service, item.request_class)
         if key not in values_by_key:
-            values_by_key[key] = HdrHistogram(1, LONGEST, DIGITS)
+            values_by_key[key] = HdrHistogram(
+                1, MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS
+            )
         values_by_key[key].add(HdrHistogram.decode(item.encoded))
     return values_by_key
 
@@ -125,7 +127,7 @@
         items = list(values.get_recorded_iterator())
         if not items:
             continue
-        times = [item.value_iterated_to / MICROSECONDS for item in items]
+        times = [item.value_iterated_to / MICROSECONDS_PER_SECOND for item in items]
         counts = [item.count_added_in_this_iter_step for item in items]
         axes.step(times, counts, where="mid", label=f"{service} {kind}")
     axes.set(title="Times by service and class", xlabel="seconds", ylabel="count")
@@ -134,12 +136,14 @@
 
 
 def _draw_imbalance(axes: Axes, samples: list[Sample]) -> None:
-    services = sorted({name for one in samples for name in one.imbalance_by_service})
+    services = sorted(
+        {name for sample in samples for name in sample.imbalance_by_service}
+    )
     for service in services:
         points = [
-            (one.moment, one.imbalance_by_service[service])
-            for one in samples
-            if service in one.imbalance_by_service
+            (sample.moment, sample.imbalance_by_service[service])
+            for sample in samples
+            if service in sample.imbalance_by_service
         ]
         axes.plot(*zip(*points, strict=True), label=service)
     axes.set(title="Imbalance of busy slots", xlabel="seconds", ylabel="most over mean")
@@ -159,9 +163,9 @@
             service,
             kind,
             values.get_total_count(),
-            values.get_value_at_percentile(50) / MICROSECONDS,
-            values.get_value_at_percentile(99) / MICROSECONDS,
-            values.get_max_value() / MICROSECONDS,
+            values.get_value_at_percentile(50) / MICROSECONDS_PER_SECOND,
+            values.get_value_at_percentile(99) / MICROSECONDS_PER_SECOND,
+            values.get_max_value() / MICROSECONDS_PER_SECOND,
         )
         for (service, kind), values in sorted(values_by_key.items())
     )
@@ -170,11 +174,11 @@
 
 def _seconds(statement: Report) -> int:
     if statement.seconds is None:
-        return SECONDS
+        return DEFAULT_DURATION_SECONDS
     text = statement.seconds.text
-    if not text.isdecimal() or not 0 < int(text) <= SECONDS_LIMIT:
+    if not text.isdecimal() or not 0 < int(text) <= MAX_DURATION_SECONDS:
         raise CommandError(
-            f"seconds are a whole number from 1 to {SECONDS_LIMIT}",
+            f"seconds are a whole number from 1 to {MAX_DURATION_SECONDS}",
             word=statement.seconds,
         )
     return int(text)
--- a/packages/zinniahook-cli/src/zinniahook_cli/results.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/results.py
@@ -13,10 +13,10 @@
 from .contexts import Context
 from .tables import Table
 
-__all__ = ["diff_table", "refused", "told"]
+__all__ = ["diff_table", "refusal_answer", "outcome_answer"]
 
 
-async def told(
+async def outcome_answer(
     context: Context,
     base: Stored,
     outcome: configurations.Outcome | rollouts.Paused,
@@ -28,29 +28,29 @@
     if isinstance(outcome, Unknown):
         return Answer(
             f"unknown: the answer was lost; settle it with: {outcome.command}",
-            facts={"outcome": "unknown", "command": outcome.command},
+            data={"outcome": "unknown", "command": outcome.command},
             status=Status.UNKNOWN,
         )
     if isinstance(outcome, Refused):
-        return await _refused_with_diff(context, base, outcome)
+        return await _refusal_with_diff(context, base, outcome)
     answer = Answer(
         f"committed (generation {outcome.generation})",
-        facts={"outcome": "committed", "generation": outcome.generation},
+        data={"outcome": "committed", "generation": outcome.generation},
     )
     if not (context.wait if wait is None else wait):
         return answer
-    waited = await waits.until_everywhere(context, outcome.generation)
+    waited = await waits.wait_until_in_force(context, outcome.generation)
     return Answer(
         f"{answer.text}\n{waited.text}",
-        facts={**answer.facts, **(waited.facts or {})},
+        data={**answer.data, **(waited.data or {})},
         status=waited.status,
     )
 
 
-async def _refused_with_diff(
+async def _refusal_with_diff(
     context: Context, base: Stored, outcome: Refused
 ) -> Answer:
-    answer = refused(outcome)
+    answer = refusal_answer(outcome)
     if outcome.code is not Code.CONFLICT:
         return answer
     try:
@@ -63,16 +63,16 @@
         f"{answer.text}; generation {now.generation} of {now.manifest.author} changed:"
     )
     table = diff_table(base.document, now.document)
-    facts = {**answer.facts, "generation": now.generation}
-    return Answer(text, table, facts, answer.status)
+    data = {**answer.data, "generation": now.generation}
+    return Answer(text, table, data, answer.status)
 
 
-def refused(outcome: Refused) -> Answer:
+def refusal_answer(outcome: Refused) -> Answer:
     """Return the answer to a change that was refused."""
     code = outcome.code
     return Answer(
         f"refused: {outcome.reason} ({code.name} {int(code)})",
-        facts={"outcome": "refused", "code": int(code), "reason": outcome.reason},
+        data={"outcome": "refused", "code": int(code), "reason": outcome.reason},
         status=status_of(code),
     )
 
@@ -82,7 +82,7 @@
         f"in force in part (generation {outcome.generation}): {outcome.reason}; "
         f"`rollback to {outcome.previous}` takes it back, "
         f"`rollback to {outcome.generation}` puts it in force everywhere",
-        facts={
+        data={
             "outcome": "in part",
             "generation": outcome.generation,
             "previous": outcome.previous,
--- a/packages/zinniahook-cli/src/zinniahook_cli/rollouts.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/rollouts.py
@@ -21,13 +21,13 @@
 __all__ = [
     "Paused",
     "Traffic",
-    "broken_share",
+    "failure_share",
     "commit",
     "read_traffic",
     "stages",
 ]
 
-WATCH_EVERY = 1.0
+WATCH_INTERVAL_SECONDS = 1.0
 """Seconds between two looks at the counters during a stage."""
 
 DROPPED_COUNTERS = tuple(
@@ -43,7 +43,7 @@
 FORWARDED_COUNTERS = ("entry.to_agents",)
 UNKNOWN_COUNTERS = ("agent.outcome.unknown",)
 REQUEST_COUNTERS = ("agent.requests",)
-LEAST = 1000
+MIN_EVENT_COUNT = 1000
 """Datagrams or requests below which a share says nothing about the change."""
 
 
@@ -69,7 +69,7 @@
     reason: str
 
 
-def broken_share(before: TrafficByName, now: TrafficByName) -> float:
+def failure_share(before: TrafficByName, now: TrafficByName) -> float:
     """Return the larger share: of datagrams dropped, of requests unknown.
 
     Daemons that gave no answer at one of the two moments don't count, and one
@@ -77,13 +77,13 @@
     """
     sums = [0, 0, 0, 0]
     for name in before.keys() & now.keys():
-        for place in range(len(sums)):
-            sums[place] += max(0, now[name][place] - before[name][place])
+        for position in range(len(sums)):
+            sums[position] += max(0, now[name][position] - before[name][position])
     delta = Traffic(*sums)
     datagrams = delta.forwarded + delta.dropped
     return max(
-        delta.dropped / max(datagrams, LEAST),
-        delta.unknown / max(delta.requests, LEAST),
+        delta.dropped / max(datagrams, MIN_EVENT_COUNT),
+        delta.unknown / max(delta.requests, MIN_EVENT_COUNT),
     )
 
 
@@ -130,16 +130,16 @@
     )
     if not isinstance(outcome, Committed):
         return outcome
-    context.say(f"rollout: {_where(first)}")
+    context.on_progress(f"rollout: {_describe(first)}")
     try:
-        return await _widen(context, base, author, outcome, plan, before)
+        return await _advance_stages(context, base, author, outcome, plan, before)
     except ZinniahookError as error:
         # Told as an error alone, a change that is in force in part would look
         # like one that never happened.
         return Paused(outcome.generation, base.generation, str(error))
 
 
-async def _widen(
+async def _advance_stages(
     context: Context,
     base: Stored,
     author: str,
@@ -151,14 +151,14 @@
     generation = committed.generation
     current, *later = [*plan, None]
     for stage in later:
-        stopped = await _watched(context, base, generation, before, current)
+        stopped = await _watch_stage(context, base, generation, before, current)
         if stopped is not None:
-            return await _take_back(context, base, author, generation, stopped)
+            return await _revert(context, base, author, generation, stopped)
         moved = await configurations.move_stage(context.store, generation, stage)
         if not isinstance(moved, Committed):
             reason = getattr(moved, "reason", "the answer of the store was lost")
             return Paused(generation, base.generation, reason)
-        context.say(f"rollout: {_where(stage)}")
+        context.on_progress(f"rollout: {_describe(stage)}")
         current = stage
     return committed
 
@@ -223,7 +223,7 @@
     if not services or base.generation == 0:
         return []
     fleet = await read_fleet(context.store, context.daemons)
-    if fleet.survey.silent and not fleet.survey.answers_by_control:
+    if fleet.survey.unanswered and not fleet.survey.answers_by_control:
         raise ZinniahookError(
             "no daemon answers, so a risky change can't be watched", Code.NOT_READY
         )
@@ -242,7 +242,7 @@
     )
 
 
-async def _watched(
+async def _watch_stage(
     context: Context,
     base: Stored,
     generation: int,
@@ -256,7 +256,8 @@
         now = await read_traffic(context)
         # One instance among thousands hardly moves the share of all of them.
         share = max(
-            broken_share(before, now), broken_share(before, _within(stage, now))
+            failure_share(before, now),
+            failure_share(before, _traffic_in_stage(stage, now)),
         )
         if share > rollout.broken_flows:
             return (
@@ -266,10 +267,10 @@
         left = deadline - time.monotonic()
         if left <= 0:
             return None
-        await asyncio.sleep(min(WATCH_EVERY, left))
+        await asyncio.sleep(min(WATCH_INTERVAL_SECONDS, left))
 
 
-def _within(stage: Stage, traffic_by_name: TrafficByName) -> TrafficByName:
+def _traffic_in_stage(stage: Stage, traffic_by_name: TrafficByName) -> TrafficByName:
     return {
         name: traffic
         for name, traffic in traffic_by_name.items()
@@ -277,11 +278,11 @@
     }
 
 
-async def _take_back(
+async def _revert(
     context: Context, base: Stored, author: str, generation: int, reason: str
 ) -> Outcome | Paused:
     """Commit the old content anew: a lower generation would not be taken."""
-    context.say(f"rollout stopped: {reason}")
+    context.on_progress(f"rollout stopped: {reason}")
     now = await configurations.read(context.store)
     operation = configurations.new_operation()
     document = configuration.retire(base.document, now.document)
@@ -295,7 +296,7 @@
     return Refused(Code.ROLLOUT_STOPPED, reason)
 
 
-def _where(stage: Stage | None) -> str:
+def _describe(stage: Stage | None) -> str:
     if stage is None:
         return "everywhere"
     return f"on {', '.join((*stage.instances, *stage.data_centres))}"
--- a/packages/zinniahook-cli/src/zinniahook_cli/rotations.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/rotations.py
@@ -13,34 +13,34 @@
 
 from .answers import Answer, Status
 from .contexts import Context
-from .results import told
+from .results import outcome_answer
 from .statements import Rotate
-from .waits import until_everywhere
+from .waits import wait_until_in_force
 
 __all__ = [
     "KEYS_KEPT",
-    "OLD_KEY_AGE",
+    "OLD_KEY_AGE_SECONDS",
     "outcome_is_final",
     "rotate",
     "with_new_keys",
-    "with_waiting_keys",
+    "with_newest_keys_in_use",
     "without_old_keys",
 ]
 
 KEYS_KEPT = 4
 """Keys of a kind that stay accepted, the one in use among them."""
 
-OLD_KEY_AGE = 24 * 3600.0
+OLD_KEY_AGE_SECONDS = 24 * 3600.0
 """Seconds that a key stays accepted once it isn't used for new flows.
 
 Flows last for hours; dropped earlier, the key would take them along, which
 shows as drops under CONNECTION_ID_UNKNOWN at every entry at once.
 """
 
-NUMBERS = 256
+KEY_ID_COUNT = 256
 """Key ids: one byte in front of each connection id."""
 
-TRIES = 5
+MAX_COMMIT_ATTEMPTS = 5
 """Attempts against operators who commit other changes at the same time."""
 
 
@@ -50,48 +50,54 @@
     if stored.keys is None:
         raise ZinniahookError("there is no configuration yet", Code.GENERATION_UNKNOWN)
     _check_permitted(context, stored)
-    if _waiting(stored.keys) is None:
+    if _unused_key(stored.keys) is None:
         await _check_age(context, stored, statement.force)
         answer = await _step(context, with_new_keys)
         if answer.status is not Status.OK:
             return answer
-        context.say(f"new keys accepted: {answer.text}")
+        context.on_progress(f"new keys accepted: {answer.text}")
     stored = await configurations.read(context.store)
-    accepted = await until_everywhere(context, stored.generation)
+    accepted = await wait_until_in_force(context, stored.generation)
     if accepted.status is not Status.OK and not statement.force:
         # Used now, the key would make datagrams that the daemons which lag
         # can't read, and their flows would break.
         return Answer(
             f"{accepted.text}\nnew keys aren't used yet; `rotate keys` goes on",
-            facts=accepted.facts,
+            data=accepted.data,
             status=Status.UNFINISHED,
         )
-    answer = await _step(context, with_waiting_keys)
+    answer = await _step(context, with_newest_keys_in_use)
     if answer.status is not Status.OK:
         return answer
     now = await configurations.read(context.store)
-    everywhere = await until_everywhere(context, now.generation)
+    everywhere = await wait_until_in_force(context, now.generation)
     return Answer(
         f"new keys in use: {answer.text}\n{everywhere.text}",
-        facts={**(answer.facts or {}), **(everywhere.facts or {})},
+        data={**(answer.data or {}), **(everywhere.data or {})},
         status=everywhere.status,
     )
 
 
 def with_new_keys(ring: KeyRing) -> KeyRing:
     """Add a key of each kind that isn't in use yet, and drop the oldest."""
-    number = _next(ring)
+    number = _next_id(ring)
     return without_old_keys(
         ring._replace(
-            flow_keys_by_number={**ring.flow_keys_by_number, number: _draw(number)},
-            tunnel_keys_by_number={**ring.tunnel_keys_by_number, number: _draw(number)},
+            flow_keys_by_number={
+                **ring.flow_keys_by_number,
+                number: _generate_key(number),
+            },
+            tunnel_keys_by_number={
+                **ring.tunnel_keys_by_number,
+                number: _generate_key(number),
+            },
         )
     )
 
 
-def with_waiting_keys(ring: KeyRing) -> KeyRing:
+def with_newest_keys_in_use(ring: KeyRing) -> KeyRing:
     """Bring the keys that wait into use."""
-    number = _waiting(ring)
+    number = _unused_key(ring)
     if number is None:
         return ring
     return ring._replace(flow_key=number, tunnel_key=number)
@@ -99,7 +105,7 @@
 
 def without_old_keys(ring: KeyRing) -> KeyRing:
     """Keep the newest keys only, in the order in which they were added."""
-    numbers = _in_order(ring)[-KEYS_KEPT:]
+    numbers = _ids_by_age(ring)[-KEYS_KEPT:]
     return ring._replace(
         flow_keys_by_number={
             number: ring.flow_keys_by_number[number] for number in numbers
@@ -110,30 +116,30 @@
     )
 
 
-def _draw(number: int) -> Key:
+def _generate_key(number: int) -> Key:
     return Key(number, secrets.token_bytes(SECRET_SIZE))
 
 
-def _next(ring: KeyRing) -> int:
-    return (_in_order(ring)[-1] + 1) % NUMBERS
+def _next_id(ring: KeyRing) -> int:
+    return (_ids_by_age(ring)[-1] + 1) % KEY_ID_COUNT
 
 
-def _in_order(ring: KeyRing) -> list[int]:
+def _ids_by_age(ring: KeyRing) -> list[int]:
     """Return the key ids from the oldest to the newest.
 
     Ids wrap around; the ring holds few, so the oldest follows the widest gap.
     """
     numbers = sorted(ring.flow_keys_by_number)
     gaps = [
-        (number - numbers[place - 1]) % NUMBERS or NUMBERS
-        for place, number in enumerate(numbers)
+        (number - numbers[position - 1]) % KEY_ID_COUNT or KEY_ID_COUNT
+        for position, number in enumerate(numbers)
     ]
     first = gaps.index(max(gaps))
     return numbers[first:] + numbers[:first]
 
 
-def _waiting(ring: KeyRing) -> int | None:
-    newest = _in_order(ring)[-1]
+def _unused_key(ring: KeyRing) -> int | None:
+    newest = _ids_by_age(ring)[-1]
     return None if newest == ring.flow_key else newest
 
 
@@ -150,12 +156,12 @@
     ring = stored.keys
     if force or len(ring.flow_keys_by_number) < KEYS_KEPT:
         return
-    oldest_used_until = await _used_until(context, _in_order(ring)[0])
+    oldest_used_until = await _used_until(context, _ids_by_age(ring)[0])
     age = time.time() - oldest_used_until
-    if age < OLD_KEY_AGE:
+    if age < OLD_KEY_AGE_SECONDS:
         raise ZinniahookError(
             f"the oldest key was in use {age / 3600:.1f} h ago and flows may still "
-            f"carry it; wait until {OLD_KEY_AGE / 3600:.0f} h, or force",
+            f"carry it; wait until {OLD_KEY_AGE_SECONDS / 3600:.0f} h, or force",
             Code.NOT_PERMITTED,
         )
 
@@ -175,9 +181,9 @@
     return max(used)
 
 
-async def _step(context: Context, alter) -> Answer:
+async def _step(context: Context, update) -> Answer:
     """Commit an altered ring, again if another operator came first."""
-    for _ in range(TRIES):
+    for _ in range(MAX_COMMIT_ATTEMPTS):
         stored = await configurations.read(context.store)
         operation = configurations.new_operation()
         outcome = await configurations.commit(
@@ -186,11 +192,11 @@
             stored.document,
             context.operator,
             operation,
-            keys=alter(stored.keys),
+            keys=update(stored.keys),
         )
         if isinstance(outcome, Committed) or outcome_is_final(outcome):
             break
-    return await told(context, stored, outcome, wait=False)
+    return await outcome_answer(context, stored, outcome, wait=False)
 
 
 def outcome_is_final(outcome: configurations.Outcome) -> bool:
--- a/packages/zinniahook-cli/src/zinniahook_cli/sessions.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/sessions.py
@@ -15,10 +15,10 @@
 
 from . import drains, reports, rollouts, rotations, statements, syntax, views, waits
 from .answers import MEANINGS_BY_STATUS, Answer, Status
-from .changes import Change, change, not_permitted, unknown
-from .contexts import Context, Say
+from .changes import Change, change, not_permitted, unknown_name_error
+from .contexts import Context, ProgressCallback
 from .grammar import CommandError
-from .results import diff_table, refused, told
+from .results import diff_table, outcome_answer, refusal_answer
 from .settings import ClientSettings
 
 __all__ = ["Draft", "Session"]
@@ -28,7 +28,7 @@
 _runners_by_type: dict[type, Runner] = {}
 
 
-def _runs(*kinds: type) -> Callable[[Runner], Runner]:
+def _runner_for(*kinds: type) -> Callable[[Runner], Runner]:
     def register(runner: Runner) -> Runner:
         _runners_by_type.update(dict.fromkeys(kinds, runner))
         return runner
@@ -53,7 +53,7 @@
         Addresses, certificate and patience.
     store : Store
         The store.
-    say : callable
+    on_progress : callable
         Prints one line of progress.
     wait : bool
         Whether a commit waits until it is in force everywhere.
@@ -65,12 +65,12 @@
         self,
         settings: ClientSettings,
         store: Store,
-        say: Say,
+        on_progress: ProgressCallback,
         *,
         wait: bool = False,
         base: int | None = None,
     ) -> None:
-        super().__init__(settings, store, say, wait=wait)
+        super().__init__(settings, store, on_progress, wait=wait)
         self.base = base
         self.draft: Draft | None = None
 
@@ -95,7 +95,7 @@
         operator = self.operator
         forbidden = not_permitted(base.document, document, operator)
         if forbidden:
-            return refused(
+            return refusal_answer(
                 Refused(
                     Code.NOT_PERMITTED,
                     f"{operator} may not change {', '.join(forbidden)}",
@@ -105,25 +105,25 @@
         outcome = await rollouts.commit(
             self, base, document, operator, operation, take_over=take_over
         )
-        return await told(self, base, outcome)
+        return await outcome_answer(self, base, outcome)
 
 
-@_runs(statements.Show)
+@_runner_for(statements.Show)
 async def _show(session: Session, statement: statements.Show) -> Answer:
     return Answer(table=await views.show(session, statement))
 
 
-@_runs(statements.Diff)
+@_runner_for(statements.Diff)
 async def _diff(session: Session, statement: statements.Diff) -> Answer:
     documents = []
     for word in (statement.before, statement.after):
-        generation = views.whole_number(word)
+        generation = views.parse_generation(word)
         stored = await views.stored_at(session, generation, word)
         documents.append(stored.document)
     return Answer(table=diff_table(*documents))
 
 
-@_runs(statements.Begin)
+@_runner_for(statements.Begin)
 async def _begin(session: Session, statement: statements.Begin) -> Answer:
     if session.draft is not None:
         raise CommandError("a change is open already", word=statement.word)
@@ -131,7 +131,7 @@
     return Answer(f"begun on generation {session.draft.base.generation}")
 
 
-@_runs(statements.Set, statements.Create, statements.Remove, statements.Apply)
+@_runner_for(statements.Set, statements.Create, statements.Remove, statements.Apply)
 async def _change(session: Session, statement: Change) -> Answer:
     draft = session.draft
     if draft is None:
@@ -149,7 +149,7 @@
     return Answer(f"gathered ({len(draft.steps)} so far)")
 
 
-@_runs(statements.Commit)
+@_runner_for(statements.Commit)
 async def _commit(session: Session, statement: statements.Commit) -> Answer:
     draft = session.draft
     if draft is None:
@@ -158,7 +158,7 @@
     return await _try_commit(session, draft.base, draft.steps)
 
 
-@_runs(statements.Abort)
+@_runner_for(statements.Abort)
 async def _abort(session: Session, statement: statements.Abort) -> Answer:
     if session.draft is None:
         raise CommandError("no change is open", word=statement.word)
@@ -166,20 +166,20 @@
     return Answer("forgotten; nothing was changed")
 
 
-@_runs(statements.Rollback)
+@_runner_for(statements.Rollback)
 async def _rollback(session: Session, statement: statements.Rollback) -> Answer:
     if session.draft is not None:
         raise CommandError(
             "a change is open: commit or abort it first", word=statement.generation
         )
-    generation = views.whole_number(statement.generation)
+    generation = views.parse_generation(statement.generation)
     base = await _base(session)
     old = await views.stored_at(session, generation, statement.generation)
     document = configuration.retire(old.document, base.document)
     return await session.commit(base, document, take_over=True)
 
 
-@_runs(statements.Export)
+@_runner_for(statements.Export)
 async def _export(session: Session, statement: statements.Export) -> Answer:
     stored = await configurations.read(session.store)
     try:
@@ -193,51 +193,51 @@
     return Answer(f"generation {stored.generation} written to {statement.file}")
 
 
-@_runs(statements.Settle)
+@_runner_for(statements.Settle)
 async def _settle(session: Session, statement: statements.Settle) -> Answer:
     operation = statement.operation.text
     outcome = await configurations.settle(session.store, operation)
     if isinstance(outcome, Committed):
         return Answer(
             f"committed (generation {outcome.generation})",
-            facts={"outcome": "committed", "generation": outcome.generation},
+            data={"outcome": "committed", "generation": outcome.generation},
         )
     if isinstance(outcome, Refused):
-        return refused(outcome)
+        return refusal_answer(outcome)
     return Answer(
         f"unknown: the store gives no answer; try again: {outcome.command}",
-        facts={"outcome": "unknown", "command": outcome.command},
+        data={"outcome": "unknown", "command": outcome.command},
         status=Status.UNKNOWN,
     )
 
 
-@_runs(statements.Watch)
+@_runner_for(statements.Watch)
 async def _watch(session: Session, statement: statements.Watch) -> Answer:
     stored = await configurations.read(session.store)
-    return await waits.until_everywhere(session, stored.generation)
+    return await waits.wait_until_in_force(session, stored.generation)
 
 
-@_runs(statements.Drain)
+@_runner_for(statements.Drain)
 async def _drain(session: Session, statement: statements.Drain) -> Answer:
     return await drains.drain(session, statement)
 
 
-@_runs(statements.Restart)
+@_runner_for(statements.Restart)
 async def _restart(session: Session, statement: statements.Restart) -> Answer:
     return await drains.restart(session, statement)
 
 
-@_runs(statements.Rotate)
+@_runner_for(statements.Rotate)
 async def _rotate(session: Session, statement: statements.Rotate) -> Answer:
     return await rotations.rotate(session, statement)
 
 
-@_runs(statements.Report)
+@_runner_for(statements.Report)
 async def _report(session: Session, statement: statements.Report) -> Answer:
     return await reports.report(session, statement)
 
 
-@_runs(statements.Help)
+@_runner_for(statements.Help)
 async def _help(session: Session, statement: statements.Help) -> Answer:
     if statement.topic is None:
         lines = [entry.syntax for entry in syntax.SYNTAX_BY_NAME.values()]
@@ -254,7 +254,7 @@
     entry = syntax.SYNTAX_BY_NAME.get(topic)
     if entry is None:
         names = [*syntax.SYNTAX_BY_NAME, *views.VIEWS_BY_NAME]
-        raise unknown(statement.topic, "topic", names)
+        raise unknown_name_error(statement.topic, "topic", names)
     examples = "\n".join(f"  {example}" for example in entry.examples)
     return Answer(f"{entry.syntax}\n{entry.meaning}\n{examples}")
 
@@ -273,5 +273,5 @@
 async def _try_commit(session: Session, base: Stored, steps: list[Change]) -> Answer:
     document = change(base.document, steps)
     if document == base.document and base.generation:
-        return Answer("nothing to change", facts={"outcome": "unchanged"})
+        return Answer("nothing to change", data={"outcome": "unchanged"})
     return await session.commit(base, document)
--- a/packages/zinniahook-cli/src/zinniahook_cli/tables.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/tables.py
@@ -10,14 +10,14 @@
 
 from zinniahook_core.codes import Code
 
-from .changes import unknown
+from .changes import unknown_name_error
 from .grammar import CommandError
 from .statements import Condition, Word
 
 __all__ = ["Table", "as_json", "as_text", "filtered", "grouped"]
 
-GAP = "  "
-TESTS_BY_OPERATOR: Mapping[str, Callable[[Any, Any], bool]] = {
+COLUMN_SEPARATOR = "  "
+COMPARISONS_BY_OPERATOR: Mapping[str, Callable[[Any, Any], bool]] = {
     "=": operator.eq,
     "!=": operator.ne,
     "<": operator.lt,
@@ -55,16 +55,16 @@
     """Add up the number columns of the rows that agree in column ``by``."""
     index = _index(table, by)
     numbers = [
-        place
-        for place in range(len(table.columns))
-        if place != index and _is_numeric(table, place)
+        position
+        for position in range(len(table.columns))
+        if position != index and _is_numeric(table, position)
     ]
     sums_by_value: dict[Any, list[float]] = {}
     for row in table.rows:
         sums = sums_by_value.setdefault(row[index], [0] * len(numbers))
-        for place, column in enumerate(numbers):
-            sums[place] += row[column]
-    columns = (by.text, *(table.columns[place] for place in numbers))
+        for position, column in enumerate(numbers):
+            sums[position] += row[column]
+    columns = (by.text, *(table.columns[position] for position in numbers))
     rows = tuple((value, *sums) for value, sums in sorted(sums_by_value.items()))
     return Table(columns, rows, table.notes)
 
@@ -73,10 +73,13 @@
     """Align the columns; numbers stand at the right."""
     cells = [[_cell(value) for value in row] for row in table.rows]
     lines = [list(table.columns), *cells]
-    widths = [max(len(line[place]) for line in lines) for place in _places(table)]
-    right = [_is_numeric(table, place) for place in _places(table)]
+    widths = [
+        max(len(line[position]) for line in lines)
+        for position in _column_indexes(table)
+    ]
+    right = [_is_numeric(table, position) for position in _column_indexes(table)]
     text = [
-        GAP.join(
+        COLUMN_SEPARATOR.join(
             cell.rjust(width) if at_right else cell.ljust(width)
             for cell, width, at_right in zip(line, widths, right, strict=True)
         ).rstrip()
@@ -91,12 +94,12 @@
     return json.dumps({"rows": rows, "notes": list(table.notes)}, default=str)
 
 
-def _places(table: Table) -> range:
+def _column_indexes(table: Table) -> range:
     return range(len(table.columns))
 
 
-def _is_numeric(table: Table, place: int) -> bool:
-    values = [row[place] for row in table.rows]
+def _is_numeric(table: Table, position: int) -> bool:
+    values = [row[position] for row in table.rows]
     return bool(values) and all(type(value) in (int, float) for value in values)
 
 
@@ -112,7 +115,7 @@
 
 def _index(table: Table, word: Word) -> int:
     if word.text not in table.columns:
-        raise unknown(word, "column", table.columns)
+        raise unknown_name_error(word, "column", table.columns)
     return table.columns.index(word.text)
 
 
@@ -121,7 +124,7 @@
     wanted = condition.value.text
     if condition.operator == "~":
         return lambda row: fnmatch.fnmatchcase(str(row[index]), wanted)
-    compare = TESTS_BY_OPERATOR[condition.operator]
+    compare = COMPARISONS_BY_OPERATOR[condition.operator]
     if not _is_numeric(table, index):
         return lambda row: compare(_cell(row[index]), wanted)
     try:
--- a/packages/zinniahook-cli/src/zinniahook_cli/views.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/views.py
@@ -12,18 +12,18 @@
 from zinniahook_core.models import AgentState
 from zinniahook_store import configurations
 
-from .changes import unknown
+from .changes import unknown_name_error
 from .contexts import Context
 from .daemons import progress
 from .fleets import Fleet, read_fleet
 from .grammar import CommandError
-from .reports import MICROSECONDS, merged
+from .reports import MICROSECONDS_PER_SECOND, merge_histograms
 from .statements import Show, Word
 from .tables import Table, filtered, grouped
 
-__all__ = ["VIEWS_BY_NAME", "View", "show", "stored_at", "whole_number"]
+__all__ = ["VIEWS_BY_NAME", "View", "show", "stored_at", "parse_generation"]
 
-QUANTILES = (50, 90, 99, 100)
+PERCENTILES = (50, 90, 99, 100)
 
 
 class View(NamedTuple):
@@ -54,14 +54,14 @@
     """
     view = VIEWS_BY_NAME.get(statement.view.text)
     if view is None:
-        raise unknown(statement.view, "view", VIEWS_BY_NAME)
+        raise unknown_name_error(statement.view, "view", VIEWS_BY_NAME)
     table = filtered(await view.read(context, statement), statement.where)
     if statement.by is not None:
         table = grouped(table, statement.by)
     return table
 
 
-def whole_number(word: Word) -> int:
+def parse_generation(word: Word) -> int:
     """Return the generation that a word names.
 
     Raises
@@ -95,12 +95,12 @@
 async def _stored(context: Context, statement: Show) -> configurations.Stored:
     if statement.at is None:
         return await configurations.read(context.store)
-    return await stored_at(context, whole_number(statement.at), statement.at)
+    return await stored_at(context, parse_generation(statement.at), statement.at)
 
 
 def _check_service(of: Word | None, names: Any) -> None:
     if of is not None and of.text not in names:
-        raise unknown(of, "service", names)
+        raise unknown_name_error(of, "service", names)
 
 
 async def _fleet(context: Context, statement: Show, **flags: bool) -> Fleet:
@@ -112,9 +112,10 @@
     return fleet._replace(rosters_by_service={name: fleet.rosters_by_service[name]})
 
 
-def _silent(fleet: Fleet) -> tuple[str, ...]:
+def _unanswered_notes(fleet: Fleet) -> tuple[str, ...]:
     return tuple(
-        f"no answer from {one.control}: {one.reason}" for one in fleet.survey.silent
+        f"no answer from {reply.control}: {reply.reason}"
+        for reply in fleet.survey.unanswered
     )
 
 
@@ -180,7 +181,13 @@
     """Kept generations with author, time and operation id, the newest first."""
     manifests = await configurations.history(context.store)
     rows = tuple(
-        (item.generation, item.parent, item.author, _moment(item.time), item.operation)
+        (
+            item.generation,
+            item.parent,
+            item.author,
+            _timestamp(item.time),
+            item.operation,
+        )
         for item in manifests
     )
     return Table(("generation", "parent", "author", "time", "operation"), rows)
@@ -226,7 +233,7 @@
         )
     columns = ("service", "instance", "target", "data_centre", "state", "slots")
     columns += ("incarnation", "own_state", "generation")
-    return Table(columns, tuple(rows), _silent(fleet))
+    return Table(columns, tuple(rows), _unanswered_notes(fleet))
 
 
 @_view("flows")
@@ -239,11 +246,11 @@
         if reply is None or not reply.has_load:
             continue
         counts = (reply.flows, reply.streams, reply.busy, reply.queued)
-        place = (service, str(member.target), member.name, member.data_centre)
-        rows.append((*place, *counts))
+        labels = (service, str(member.target), member.name, member.data_centre)
+        rows.append((*labels, *counts))
     columns = ("service", "target", "instance", "data_centre")
     columns += ("flows", "streams", "busy", "queued")
-    return Table(columns, tuple(rows), _silent(fleet))
+    return Table(columns, tuple(rows), _unanswered_notes(fleet))
 
 
 @_view("imbalance")
@@ -266,7 +273,7 @@
         for service, replies in sorted(replies_by_service.items())
     )
     columns = ("service", "targets", "flows", "busy", "longest_queue")
-    return Table(columns, rows, _silent(fleet))
+    return Table(columns, rows, _unanswered_notes(fleet))
 
 
 @_view("daemons")
@@ -290,7 +297,7 @@
     )
     columns = ("instance", "role", "data_centre", "control", "state")
     columns += ("generation", "in_force", "age", "depth", "reason")
-    return Table(columns, rows, _silent(fleet))
+    return Table(columns, rows, _unanswered_notes(fleet))
 
 
 @_view("entries")
@@ -306,14 +313,14 @@
     fleet = await _fleet(context, statement, counters=True)
     rows = []
     for reply in fleet.survey.answers_by_control.values():
-        place = (reply.name, reply.role)
-        rows += [(*place, *item) for item in reply.counters_by_name.items()]
+        labels = (reply.name, reply.role)
+        rows += [(*labels, *item) for item in reply.counters_by_name.items()]
         rows += [
-            (*place, f"drop.{_code_name(number)}", count)
+            (*labels, f"drop.{_code_name(number)}", count)
             for number, count in reply.drops_by_code.items()
         ]
     columns = ("instance", "role", "counter", "count")
-    return Table(columns, tuple(sorted(rows)), _silent(fleet))
+    return Table(columns, tuple(sorted(rows)), _unanswered_notes(fleet))
 
 
 @_view("latencies")
@@ -327,15 +334,17 @@
     ]
     rows = tuple(
         (*key, values.get_total_count(), *_quantiles(values))
-        for key, values in sorted(merged(histograms).items())
+        for key, values in sorted(merge_histograms(histograms).items())
     )
     columns = ("service", "class", "count", "p50", "p90", "p99", "max")
-    return Table(columns, rows, _silent(fleet))
+    return Table(columns, rows, _unanswered_notes(fleet))
 
 
 def _quantiles(values: Any) -> tuple[float, ...]:
-    microseconds = [values.get_value_at_percentile(each) for each in QUANTILES]
-    return tuple(each / MICROSECONDS for each in microseconds)
+    microseconds = [
+        values.get_value_at_percentile(percentile) for percentile in PERCENTILES
+    ]
+    return tuple(value / MICROSECONDS_PER_SECOND for value in microseconds)
 
 
 @_view("rollout")
@@ -352,7 +361,7 @@
         (stored.generation, centre, *row) for centre, row in sorted(counts.items())
     )
     lagging = progress(stored.generation, fleet.survey, fleet.unlisted).lagging
-    notes = tuple(f"lags: {one}" for one in lagging)
+    notes = tuple(f"lags: {name}" for name in lagging)
     return Table(("generation", "data_centre", "daemons", "in_force"), rows, notes)
 
 
@@ -374,6 +383,6 @@
         return str(number)
 
 
-def _moment(seconds: float) -> str:
+def _timestamp(seconds: float) -> str:
     moment = datetime.fromtimestamp(seconds, UTC)
     return moment.isoformat(timespec="seconds")
--- a/packages/zinniahook-cli/src/zinniahook_cli/waits.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/waits.py
@@ -14,41 +14,41 @@
 from .daemons import Progress, Survey, progress
 from .fleets import Fleet, read_fleet
 
-__all__ = ["until_everywhere"]
+__all__ = ["wait_until_in_force"]
 
-LOOK_EVERY = 0.25
+POLL_INTERVAL_SECONDS = 0.25
 """Seconds between two questions to the daemons that lag."""
 
-READ_EVERY = 2.0
+ROSTER_READ_INTERVAL_SECONDS = 2.0
 """Seconds between two reads of the rosters while daemons lag."""
 
 
-async def until_everywhere(context: Context, generation: int) -> Answer:
+async def wait_until_in_force(context: Context, generation: int) -> Answer:
     """Ask the daemons until each has the generation in force.
 
     Gives up after the operator's patience and names those that lag, from their
     own answers: what the store holds says nothing of what has arrived.
     """
     deadline = time.monotonic() + context.settings.patience
-    wait = _Wait(context, generation)
+    poller = _ProgressPoller(context, generation)
     line = ""
     while True:
-        found = await wait.look()
+        found = await poller.poll()
         if line != _line(generation, found):
             line = _line(generation, found)
-            context.say(line)
+            context.on_progress(line)
         done = found is not None and found.everywhere
         if done or time.monotonic() >= deadline:
             break
-        await asyncio.sleep(LOOK_EVERY)
-    facts = {"in_force": [], "lagging": []}
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
+    data = {"in_force": [], "lagging": []}
     if found is not None:
-        facts = {"in_force": list(found.in_force), "lagging": list(found.lagging)}
+        data = {"in_force": list(found.in_force), "lagging": list(found.lagging)}
     status = Status.OK if done else Status.UNFINISHED
-    return Answer(line, facts=facts, status=status)
+    return Answer(line, data=data, status=status)
 
 
-class _Wait:
+class _ProgressPoller:
     """Asks the daemons again and again, but only those that lagged.
 
     No daemon goes back, so one that has the generation needn't be asked again;
@@ -62,20 +62,24 @@
         self._read_at = -float("inf")
         self._done: dict[Address, StatusReply] = {}
 
-    async def look(self) -> Progress | None:
+    async def poll(self) -> Progress | None:
         """Return how far the generation is; None if no daemon is known."""
         await self._read()
         fleet = self._fleet
         if fleet is None:
             return None
-        waiting = [one for one in fleet.controls if one not in self._done]
+        waiting = [control for control in fleet.controls if control not in self._done]
         survey = await self._context.daemons.survey(waiting)
         for control, reply in survey.answers_by_control.items():
             if reply.generation >= self._generation:
                 self._done[control] = reply
-        known = {one: self._done[one] for one in fleet.controls if one in self._done}
+        known = {
+            control: self._done[control]
+            for control in fleet.controls
+            if control in self._done
+        }
         answers = {**survey.answers_by_control, **known}
-        self._fleet = fleet._replace(survey=Survey(answers, survey.silent))
+        self._fleet = fleet._replace(survey=Survey(answers, survey.unanswered))
         return progress(self._generation, self._fleet.survey, self._fleet.unlisted)
 
     async def _read(self) -> None:
@@ -84,7 +88,7 @@
         Otherwise an outage just after a commit would turn the answer
         "committed" into an error, and the operator would make it again.
         """
-        if time.monotonic() - self._read_at < READ_EVERY:
+        if time.monotonic() - self._read_at < ROSTER_READ_INTERVAL_SECONDS:
             return
         try:
             self._fleet = await read_fleet(
--- a/packages/zinniahook-cli/tests/test_changes.py
+++ b/packages/zinniahook-cli/tests/test_changes.py
@@ -91,9 +91,11 @@
         Cause: it has no class, while the list of settings had it.
         """
         bare = change(document, parse("create service bare number=9 address=1.1.1.1:1"))
-        with pytest.raises(CommandError, match="of classes, and bare has none") as told:
+        with pytest.raises(
+            CommandError, match="of classes, and bare has none"
+        ) as caught:
             change(bare, parse("set bare.queue = 64"))
-        assert told.value.code is Code.COMMAND_UNKNOWN_NAME
+        assert caught.value.code is Code.COMMAND_UNKNOWN_NAME
 
     @pytest.mark.parametrize(
         ("source", "word", "code"),
@@ -120,10 +122,10 @@
         assert not_permitted(document, changed, "moussa") == ()
         assert len(not_permitted(document, changed, "nobody")) == 2
 
-    def test_nobody_grants_rights_to_herself(self, document):
+    def test_an_operator_cannot_grant_herself_rights(self, document):
         changed = change(document, parse("set operators.amina.operators = true"))
         assert not_permitted(document, changed, "amina")
 
-    def test_the_first_deployment_binds_nobody(self):
+    def test_the_first_deployment_allows_any_operator(self):
         changed = parse_document(TEXT)
         assert not_permitted(Document(), changed, "anyone") == ()
--- a/packages/zinniahook-cli/tests/test_commits.py
+++ b/packages/zinniahook-cli/tests/test_commits.py
@@ -33,7 +33,7 @@
             answer = await run(amina, first)
             assert answer.text == "committed (generation 1)"
             answer = await run(amina, "set tally.queue = 64")
-            assert answer.facts == {"outcome": "committed", "generation": 2}
+            assert answer.data == {"outcome": "committed", "generation": 2}
             current = await configurations.load(amina.store)
             tally = current.configuration.services_by_name["tally"]
             assert current.configuration.generation == 2
@@ -53,7 +53,7 @@
             answer = await run(
                 amina, "begin; set tally.queue = 8; set ledger.queue = 9; commit"
             )
-            assert answer.facts["generation"] == 2
+            assert answer.data["generation"] == 2
             assert await queue_of(amina) == 8
             assert await queue_of(amina, "ledger", "export") == 9
 
@@ -64,7 +64,7 @@
             amina = session_of()
             await run(amina, first)
             text = "begin\nset tally.queue = 8\nset ledger.queue = many\ncommit"
-            status = await evaluate(amina, text, whole=True)
+            status = await evaluate(amina, text, must_commit=True)
             assert status == Status.REFUSED
             assert (await configurations.read(amina.store)).generation == 1
 
@@ -79,7 +79,7 @@
             await run(amina, first)
             await run(amina, "set tally.queue = 64; remove service ledger")
             answer = await run(amina, "rollback to 1")
-            assert answer.facts["generation"] == 4
+            assert answer.data["generation"] == 4
             stored = await configurations.read(amina.store)
             assert stored.document.retired_by_name == {}
             assert await queue_of(amina) == 16
@@ -93,7 +93,7 @@
             await run(session_of(), first)
             answer = await run(session_of("moussa"), "set ledger.queue = 8")
             assert answer.status is Status.REFUSED
-            assert answer.facts["code"] == Code.NOT_PERMITTED
+            assert answer.data["code"] == Code.NOT_PERMITTED
             answer = await run(session_of("moussa"), "set tally.queue = 8")
             assert answer.status is Status.OK
 
@@ -130,7 +130,7 @@
             assert (await run(amina, "commit")).status is Status.OK
             answer = await run(moussa, "commit")
             assert answer.status is Status.REFUSED
-            assert answer.facts["code"] == Code.CONFLICT
+            assert answer.data["code"] == Code.CONFLICT
             assert "generation 2 of amina" in answer.text
             assert answer.table.rows == (
                 ("services.tally.classes.ticket.queue", 16, 8),
@@ -157,9 +157,9 @@
                 )
             )
             won = [
-                answer.facts["generation"]
+                answer.data["generation"]
                 for answer in answers
-                if answer.facts["outcome"] == "committed"
+                if answer.data["outcome"] == "committed"
             ]
             assert sorted(won) == list(range(2, 2 + len(won)))
             stored = await configurations.read(sessions[0].store)
@@ -194,7 +194,7 @@
             await run(amina, first)
             store.set_faults(lose=1, lose_prefix=POINTER)
             answer = await run(amina, "set tally.queue = 64")
-            assert answer.facts == {"outcome": "committed", "generation": 2}
+            assert answer.data == {"outcome": "committed", "generation": 2}
             assert len(await configurations.history(amina.store)) == 2
 
         asyncio.run(scenario())
@@ -212,8 +212,8 @@
             store.set_faults(lose=configurations.ATTEMPTS, lose_prefix=POINTER)
             answer = await run(amina, "set tally.queue = 64")
             if answer.status is Status.UNKNOWN:
-                answer = await run(amina, answer.facts["command"])
-            assert answer.facts == {"outcome": "committed", "generation": 2}
+                answer = await run(amina, answer.data["command"])
+            assert answer.data == {"outcome": "committed", "generation": 2}
 
         asyncio.run(scenario())
 
--- a/packages/zinniahook-cli/tests/test_grammar.py
+++ b/packages/zinniahook-cli/tests/test_grammar.py
@@ -57,13 +57,13 @@
         assert caught.value.code is Code.COMMAND_SYNTAX
         assert caught.value.word.column == column
         assert caught.value.word.text.strip() == text
-        line, mark, message = caught.value.pointed(source).splitlines()
+        line, mark, message = caught.value.format_with_source(source).splitlines()
         assert line == source.splitlines()[-1]
         assert mark.index("^") == column - 1
         assert "510" in message
 
     @pytest.mark.parametrize("space", ["\u00a0", "\u2028", "\x0b"])
-    def test_a_space_that_is_none_is_pointed_at(self, space):
+    def test_an_unsupported_space_is_pointed_at(self, space):
         """A statement was copied from a page.
 
         Symptom: a traceback. Sequence: the copy ends in a no-break space.
@@ -78,4 +78,6 @@
     def test_an_end_that_came_too_early(self):
         with pytest.raises(CommandError) as caught:
             parse("diff 41")
-        assert caught.value.pointed("diff 41").splitlines()[1] == " " * 7 + "^"
+        assert (
+            caught.value.format_with_source("diff 41").splitlines()[1] == " " * 7 + "^"
+        )
--- a/packages/zinniahook-cli/tests/test_losses.py
+++ b/packages/zinniahook-cli/tests/test_losses.py
@@ -10,8 +10,8 @@
 
 
 def line(time, event, flow="", **fields):
-    told = {"time": time, "instance": "home", "event": event, "flow": flow, **fields}
-    return Line("home", 0, told)
+    fields = {"time": time, "instance": "home", "event": event, "flow": flow, **fields}
+    return Line("home", 0, fields)
 
 
 def flow(client, port):
@@ -20,12 +20,12 @@
 
 def seconds(lines, goal=0.2):
     """Return the table as a mapping of columns for each second."""
-    table = losses.measured(lines, goal)
+    table = losses.loss_table(lines, goal)
     return {row[0]: dict(zip(table.columns, row, strict=True)) for row in table.rows}
 
 
 class TestCauses:
-    def test_a_copy_is_told_by_its_number(self):
+    def test_a_copy_is_recognised_by_its_number(self):
         rows = seconds([line(5.0, "flow.placed", flow(1, 1), copy=2)])
         assert rows[0]["copies"] == 1
         assert rows[0]["retries"] == 0
@@ -68,7 +68,7 @@
         assert rows[0]["late"] == 1
         assert (rows[1]["answers"], rows[1]["median"]) == (2, 0.3)
 
-    def test_lines_of_other_types_are_nothing(self):
+    def test_values_of_other_types_are_ignored(self):
         lines = [
             line(5.0, "flow.placed", flow(1, 1), copy="x"),
             line(5.0, "request.answered", flow(1, 1), took=None),
@@ -90,7 +90,7 @@
             assert ended.code == 0
         assert "openings" in capsys.readouterr().out
 
-    def test_a_missing_file_is_told_with_its_code(self, tmp_path, capsys):
+    def test_a_missing_file_is_reported_with_its_code(self, tmp_path, capsys):
         status = losses.losses(logs=[tmp_path / "none.log"])
         assert status != 0
         assert "SETTINGS_FILE_MISSING" in capsys.readouterr().err
--- a/packages/zinniahook-cli/tests/test_main.py
+++ b/packages/zinniahook-cli/tests/test_main.py
@@ -37,7 +37,7 @@
             (f"store = {'[' * 5000}", 500),
         ],
     )
-    def test_a_wrong_file_is_told_by_code(self, tmp_path, capsys, text, code):
+    def test_a_wrong_file_is_reported_with_its_code(self, tmp_path, capsys, text, code):
         file = tmp_path / "zinniahook.toml"
         file.write_text(text)
         assert zinniahook("show", "services", settings=file) == Status.USAGE
--- a/packages/zinniahook-cli/tests/test_reports.py
+++ b/packages/zinniahook-cli/tests/test_reports.py
@@ -1,12 +1,12 @@
 """Reports, the prompt's completion, stages and drains as pure functions."""
 
 from hdrh.histogram import HdrHistogram
-from zinniahook_cli.daemons import Silent, Survey, progress
-from zinniahook_cli.drains import Stop, emptied, waves
+from zinniahook_cli.daemons import NoReply, Survey, progress
+from zinniahook_cli.drains import Stop, services_without_targets, waves
 from zinniahook_cli.fleets import Fleet
-from zinniahook_cli.prompt import Words
-from zinniahook_cli.reports import Sample, draw, merged
-from zinniahook_cli.rollouts import Traffic, broken_share, stages
+from zinniahook_cli.prompt import WordCompleter
+from zinniahook_cli.reports import Sample, draw, merge_histograms
+from zinniahook_cli.rollouts import Traffic, failure_share, stages
 from zinniahook_core.models import Address, AgentState, Member, Roster
 from zinniahook_wire.control_pb2 import Histogram, StatusReply
 
@@ -28,25 +28,25 @@
 class TestReport:
     def test_histograms_of_daemons_add_up(self):
         parts = [histogram("tally", 100, 200), histogram("tally", 300)]
-        values = merged([*parts, histogram("ledger", 5)])
+        values = merge_histograms([*parts, histogram("ledger", 5)])
         assert values["tally", "ticket"].get_total_count() == 3
         assert values["ledger", "ticket"].get_max_value() == 5
 
     def test_draws_a_picture(self, tmp_path):
         samples = [Sample(0.0, {"tally": 1.2}), Sample(1.0, {"tally": 1.1})]
         file = tmp_path / "report.png"
-        draw(file, merged([histogram("tally", 100, 5000)]), samples)
+        draw(file, merge_histograms([histogram("tally", 100, 5000)]), samples)
         assert file.read_bytes().startswith(PNG)
 
 
 class TestProgress:
-    def test_silent_and_unknown_daemons_count_as_lagging(self):
+    def test_unanswered_and_unknown_daemons_count_as_lagging(self):
         answers = {
             Address("127.0.0.1", 1): StatusReply(name="entry-1", generation=4),
             Address("127.0.0.1", 2): StatusReply(name="entry-2", generation=3),
         }
-        silent = (Silent(Address("127.0.0.1", 3), "no answer"),)
-        found = progress(4, Survey(answers, silent), ["tally-9"])
+        unanswered = (NoReply(Address("127.0.0.1", 3), "no answer"),)
+        found = progress(4, Survey(answers, unanswered), ["tally-9"])
         assert found.in_force == ("entry-1",)
         assert len(found.lagging) == 3
         assert not found.everywhere
@@ -64,15 +64,15 @@
     def test_one_data_centre_is_no_stage(self):
         assert stages(("data-centre", "all"), ["entry-1"], ["a"], 7) == []
 
-    def test_traffic_is_judged_by_what_came_since(self):
+    def test_only_traffic_since_the_first_reading_counts(self):
         before = {"a": Traffic(50_000, 900, 100, 3), "b": Traffic(9, 0, 0, 0)}
-        assert broken_share(before, before) == 0.0
+        assert failure_share(before, before) == 0.0
         after = {"a": Traffic(51_900, 1000, 100, 3), "c": Traffic(9, 9999, 0, 0)}
-        assert broken_share(before, after) == 100 / 2000
-        assert broken_share(before, {"a": Traffic(0, 0, 0, 0)}) == 0.0
+        assert failure_share(before, after) == 100 / 2000
+        assert failure_share(before, {"a": Traffic(0, 0, 0, 0)}) == 0.0
 
 
-class TestEmptied:
+class TestServicesWithoutTargets:
     def test_names_the_services_without_another_ready_target(self):
         rosters = {
             "tally": Roster("tally", 1, {n: member(n) for n in ("tally-1", "tally-2")}),
@@ -88,7 +88,7 @@
         fleet = Fleet(rosters, {}, {}, (), Survey({}, ()))
         here = Address("127.0.0.1", 1)
         stops = [Stop("tally-1", here, "tally"), Stop("ledger-1", here, "ledger")]
-        assert emptied(fleet, stops) == ["ledger"]
+        assert services_without_targets(fleet, stops) == ["ledger"]
 
 
 class TestWaves:
@@ -105,7 +105,7 @@
 
 class TestCompletion:
     def test_words_follow_from_what_stands_before(self):
-        words = Words(["tally", "ledger"])
+        words = WordCompleter(["tally", "ledger"])
         assert "targets" in words.candidates("show ")
         assert words.candidates("show targets of ") == ("ledger", "tally")
         assert "tally.queue" in words.candidates("set ")
--- a/packages/zinniahook-cli/tests/test_rotations.py
+++ b/packages/zinniahook-cli/tests/test_rotations.py
@@ -7,7 +7,7 @@
 from zinniahook_cli.rotations import (
     KEYS_KEPT,
     with_new_keys,
-    with_waiting_keys,
+    with_newest_keys_in_use,
     without_old_keys,
 )
 from zinniahook_core.codes import Code, ZinniahookError
@@ -17,7 +17,7 @@
 
 def rotated(ring, times):
     for _ in range(times):
-        ring = with_waiting_keys(with_new_keys(ring))
+        ring = with_newest_keys_in_use(with_new_keys(ring))
     return ring
 
 
@@ -28,7 +28,7 @@
         assert set(added.flow_keys_by_number) == {1, 2}
         assert (added.flow_key, added.tunnel_key) == (1, 1)
         assert added.flow_keys_by_number[1] == ring.flow_keys_by_number[1]
-        used = with_waiting_keys(added)
+        used = with_newest_keys_in_use(added)
         assert (used.flow_key, used.tunnel_key) == (2, 2)
 
     def test_the_ring_is_bounded_and_keeps_the_newest(self):
@@ -79,7 +79,7 @@
             assert caught.value.code is Code.NOT_PERMITTED
             ring = (await configurations.read(amina.store)).keys
             assert set(ring.flow_keys_by_number) == {1, 2, 3, 4}
-            monkeypatch.setattr(rotations, "OLD_KEY_AGE", 0.0)
+            monkeypatch.setattr(rotations, "OLD_KEY_AGE_SECONDS", 0.0)
             await amina.run(rotate)
             ring = (await configurations.read(amina.store)).keys
             assert set(ring.flow_keys_by_number) == {2, 3, 4, 5}
--- a/packages/zinniahook-cli/tests/test_views.py
+++ b/packages/zinniahook-cli/tests/test_views.py
@@ -5,7 +5,7 @@
 import pytest
 from hdrh.histogram import HdrHistogram
 from zinniahook_cli import grammar
-from zinniahook_cli.daemons import Silent, Survey
+from zinniahook_cli.daemons import NoReply, Survey
 from zinniahook_cli.views import VIEWS_BY_NAME
 from zinniahook_core.codes import Code, ZinniahookError
 from zinniahook_core.models import Address, AgentState, Member, Roster
@@ -63,8 +63,12 @@
             ENTRY: StatusReply(name="entry-1", role="entry", state="serving"),
         }
         asked = list(controls)
-        silent = tuple(Silent(one, "timeout") for one in asked if one not in answers)
-        return Survey({one: answers[one] for one in asked if one in answers}, silent)
+        unanswered = tuple(
+            NoReply(one, "timeout") for one in asked if one not in answers
+        )
+        return Survey(
+            {one: answers[one] for one in asked if one in answers}, unanswered
+        )
 
 
 @pytest.fixture
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -41,7 +41,7 @@
             name = await busiest(cluster)
             answer = await amina.run(f"drain target {name}")
             assert answer.status is Status.OK, answer.text
-            assert answer.facts["safe"] == [name]
+            assert answer.data["safe"] == [name]
             cluster.agents_by_name.pop(name)
             replies = await cluster.statuses()
             assert sum(reply.streams for reply in replies) == FEEDS["callers"]
@@ -70,7 +70,7 @@
                 name = await busiest(cluster)
                 answer = await hasty.run(f"drain target {name}")
                 assert answer.status is Status.UNFINISHED
-                assert answer.facts["draining"] == [name]
+                assert answer.data["draining"] == [name]
                 assert any("leaving" in line for line in hasty.said)
                 for _ in range(40):
                     numbers.append(json.loads(await anext(lines))["n"])
@@ -79,7 +79,7 @@
             # Now the feed ends, as its caller wants it to.
             answer = await amina.run(f"drain target {name}")
             assert answer.status is Status.OK
-            assert answer.facts["safe"] == [name]
+            assert answer.data["safe"] == [name]
 
         run(scenario)
 
@@ -111,7 +111,7 @@
                 assert peer.busy
                 answer = await amina.run(f"drain target {peer.name}")
                 assert answer.status is Status.OK, answer.text
-                assert answer.facts["safe"] == [peer.name]
+                assert answer.data["safe"] == [peer.name]
                 assert sum(feed.reopened for feed in feeds) >= peer.busy
                 assert not any(feed.cuts for feed in feeds)
                 for reading in readings:
@@ -144,7 +144,7 @@
                 await amina.run("set tally.drain = 0.5")
                 answer = await amina.run(f"drain target {name}")
                 assert answer.status is Status.OK
-                assert answer.facts["safe"] == [name]
+                assert answer.data["safe"] == [name]
 
         run(scenario)
 
@@ -169,7 +169,7 @@
             await amina.run("drain target tally-1; drain target tally-2")
             answer = await amina.run("drain target tally-3")
             assert answer.status is Status.REFUSED
-            assert answer.facts["code"] == Code.WOULD_EMPTY_SERVICE
+            assert answer.data["code"] == Code.WOULD_EMPTY_SERVICE
             answer = await amina.run("drain data centre west")
             assert answer.status is Status.REFUSED
             answer = await amina.run("drain target tally-3 force")
@@ -199,7 +199,7 @@
                 with contextlib.suppress(asyncio.CancelledError):
                     await keeper
             assert answer.status is Status.OK, answer.text
-            assert answer.facts["restarted"] == 5
+            assert answer.data["restarted"] == 5
             after = {one.name: one for one in await cluster.statuses()}
             for name in cluster.agents_by_name:
                 assert after[name].incarnation > before[name]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -42,8 +42,8 @@
         async def scenario(cluster, amina):
             answer = await amina.run("set tally.ticket.queue = 64")
             assert answer.status is Status.OK
-            assert answer.facts["lagging"] == []
-            assert len(answer.facts["in_force"]) == 5
+            assert answer.data["lagging"] == []
+            assert len(answer.data["in_force"]) == 5
             replies = await cluster.statuses()
             assert {reply.generation for reply in replies} == {2}
 
@@ -63,8 +63,8 @@
             amina = Operator(cluster, patience=1.0)
             answer = await amina.run("set tally.ticket.queue = 64")
             assert answer.status is Status.UNFINISHED
-            assert answer.facts["outcome"] == "committed"
-            (lagging,) = answer.facts["lagging"]
+            assert answer.data["outcome"] == "committed"
+            (lagging,) = answer.data["lagging"]
             assert lagging.startswith(control)
 
         run(scenario)
@@ -83,11 +83,11 @@
             answer = await hasty.run("set tally.ticket.queue = 64")
             process.resume()
             assert answer.status is Status.UNFINISHED
-            (lagging,) = answer.facts["lagging"]
+            (lagging,) = answer.data["lagging"]
             assert process.ready["control"] in lagging
             answer = await amina.run("watch rollout")
             assert answer.status is Status.OK
-            assert "entry-2" in answer.facts["in_force"]
+            assert "entry-2" in answer.data["in_force"]
 
         run(scenario)
 
@@ -105,13 +105,13 @@
             hasty = Operator(cluster, patience=0.5)
             for queue in (64, 65):
                 answer = await hasty.run(f"set tally.ticket.queue = {queue}")
-                assert answer.facts["outcome"] == "committed"
-                assert answer.facts["lagging"] == ["entry-2 (at 1)"]
+                assert answer.data["outcome"] == "committed"
+                assert answer.data["lagging"] == ["entry-2 (at 1)"]
             running = await load(cluster)
             cluster.proxy.set_faults(hang=False)
             answer = await amina.run("watch rollout")
             assert answer.status is Status.OK
-            assert "entry-2" in answer.facts["in_force"]
+            assert "entry-2" in answer.data["in_force"]
             assert await violations(cluster, running) == []
 
         run(scenario, kind=PartedCluster)
@@ -129,12 +129,12 @@
             await asyncio.to_thread(store.set_faults, silent=True)
             hasty = Operator(cluster, patience=0.2)
             answer = await hasty.run("set tally.ticket.queue = 64")
-            assert answer.facts["outcome"] == "committed"
+            assert answer.data["outcome"] == "committed"
             await asyncio.to_thread(store.set_faults, silent=False, outage="refuse")
             await asyncio.to_thread(store.set_faults, outage="")
             answer = await amina.run("watch rollout")
             assert answer.status is Status.OK
-            assert len(answer.facts["in_force"]) == 5
+            assert len(answer.data["in_force"]) == 5
 
         run(scenario)
 
@@ -204,7 +204,7 @@
             answer = await amina.run("set pulse.targets = nobody-*")
             callers.cancel()
             assert answer.status is Status.REFUSED
-            assert answer.facts["code"] == Code.ROLLOUT_STOPPED
+            assert answer.data["code"] == Code.ROLLOUT_STOPPED
             stored = await configurations.read(amina.session.store)
             assert stored.generation == 3
             assert stored.document.services_by_name["pulse"].targets == ("*",)
@@ -231,9 +231,9 @@
             answer = await change
             await asyncio.to_thread(store.set_faults, outage="")
             assert answer.status is Status.UNFINISHED
-            assert answer.facts["generation"] == 2
+            assert answer.data["generation"] == 2
             refused = await amina.run("set pulse.idle = 60")
-            assert refused.facts["code"] == Code.CONFLICT
+            assert refused.data["code"] == Code.CONFLICT
             answer = await amina.run("rollback to 1")
             assert answer.status is Status.OK
             await cluster.wait_for_generation(3)
