--- a/packages/zinniahook-cli/src/zinniahook_cli/__init__.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/__init__.py
@@ -1,4 +1,4 @@
-"""zinniahook: the operators' query and command language."""
+"""The operators' query and command language, and its command line."""
 
 from .grammar import CommandError, parse
 from .sessions import Session
--- a/packages/zinniahook-cli/src/zinniahook_cli/answers.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/answers.py
@@ -1,4 +1,4 @@
-"""What running a statement gives: a table or lines, and an exit status."""
+"""Answers to statements: a table or text, and an exit status."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Status(enum.IntEnum):
-    """Exit statuses of the client; the last statement that failed decides."""
+    """Exit statuses of the client, given by the first statement that fails."""
 
     OK = 0
     REFUSED = 1
@@ -29,17 +29,17 @@
     Status.OK: "done, or committed",
     Status.REFUSED: "refused: nothing was changed",
     Status.USAGE: "the command or the settings are wrong; nothing was run",
-    Status.UNKNOWN: "the outcome is unknown; the answer names what settles it",
-    Status.UNREACHABLE: "the store or a daemon gave no answer; nothing was changed",
+    Status.UNKNOWN: "the outcome is unknown; the answer names the command to settle it",
+    Status.UNREACHABLE: "the store or a daemon did not answer; nothing was changed",
     Status.UNFINISHED: "accepted, but not everywhere or not safe within the patience",
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a statement gives.
+    """The result of a statement.
 
-    ``data`` are what `text` says, for programs that read JSON.
+    ``data`` holds the content of ``text`` as fields for the JSON output.
     """
 
     text: str = ""
@@ -48,13 +48,13 @@
     status: Status = Status.OK
 
     def as_text(self) -> str:
-        """Return it for people."""
+        """Return the answer as readable text."""
         if self.table is None:
             return self.text
         return "\n".join(filter(None, (self.text, as_text(self.table))))
 
     def as_json(self) -> str:
-        """Return it as one JSON object."""
+        """Return the answer as one JSON object."""
         value: dict[str, Any] = {"status": self.status.name.lower()}
         if self.text:
             value["text"] = self.text
--- a/packages/zinniahook-cli/src/zinniahook_cli/changes.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/changes.py
@@ -1,4 +1,4 @@
-"""Changes of a document by statements: pure, so that they can be replayed."""
+"""Apply statements to a configuration document, as pure and repeatable functions."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     "operator": OPERATOR_FIELDS_BY_NAME,
 }
 EMPTY_LIST_WORD = "none"
-"""The word for an empty list."""
+"""The word that stands for an empty list in a statement."""
 
 _steps_by_type: dict[type, Callable[[Table, Any], Table]] = {}
 
@@ -58,9 +58,9 @@
     Raises
     ------
     CommandError
-        If a step names what isn't there or gives a value of a wrong type.
+        If a step uses an unknown name or a value of the wrong type.
     ConfigurationError
-        If the result as a whole is wrong.
+        If the resulting document is invalid.
     """
     table = configuration.to_table(document)
     for step in steps:
@@ -74,7 +74,7 @@
 
 
 def changed_settings(before: Document, after: Document) -> Iterator[tuple[str, str]]:
-    """Name the services and the settings of them that differ."""
+    """Yield the service name and key of each service setting that differs."""
     for item in configuration.diff(before, after):
         section, _, rest = item.key.partition(".")
         if section == "services":
@@ -83,10 +83,10 @@
 
 
 def not_permitted(before: Document, after: Document, operator: str) -> tuple[str, ...]:
-    """Return the keys that ``operator`` changed without being allowed to.
+    """Return the changed keys that ``operator`` has no right to change.
 
-    A document without operators binds nobody: it is that of the first
-    deployment, before anyone was named.
+    A document without operators grants every right: it belongs to the first
+    deployment, before any operator is defined.
     """
     if not before.operators_by_name:
         return ()
@@ -99,16 +99,16 @@
 
 
 def unknown_name_error(word: Word, what: str, names: Iterable[str]) -> CommandError:
-    """Return the error for a name that isn't there, with the nearest one.
+    """Return the error for an unknown name, with the closest known name as a hint.
 
     Parameters
     ----------
     word : Word
-        The name, as it was typed.
+        The name as typed.
     what : str
-        What it should have named, as in "service".
+        The kind of thing that was expected, such as "service".
     names : iterable of str
-        What is there.
+        The known names.
     """
     near = difflib.get_close_matches(word.text, list(names), 1)
     hint = f"; did you mean {near[0]!r}?" if near else ""
@@ -187,11 +187,11 @@
 
 
 def _owners(table: Table, parts: list[str], path: Word) -> list[tuple[Table, Field]]:
-    """Find the tables that hold the setting at a dotted path.
+    """Return the tables that hold the setting at a dotted path.
 
-    ``SERVICE.SETTING``, ``SERVICE.CLASS.SETTING``, ``rollout.SETTING`` or
-    ``operators.NAME.SETTING``; a setting of classes named without a class is
-    that of every class.
+    A path is ``SERVICE.SETTING``, ``SERVICE.CLASS.SETTING``, ``rollout.SETTING``
+    or ``operators.NAME.SETTING``. A class setting without a class name selects
+    every class of the service.
     """
     name = parts[-1]
     if parts[0] == "rollout" and len(parts) == 2:
@@ -234,7 +234,7 @@
 
 
 def _value(field: Field, setting: Setting) -> Any:
-    """Read words as a value of the field; the field has the last word."""
+    """Convert words to a value that the field accepts."""
     words = setting.values
     texts = [word.text for word in words]
     if field.kind == "list of texts":
--- a/packages/zinniahook-cli/src/zinniahook_cli/contexts.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/contexts.py
@@ -1,4 +1,4 @@
-"""What the statements of one operator share."""
+"""The state shared by all statements of one operator."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     Parameters
     ----------
     settings : ClientSettings
-        Addresses, certificate and patience.
+        Addresses, certificate and time limits.
     store : Store
-        The store.
+        Client of the key-value store.
     on_progress : callable
-        Prints one line of progress.
+        Receives each line of progress.
     wait : bool
-        Whether a commit waits until it is in force everywhere.
+        Whether a commit waits until every daemon has it in force.
     """
 
     def __init__(
--- a/packages/zinniahook-cli/src/zinniahook_cli/daemons.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/daemons.py
@@ -1,7 +1,7 @@
-"""Asks the daemons themselves, over gRPC with mutual TLS.
+"""Calls to the daemons, over gRPC with mutual TLS.
 
-What a daemon has in force is only known from its own answer: the store tells
-what was accepted, not what has arrived.
+Only a daemon's own reply shows which generation it has in force. The store
+shows what was accepted, not what has reached the daemons.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
 __all__ = ["Daemons", "Progress", "NoReply", "Survey", "progress"]
 
 MAX_CONCURRENT_CALLS = 64
-"""Calls at a time: a fleet of thousands must not exhaust our sockets."""
+"""Limit of concurrent calls, so that thousands of daemons don't exhaust the sockets."""
 
 
 @dataclass(frozen=True, slots=True)
 class NoReply:
-    """A daemon that gave no answer.
+    """A failed call to a daemon.
 
-    ``refused`` tells that nothing listens there any more, which a partition
-    or a paused process doesn't look like.
+    ``refused`` is True if the connection was refused: no process listens there.
+    A partition or a paused process causes a timeout instead.
     """
 
     control: Address
@@ -48,14 +48,14 @@
 
 
 class Survey(NamedTuple):
-    """The answers of many daemons."""
+    """The replies of several daemons, and the calls that failed."""
 
     answers_by_control: dict[Address, StatusReply]
     unanswered: tuple[NoReply, ...]
 
 
 class Progress(NamedTuple):
-    """How far a generation has come, from the daemons' own answers."""
+    """Which daemons have a generation in force, from their own replies."""
 
     generation: int
     in_force: tuple[str, ...]
@@ -63,17 +63,17 @@
 
     @property
     def everywhere(self) -> bool:
-        """Whether every known daemon has it in force."""
+        """Whether every known daemon has the generation in force."""
         return not self.lagging
 
 
 class Daemons:
-    """Calls to daemons as the operator of the client's certificate.
+    """Client for the daemons' control interface, authenticated by certificate.
 
     Parameters
     ----------
     settings : ClientSettings
-        Certificate, key and authority; without them no daemon answers.
+        Certificate, key and authority, which every daemon requires.
     """
 
     def __init__(self, settings: ClientSettings) -> None:
@@ -88,7 +88,7 @@
         counters: bool = False,
         rosters: bool = False,
     ) -> Survey:
-        """Ask every daemon for its status, many at a time."""
+        """Request the status of every daemon concurrently."""
         request = StatusRequest(counters=counters, rosters=rosters)
         wanted = list(dict.fromkeys(controls))
         replies = await asyncio.gather(
@@ -106,7 +106,7 @@
     async def drain(
         self, control: Address, request: DrainRequest
     ) -> DrainReply | NoReply:
-        """Ask one daemon to drain, or how far its drain is."""
+        """Ask a daemon to drain, or to report the progress of its drain."""
         return await self._call(control, "Drain", request)
 
     async def _status(
@@ -136,18 +136,18 @@
             channel.close()
 
     def _tls(self) -> ssl.SSLContext:
-        """Return the TLS context, made at first use."""
+        """Return the TLS context, created on first use."""
         if self._context is not None:
             return self._context
         settings = self._settings
         if not (settings.certificate and settings.key and settings.authority):
             raise ZinniahookError(
-                "daemons answer only to a certificate: set certificate, key, authority",
+                "daemons require a certificate: set certificate, key and authority",
                 Code.SETTINGS_MISSING_KEY,
             )
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-        # Daemons are reached by IP numbers, which certificates needn't name;
-        # that the authority signed the certificate is what counts.
+        # Daemons are reached by IP address, which their certificates needn't name.
+        # The signature of the authority is checked instead.
         context.check_hostname = False
         context.minimum_version = ssl.TLSVersion.TLSv1_3
         context.set_alpn_protocols(["h2"])
@@ -156,23 +156,23 @@
             context.load_verify_locations(settings.authority)
         except (ssl.SSLError, OSError) as error:
             raise ZinniahookError(
-                f"no usable certificate: {error}", Code.SETTINGS_FILE_MISSING
+                f"can't load the certificate: {error}", Code.SETTINGS_FILE_MISSING
             ) from None
         self._context = context
         return context
 
 
 def progress(generation: int, survey: Survey, unlisted: Iterable[str] = ()) -> Progress:
-    """Sort the daemons by whether they have a generation in force.
+    """Split the daemons by whether they have a generation in force.
 
     Parameters
     ----------
     generation : int
-        The generation asked for; a later one counts as in force too.
+        The generation to look for; a later one counts as in force too.
     survey : Survey
-        What the daemons answered.
+        The replies of the daemons.
     unlisted : iterable of str
-        Names of daemons that can't be asked; they count as lagging.
+        Daemons that can't be asked; they count as lagging.
     """
     in_force, lagging = [], []
     for reply in survey.answers_by_control.values():
--- a/packages/zinniahook-cli/src/zinniahook_cli/drains.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/drains.py
@@ -1,4 +1,4 @@
-"""Planned stops: of a target, an entry, a data centre, and of everything in turn."""
+"""Graceful drains of targets, entries and data centres, and rolling restarts."""
 
 from __future__ import annotations
 
@@ -23,20 +23,19 @@
 __all__ = ["Stop", "drain", "services_without_targets", "restart", "waves"]
 
 POLL_INTERVAL_SECONDS = 0.5
-"""Seconds between two questions about the progress."""
-
+"""Seconds between two polls of the progress."""
 
 MAX_WAVE_SIZE = 64
-"""Daemons that are drained at the same time."""
+"""Daemons drained at the same time."""
 
 ALL_SERVICES = "*"
 
 SERVING_STATES = ("ready", "serving")
-"""What agents and entries say of themselves when they take new work."""
+"""States reported by agents and entries that accept new work."""
 
 
 class Stop(NamedTuple):
-    """One daemon to be stopped; ``service`` is empty for an entry."""
+    """A daemon to drain; ``service`` is empty for an entry."""
 
     name: str
     control: Address
@@ -44,7 +43,7 @@
 
 
 async def drain(context: Context, statement: Drain) -> Answer:
-    """Drain what the statement names and wait until it is safe."""
+    """Drain the named daemons and wait until they can be stopped safely."""
     fleet = await read_fleet(context.store, context.daemons)
     stops = _FINDERS_BY_KIND[statement.kind](fleet, statement)
     await _check_permitted(context, stops)
@@ -55,7 +54,7 @@
 
 
 async def restart(context: Context, statement: Restart) -> Answer:
-    """Drain the daemons in waves; each must be back before the next wave."""
+    """Drain all daemons in waves; each wave must be back before the next starts."""
     fleet = await read_fleet(context.store, context.daemons)
     plan = waves(_agents(fleet), _entries(fleet))
     await _check_permitted(context, [stop for wave in plan for stop in wave])
@@ -77,10 +76,10 @@
 
 
 def waves(agents: list[Stop], entries: list[Stop]) -> list[list[Stop]]:
-    """Divide the daemons so that each service loses one target at a time.
+    """Group the daemons so that each service loses one target at a time.
 
-    Agents of different services don't stand in for each other, so they go
-    together, up to a bound; of the entries at most a part goes at a time.
+    Agents of different services don't replace each other, so they share a wave
+    of up to `MAX_WAVE_SIZE`. A wave of entries holds at most an eighth of them.
     """
     waiting_by_service: dict[str, list[Stop]] = {}
     for stop in agents:
@@ -96,9 +95,10 @@
 
 
 async def _check_permitted(context: Context, stops: list[Stop]) -> None:
-    """Refuse to stop what serves a service that isn't the operator's.
+    """Raise an error unless the operator may stop every daemon.
 
-    An entry serves every service, so it takes the right to all of them.
+    Stopping an agent requires the right to its service. An entry serves every
+    service, so stopping it requires the right to all of them.
     """
     stored = await configurations.read(context.store)
     operators = stored.document.operators_by_name
@@ -116,7 +116,7 @@
 
 
 def services_without_targets(fleet: Fleet, stops: list[Stop]) -> list[str]:
-    """Return the services that the stops would leave without a ready target."""
+    """Return the services that would have no ready target after the stops."""
     leaving = {stop.name for stop in stops}
     affected = {stop.service for stop in stops if stop.service}
     return sorted(
@@ -147,7 +147,7 @@
 
 
 async def _drain_all(context: Context, stops: list[Stop], force: bool) -> Answer:
-    """Ask every daemon at once and watch until each is safe."""
+    """Drain all daemons concurrently and poll until each is safe to stop."""
     replies = await asyncio.gather(
         *(
             context.daemons.drain(stop.control, DrainRequest(force=force))
@@ -181,10 +181,10 @@
 
 
 async def _poll(context: Context, stop: Stop) -> tuple[str, bool]:
-    """Say how far a drain is, and whether nothing is in progress any more.
+    """Return the progress of a drain, and whether the daemon is safe to stop.
 
-    A daemon that has drained ends, and then refuses connections. One that
-    gives no answer otherwise may still be at work: it counts as draining.
+    A drained daemon exits and then refuses connections. Any other failed call
+    may come from a daemon that is still working, so it counts as draining.
     """
     reply = await context.daemons.drain(stop.control, DrainRequest(look=True))
     if isinstance(reply, NoReply):
@@ -196,7 +196,7 @@
 async def _wait_until_restarted(
     context: Context, wave: list[Stop], began: float
 ) -> Answer:
-    """Wait until every daemon of the wave serves in a life begun since then."""
+    """Wait until every daemon of the wave has restarted after ``began`` and serves."""
     deadline = time.monotonic() + context.settings.patience
     while True:
         fleet = await read_fleet(context.store, context.daemons)
--- a/packages/zinniahook-cli/src/zinniahook_cli/explanations.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/explanations.py
@@ -1,8 +1,8 @@
-"""``zinniahook explain``: one request's or flow's way, out of all logs.
+"""``zinniahook explain``: the path of a request or flow, from all logs.
 
-Lines are put in the order of cause, not of clocks: each file keeps its order,
-and what one daemon did because another told it stands after that. The time of
-day may differ between instances, and may jump; it only breaks ties.
+Lines are sorted by cause rather than by clock: the lines of an instance keep
+their order, and an action that another daemon triggered follows its trigger.
+Clocks may differ between instances and may jump, so they only break ties.
 """
 
 from __future__ import annotations
@@ -39,22 +39,23 @@
         "reset.all",
     )
 )
-"""What a daemon believes or lives through, told without a flow."""
+"""Events about the state of a daemon or of its peers, which name no flow."""
 
 CONTEXT_MARGIN_SECONDS = 2.0
-"""Seconds around the flow's own lines of a daemon within which such lines are
-shown: a process runs again, and a target beats, in less."""
+"""Context events are shown up to this many seconds before the first and after the
+last line of the flow at a daemon. A process restarts, and a target sends a
+heartbeat, in less time."""
 
 START_EVENTS = frozenset(("flow.placed", "request.begun"))
 REQUIRED_FIELDS = frozenset(("instance", "event"))
 STRING_FIELDS = ("instance", "event", "flow", "request", "agent", "to", "address")
-"""Fields that lines are found and ordered by."""
+"""Fields that select and order lines; their values must be strings."""
 
 PREFIX_FIELDS = ("time", "instance", "event", "flow")
 
 
 class Line(NamedTuple):
-    """A line of a log. ``position`` is its number in its file."""
+    """A log line. ``position`` is its index among all lines read."""
 
     instance: str
     position: int
@@ -62,12 +63,12 @@
 
     @property
     def event(self) -> str:
-        """What was told."""
+        """The name of the logged event."""
         return self.fields["event"]
 
     @property
     def time(self) -> float:
-        """The instance's own time of day, in seconds."""
+        """The time by the instance's own clock, in seconds."""
         return float(self.fields.get("time", 0.0))
 
     def __str__(self) -> str:
@@ -77,7 +78,7 @@
 
 
 class Explanation(NamedTuple):
-    """The lines in order of cause, the one that decided, and what it means."""
+    """The lines in causal order, the deciding line, and its meaning."""
 
     flows: tuple[str, ...]
     lines: tuple[Line, ...]
@@ -85,14 +86,14 @@
     meaning: str
 
 
-# What an event means for the request, if it is the last that decides.
-
 Meaning = Callable[[Line], str]
+"""Describes what the deciding line means for the request."""
+
 MEANINGS_BY_EVENT: dict[str, Meaning] = {}
 
 
 def decides(*events: str) -> Callable[[Meaning], Meaning]:
-    """Register what events mean that decide about a flow."""
+    """Register a function that describes events that decide the fate of a flow."""
 
     def register(meaning: Meaning) -> Meaning:
         for event in events:
@@ -156,7 +157,7 @@
 
 @decides("request.reset")
 def _closed_by_target(line: Line) -> str:
-    return f"the target itself broke it off after {line.fields.get('took')} s"
+    return f"the target itself reset it after {line.fields.get('took')} s"
 
 
 @decides("drop.waited")
@@ -167,7 +168,7 @@
 
 @decides("drop.no_agent", "drop.no_taker")
 def _no_agent_accepted(line: Line) -> str:
-    return "no agent could take it then"
+    return "no agent could accept it at that time"
 
 
 @decides("search.timeout", "drop.no_owner")
@@ -179,24 +180,24 @@
 
 @decides("drop.hop_limit")
 def _hop_limit(line: Line) -> str:
-    return "daemons with different rosters passed it to and fro"
+    return "daemons with different rosters forwarded it to each other"
 
 
 @decides("request.begun")
 def _begun(line: Line) -> str:
-    return "its target got it and no answer is on record"
+    return "its target received it, and no answer is logged"
 
 
 @decides("flow.placed")
 def _placed(line: Line) -> str:
-    return f"it was placed at {line.fields.get('agent')}, which told nothing of it"
+    return f"it was placed at {line.fields.get('agent')}, which logged nothing about it"
 
 
 def read_logs(paths: Iterable[Path]) -> list[Line]:
-    """Read logs, one file or more an instance.
+    """Read log files; each instance may have several.
 
-    What isn't a log line is passed over: other programs write to the same
-    stream, and collectors put a time in front of each line.
+    Text in front of a line, such as the time that a collector adds, and output
+    of other programs in the same stream are skipped.
 
     Raises
     ------
@@ -226,10 +227,10 @@
 
 
 def _is_line(fields: Any) -> bool:
-    """Tell whether what is read here has the types that a daemon writes.
+    """Return whether the fields have the types that a daemon writes.
 
-    What goes wrong without the check: another program's JSON, or a line that
-    was cut and joined with the next, ends the whole explanation.
+    Without this check, JSON of another program, or a truncated line joined with
+    the next one, would abort the whole explanation.
     """
     if not isinstance(fields, dict) or not fields.keys() >= REQUIRED_FIELDS:
         return False
@@ -239,17 +240,17 @@
 
 
 def build_explanation(name: str, lines: list[Line]) -> Explanation:
-    """Return what the logs tell of a request's id or a flow.
+    """Return the explanation of a request id or a flow.
 
     Raises
     ------
     ZinniahookError
-        If no line names it (`Code.COMMAND_UNKNOWN_NAME`).
+        If no line mentions it (`Code.COMMAND_UNKNOWN_NAME`).
     """
     flows = _flows(name, lines)
     own = [line for line in lines if _concerns(line, name, flows)]
     if not own:
-        reason = f"no line tells of {name!r}: is the log of its agent among these?"
+        reason = f"no line mentions {name!r}: is the log of its agent among these?"
         raise ZinniahookError(reason, Code.COMMAND_UNKNOWN_NAME)
     ordered = _in_causal_order(own + _context(own, lines), _instances_by_address(lines))
     deciding = _deciding(own, ordered)
@@ -261,9 +262,9 @@
 
 
 def _flows(name: str, lines: list[Line]) -> dict[str, int | None]:
-    """Return the flows that carried a request, with the openings' numbers.
+    """Return the flows that carried a request, with the numbers of their openings.
 
-    A client uses a port again for another flow; the number tells them apart.
+    A client may reuse a port for another flow, which has another opening number.
     """
     if ">" in name:
         return {name: None}
@@ -287,7 +288,7 @@
 
 
 def _context(own: list[Line], lines: list[Line]) -> list[Line]:
-    """Return what the daemons involved believed around that time."""
+    """Return the context events of the daemons involved around that time."""
     spans: dict[str, tuple[float, float]] = {}
     for line in own:
         first, last = spans.get(line.instance, (line.time, line.time))
@@ -312,10 +313,10 @@
 
 
 def _in_causal_order(lines: list[Line], by_address: dict[str, str]) -> list[Line]:
-    """Sort lines so that each stands after what it follows from.
+    """Sort lines so that each follows its cause.
 
-    Edges go from one line of an instance to its next, and from a placement, a
-    return or a search to the next line of the instance that it names.
+    Edges lead from each line of an instance to its next line, and from a
+    placement or a return to the line that it causes at another instance.
     """
     by_instance: dict[str, list[Line]] = {}
     for line in sorted(lines, key=lambda line: line.position):
@@ -334,7 +335,7 @@
 def _remote_effect(
     line: Line, by_instance: dict[str, list[Line]], by_address: dict[str, str]
 ) -> Line | None:
-    """Return the first line at another instance that follows from this one."""
+    """Return the first line at another instance that this line caused."""
     kind = {"flow.placed": "agent", "returned": "to"}.get(line.event)
     instance = by_address.get(line.fields.get(kind, "")) if kind else None
     if instance is None or instance == line.instance:
@@ -350,7 +351,7 @@
 def _topological_order(
     by_position: dict[int, Line], after: dict[int, set[int]]
 ) -> list[Line]:
-    """Sort by edges, ties by time. A circle is broken at its earliest line."""
+    """Sort topologically, then by time. A cycle is broken at its earliest line."""
     before = dict.fromkeys(by_position, 0)
     for following in after.values():
         for position in following:
@@ -378,11 +379,11 @@
 
 
 def _deciding(own: list[Line], ordered: list[Line]) -> Line | None:
-    """Return the line that decided.
+    """Return the line that decided the outcome.
 
-    A reset ends a flow whatever came before, but for one that answers a client's
-    closing after its answer; the first answer counts, as a target repeats it; else
-    whatever was decided last.
+    The last reset decides, unless it only responds to a client that closes the
+    flow after its answer. Otherwise the first answer decides, as a target may
+    repeat it. Otherwise the last known event decides.
     """
     positions = {line.position for line in own}
     own_lines = [line for line in ordered if line.position in positions]
@@ -403,7 +404,7 @@
 
 
 def explain(name: str, *, logs: list[Path], json: bool = False) -> int:
-    """Tell from the logs what became of a request or a flow.
+    """Explain from the logs what happened to a request or a flow.
 
     Parameters
     ----------
@@ -431,7 +432,7 @@
 
 def _answer(found: Explanation) -> Answer:
     rows = [f"{'>' if line is found.deciding else ' '} {line}" for line in found.lines]
-    verdict = found.meaning or "no line decides about it"
+    verdict = found.meaning or "no line shows its outcome"
     text = "\n".join([*(f"flow {flow}" for flow in found.flows), *rows, verdict])
     data = {
         "flows": list(found.flows),
--- a/packages/zinniahook-cli/src/zinniahook_cli/fleets.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/fleets.py
@@ -1,4 +1,4 @@
-"""The daemons there are: from rosters, the store's lists and their own answers."""
+"""All known daemons, from rosters, the store's lists and the daemons' replies."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Agent(NamedTuple):
-    """A member of a roster with the service it serves."""
+    """A roster member and its service."""
 
     service: str
     member: Member
 
 
 class Fleet(NamedTuple):
-    """Everything that is known of the daemons at one moment."""
+    """A snapshot of all known daemons and their replies."""
 
     rosters_by_service: dict[str, Roster]
     daemons_by_name: dict[str, Daemon]
@@ -42,7 +42,7 @@
 
     @property
     def unlisted(self) -> tuple[str, ...]:
-        """Control addresses of daemons that learn from others but are in no list."""
+        """Control addresses of daemons that subscribe to others but are in no list."""
         replies = self.survey.answers_by_control.values()
         known = set(map(str, self.controls))
         known.update(str(member.control) for _, member in self.agents)
@@ -50,17 +50,17 @@
         return tuple(sorted(named - known))
 
     def reply(self, control: Address) -> StatusReply | None:
-        """Return what the daemon at ``control`` answered."""
+        """Return the reply of the daemon at ``control``, or None."""
         return self.survey.answers_by_control.get(control)
 
 
 async def read_rosters(store: Store) -> dict[str, Roster]:
-    """Read every roster.
+    """Read the roster of every service.
 
     Raises
     ------
     ZinniahookError
-        If the store gives no answer.
+        If the store doesn't answer.
     """
     rosters = {}
     for item in await store.range(documents.ROSTER_PREFIX):
@@ -74,23 +74,23 @@
 async def read_fleet(
     store: Store, daemons: Daemons, *, counters: bool = False, ask: bool = True
 ) -> Fleet:
-    """Read which daemons there should be, and ask each of them.
+    """Read the list of daemons from the store and query each of them.
 
     Parameters
     ----------
     store : Store
-        Holds the rosters and the announcements.
+        Holds the rosters and the lists of daemons.
     daemons : Daemons
-        Asks them.
+        Client for the daemons.
     counters : bool
-        Whether they answer with their counters too.
+        Whether the replies include counters.
     ask : bool
-        Whether to ask them at all.
+        Whether to query the daemons at all.
 
     Raises
     ------
     ZinniahookError
-        If the store gives no answer.
+        If the store doesn't answer.
     """
     rosters = await read_rosters(store)
     daemons_by_name: dict[str, Daemon] = {}
@@ -115,7 +115,7 @@
 
 
 def count_other_ready(roster: Roster, leaving: set[str]) -> int:
-    """Count the ready members of a roster besides those ``leaving``."""
+    """Return the number of ready members that aren't in ``leaving``."""
     return sum(
         member.state is AgentState.READY
         for name, member in roster.by_name.items()
--- a/packages/zinniahook-cli/src/zinniahook_cli/grammar.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/grammar.py
@@ -1,4 +1,4 @@
-"""Reads the query and command language into typed statements."""
+"""Parser of the query and command language."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 __all__ = ["CommandError", "keywords", "parse"]
 
 WORD_SEPARATORS = " \t\n"
-"""What stands between words; any other space is a wrong character."""
+"""Characters that separate words; any other whitespace is an error."""
 
 TEXT_BY_TERMINAL = {
     "WORD": "a name",
@@ -30,12 +30,12 @@
 
 
 class CommandError(ZinniahookError):
-    """A command that can't be understood or run, with the word at fault.
+    """A statement that can't be parsed or run, with the word at fault.
 
     Parameters
     ----------
     reason : str
-        What is wrong.
+        Description of the error.
     code : Code
         The result code.
     word : Word, optional
@@ -52,7 +52,7 @@
         self.word = word
 
     def format_with_source(self, source: str) -> str:
-        """Return the message below the line of ``source`` it points at."""
+        """Return the line at fault, a marker under the word, and the message."""
         message = f"{self.code.name} {int(self.code)}: {self}"
         lines = source.split("\n")
         if self.word is None or not 1 <= self.word.line <= len(lines):
@@ -62,12 +62,12 @@
 
 
 def parse(source: str) -> tuple[Statement, ...]:
-    """Read every statement of ``source``; none is run if one is wrong.
+    """Parse all statements of ``source``.
 
     Raises
     ------
     CommandError
-        With the word that doesn't fit and what would.
+        With the unexpected word and the alternatives that are valid there.
     """
     try:
         return _Statements().transform(_parser().parse(source))
@@ -79,7 +79,7 @@
 
 @cache
 def keywords() -> frozenset[str]:
-    """All words that the grammar itself knows, for completion."""
+    """Return all keywords of the grammar, for completion."""
     patterns = (terminal.pattern for terminal in _parser().terminals)
     plain = {item.value for item in patterns if item.type == "str"}
     return frozenset(word for word in plain if word.isalpha()) | {
@@ -103,8 +103,8 @@
     elif isinstance(error, UnexpectedCharacters):
         expected = error.allowed or set()
         rest = source[error.pos_in_stream :]
-        # A space that the grammar doesn't know, such as U+00A0 from a page
-        # that was copied, is what is wrong; it isn't in front of a word.
+        # An unsupported space, such as U+00A0 in text copied from a web page, is
+        # itself the error; it doesn't precede a word.
         text = rest[0] if rest[0].isspace() else rest.split(maxsplit=1)[0]
     else:
         expected = set()
@@ -121,7 +121,7 @@
 
 
 def _locate(error: UnexpectedInput, source: str, text: str) -> Word:
-    """Point at the word, or just behind the last one if the end is wrong."""
+    """Return the word at fault, or the place after the last word at an early end."""
     if text.strip(WORD_SEPARATORS):
         return Word(text, error.line, error.column)
     if text == "\n":
@@ -140,7 +140,7 @@
 
 @v_args(inline=True)
 class _Statements(Transformer):
-    """Turns the syntax tree into the tuples of `statements`."""
+    """Converts the syntax tree to the statements of `statements`."""
 
     def WORD(self, token):  # noqa: N802
         return _word(token)
@@ -169,7 +169,7 @@
         found = {}
         for name, value in clauses:
             if name in found:
-                raise CommandError(f"{name!r} stands twice", word=view)
+                raise CommandError(f"{name!r} is given twice", word=view)
             found[name] = value
         return statements.Show(view, **found)
 
--- a/packages/zinniahook-cli/src/zinniahook_cli/identity.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/identity.py
@@ -1,4 +1,4 @@
-"""Who the operator is: the name in the certificate."""
+"""The operator's identity, from the certificate."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
     Raises
     ------
     ZinniahookError
-        NOT_PERMITTED if there is no certificate or it names nobody.
+        NOT_PERMITTED if there is no certificate or it has no common name;
+        SETTINGS_FILE_MISSING if it can't be read.
     """
     if settings.certificate is None:
         raise ZinniahookError(
@@ -26,7 +27,7 @@
     try:
         certificate = x509.load_pem_x509_certificate(settings.certificate.read_bytes())
     except (OSError, ValueError) as error:
-        reason = f"no usable certificate: {error}"
+        reason = f"can't read the certificate: {error}"
         raise ZinniahookError(reason, Code.SETTINGS_FILE_MISSING) from None
     names = certificate.subject.get_attributes_for_oid(NameOID.COMMON_NAME)
     if not names:
--- a/packages/zinniahook-cli/src/zinniahook_cli/losses.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/losses.py
@@ -1,9 +1,9 @@
-"""``zinniahook losses``: second by second, where openings and answers are late.
+"""``zinniahook losses``: late openings and answers, second by second.
 
-Reads the packet service's logs. For each second it tells how many openings
-came and for what reason, how many were opened, late or in vain, which searches
-and resets there were, and how long targets took. Logs leave lines out under
-load (``omitted``), so the counts of the worst seconds are lower bounds.
+Reads the logs of the packet service. Each row counts the openings of a second
+by cause, those that opened, were late or waited in vain, searches, resets and
+answers, and gives the response times. Daemons omit log lines under load
+(``omitted``), so the counts of the busiest seconds are lower bounds.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 __all__ = ["losses", "loss_table"]
 
 AFTER_RESET_SECONDS = 0.05
-"""Seconds within which an opening of a client follows the reset of its flow: two
-trips to the client and its own time."""
+"""Seconds within which a client opens a new flow after a reset: two network trips
+and the client's own delay."""
 
 RETRY_WINDOW_SECONDS = (1.3, 1.5)
-"""Seconds after which a client tries again whose opening waited in vain: it gives
-a try 1.4 s."""
+"""Range of seconds after which a client retries an opening that waited in vain. A
+client abandons an attempt after 1.4 s."""
 
 COLUMNS = (
     "second",
@@ -48,7 +48,7 @@
 
 
 class Opening(NamedTuple):
-    """The first placement of a flow, and when it was opened, if it was."""
+    """The first placement of a flow; ``opened_at`` is None if it never opened."""
 
     placed_at: float
     client: str
@@ -57,7 +57,7 @@
 
 
 class History(NamedTuple):
-    """What the clients' openings are compared with."""
+    """The openings and resets of each client."""
 
     openings_by_client: dict[str, list[Opening]]
     resets_by_client: dict[str, list[float]]
@@ -65,11 +65,11 @@
 
 Cause = Callable[[Opening, History], bool]
 CAUSES_BY_COLUMN: dict[str, Cause] = {}
-"""Why an opening isn't a caller's first, by the column that counts it."""
+"""Tests for openings that aren't a client's first, by the column that counts them."""
 
 
 def cause(column: str) -> Callable[[Cause], Cause]:
-    """Register what tells a cause."""
+    """Register the test for openings that ``column`` counts."""
 
     def register(matches: Cause) -> Cause:
         CAUSES_BY_COLUMN[column] = matches
@@ -93,7 +93,7 @@
 
 @cause("retries")
 def _is_retry(opening: Opening, history: History) -> bool:
-    """Tell whether the client's former try was never opened."""
+    """Return whether an earlier opening of the client never opened."""
     return any(
         former.opened_at is None
         and RETRY_WINDOW_SECONDS[0]
@@ -104,14 +104,14 @@
 
 
 def loss_table(lines: Iterable[Line], goal: float) -> Table:
-    """Return the table of losses.
+    """Return one row of counts and times for each second.
 
     Parameters
     ----------
     lines : iterable of Line
-        Lines of all daemons, whose clocks must agree within a second.
+        Lines of all daemons; their clocks must agree within a second.
     goal : float
-        Seconds until an opening counts as late.
+        Seconds after which an opening counts as late.
     """
     lines = sorted(lines, key=lambda line: line.time)
     start = lines[0].time if lines else 0.0
@@ -173,7 +173,7 @@
 
 
 def _openings(lines: list[Line]) -> dict[str, Opening]:
-    """Return the openings by flow, in the order of their first placement."""
+    """Return the openings by flow, in order of first placement."""
     opened_by_flow: dict[str, float] = {}
     by_flow: dict[str, Opening] = {}
     for line in lines:
@@ -210,7 +210,7 @@
 
 
 def losses(*, logs: list[Path], goal: float = 0.2, json: bool = False) -> int:
-    """Tell from the logs where openings and answers are late, by seconds.
+    """Print from the logs when openings and answers are late, by second.
 
     Parameters
     ----------
--- a/packages/zinniahook-cli/src/zinniahook_cli/main.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/main.py
@@ -1,4 +1,4 @@
-"""The command line of ``zinniahook``."""
+"""Entry point of the ``zinniahook`` command."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     """Run ``zinniahook`` with the arguments of the process.
 
     ``explain`` and ``losses`` read logs and need neither store nor settings, so
-    that they work on an engineer's own machine; everything else is statements.
+    they also run on a developer's machine. All other arguments are statements.
     """
     words = sys.argv[1:] if argv is None else argv
     if words and (command := LOG_COMMANDS_BY_NAME.get(words[0])):
@@ -51,7 +51,7 @@
     base: int | None = None,
     patience: float | None = None,
 ) -> int:
-    """Ask what is in force, and change it everywhere or not at all.
+    """Show what is in force, and change it everywhere or not at all.
 
     Without words and without a file, statements are read at a prompt.
 
@@ -144,23 +144,23 @@
 async def evaluate(
     session: Session, text: str, json: bool = False, must_commit: bool = False
 ) -> int:
-    """Run a text of statements and print each answer.
+    """Run statements and print each answer.
 
     Parameters
     ----------
     session
-        Where to run them.
+        The session that runs them.
     text
-        The statements; none is run if one can't be understood.
+        The statements; none is run if one can't be parsed.
     json
         Whether to print JSON.
     whole
-        Whether the text must commit what it begins.
+        Whether the text must commit or abort the change that it begins.
 
     Returns
     -------
     int
-        The first status that isn't 0; the rest isn't run then.
+        The first status that isn't 0; the remaining statements aren't run.
     """
     try:
         parsed = grammar.parse(text)
@@ -180,7 +180,7 @@
 
 
 def _check_committed(parsed: tuple[Statement, ...]) -> None:
-    """Refuse a text that would leave its change open: nobody could commit it."""
+    """Refuse a text that leaves its change open, as it could never be committed."""
     begun = None
     for statement in parsed:
         if isinstance(statement, Begin):
@@ -204,9 +204,9 @@
     try:
         print(text, flush=True)
     except OSError as error:
-        # A full disk, or a reader such as head that has gone. What is left in
-        # the buffer would fail again as the process ends, with a traceback
-        # and a status of Python's own.
+        # The disk is full, or a reader such as head has closed the pipe. Without
+        # this, the rest of the buffer would fail again at exit, with a traceback
+        # and an exit status of Python itself.
         with open(os.devnull, "w") as devnull:
             os.dup2(devnull.fileno(), sys.stdout.fileno())
         reason = f"can't print the answer: {error.strerror or error}"
--- a/packages/zinniahook-cli/src/zinniahook_cli/prompt.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/prompt.py
@@ -1,4 +1,4 @@
-"""The prompt: history in memory, completion of words, help."""
+"""The interactive prompt, with history and completion."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
     Parameters
     ----------
     services : iterable of str
-        Names of services, as known when the prompt was opened.
+        Names of the services when the prompt was opened.
     """
 
     def __init__(self, services: Iterable[str] = ()) -> None:
         self.services = tuple(sorted(services))
 
     def candidates(self, before: str) -> tuple[str, ...]:
-        """Return the words that may follow the text before the cursor's word."""
+        """Return the words that may follow the text in front of the current word."""
         words = before.rpartition(";")[2].split()
         if not words:
             return (*SYNTAX_BY_NAME, *EXIT_COMMANDS)
@@ -70,13 +70,13 @@
     Parameters
     ----------
     evaluate
-        Runs a text of statements, prints the answers, returns the status.
+        Runs statements, prints the answers and returns the status.
     services
-        Names to complete.
+        Service names for completion.
     pending
-        Whether a change is open, which the prompt shows.
+        Whether a change is open; the prompt then says so.
     """
-    # In memory: an instance keeps nothing on a disk.
+    # The history stays in memory, as an instance stores nothing on disk.
     session: PromptSession[str] = PromptSession(
         history=InMemoryHistory(), completer=WordCompleter(services)
     )
--- a/packages/zinniahook-cli/src/zinniahook_cli/reports.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/reports.py
@@ -1,4 +1,4 @@
-"""Draws histograms and the imbalance over time into a picture."""
+"""Charts of latency histograms and of the imbalance over time."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 
 class Sample(NamedTuple):
-    """The imbalance of each service at one moment, in seconds from the start."""
+    """The imbalance of each service, ``moment`` seconds after the start."""
 
     moment: float
     imbalance_by_service: dict[str, float]
 
 
 async def report(context: Context, statement: Report) -> Answer:
-    """Sample the daemons once a second, then draw."""
+    """Sample the daemons once a second, then draw the charts."""
     seconds = _seconds(statement)
     started = time.monotonic()
     samples = []
@@ -66,7 +66,7 @@
 
 
 def imbalance(fleet: Fleet) -> dict[str, float]:
-    """Return most over mean of the targets' busy shares, by service."""
+    """Return the maximum over the mean of the targets' busy shares, by service."""
     shares_by_service: dict[str, list[float]] = defaultdict(list)
     for service, member in fleet.agents:
         reply = fleet.reply(member.control)
@@ -79,7 +79,7 @@
 
 
 def merge_histograms(histograms: list[Histogram]) -> dict[tuple[str, str], object]:
-    """Add up the daemons' histograms by service and class."""
+    """Merge the daemons' histograms by service and class."""
     from hdrh.histogram import HdrHistogram
 
     values_by_key: dict[tuple[str, str], HdrHistogram] = {}
@@ -94,14 +94,14 @@
 
 
 def draw(file: Path, values_by_key: dict, samples: list[Sample]) -> None:
-    """Draw both charts.
+    """Draw both charts into an image file.
 
     Parameters
     ----------
     file : Path
-        Where to; its ending chooses the format.
+        Output file; its suffix selects the format.
     values_by_key : dict
-        Histograms by service and kind.
+        Histograms by service and class.
     samples : list of Sample
         The imbalance of each service over time.
 
@@ -110,9 +110,9 @@
     OSError
         If the file can't be written.
     ValueError
-        If its ending names no format of pictures.
+        If its suffix is no supported image format.
     """
-    # Imported here: it takes longer than most statements do.
+    # Imported on use, as the import takes longer than most statements.
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(10, 8), layout="constrained")
@@ -147,7 +147,7 @@
         ]
         axes.plot(*zip(*points, strict=True), label=service)
     axes.set(title="Imbalance of busy slots", xlabel="seconds", ylabel="most over mean")
-    # Without room above 1 an even load, all of it at 1, would have no axis.
+    # An even load is 1 everywhere; without this margin the axis would be empty.
     axes.set_ylim(bottom=1.0, top=max(1.1, axes.get_ylim()[1]))
     _legend(axes)
 
--- a/packages/zinniahook-cli/src/zinniahook_cli/results.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/results.py
@@ -1,4 +1,4 @@
-"""What became of a change, as operators are told."""
+"""Answers that report the outcome of a change."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     outcome: configurations.Outcome | rollouts.Paused,
     wait: bool | None = None,
 ) -> Answer:
-    """Turn the outcome of a commit into an answer."""
+    """Return the answer for the outcome of a commit, and wait if requested."""
     if isinstance(outcome, rollouts.Paused):
         return _paused(outcome)
     if isinstance(outcome, Unknown):
@@ -68,7 +68,7 @@
 
 
 def refusal_answer(outcome: Refused) -> Answer:
-    """Return the answer to a change that was refused."""
+    """Return the answer for a refused change."""
     code = outcome.code
     return Answer(
         f"refused: {outcome.reason} ({code.name} {int(code)})",
--- a/packages/zinniahook-cli/src/zinniahook_cli/rollouts.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/rollouts.py
@@ -1,4 +1,4 @@
-"""Commits everywhere at once, or in stages that are watched."""
+"""Commits to all daemons at once, or in monitored stages."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 ]
 
 WATCH_INTERVAL_SECONDS = 1.0
-"""Seconds between two looks at the counters during a stage."""
+"""Seconds between two readings of the counters during a stage."""
 
 DROPPED_COUNTERS = tuple(
     f"entry.dropped.{code.name}"
@@ -44,11 +44,12 @@
 UNKNOWN_COUNTERS = ("agent.outcome.unknown",)
 REQUEST_COUNTERS = ("agent.requests",)
 MIN_EVENT_COUNT = 1000
-"""Datagrams or requests below which a share says nothing about the change."""
+"""Smallest divisor of a failure share: with fewer datagrams or requests, a few
+failures say nothing about the change."""
 
 
 class Traffic(NamedTuple):
-    """What a daemon forwarded and dropped, ran and lost sight of."""
+    """A daemon's counts of datagrams, requests and unknown outcomes."""
 
     forwarded: int
     dropped: int
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Paused:
-    """A generation that stays in force in a stage only."""
+    """A rollout that stopped with a generation in force in some stages only."""
 
     generation: int
     previous: int
@@ -70,10 +71,10 @@
 
 
 def failure_share(before: TrafficByName, now: TrafficByName) -> float:
-    """Return the larger share: of datagrams dropped, of requests unknown.
+    """Return the larger of the shares of dropped datagrams and unknown requests.
 
-    Daemons that gave no answer at one of the two moments don't count, and one
-    that was restarted between them counts from 0 again.
+    Daemons missing from either reading are ignored. The counters of a daemon that
+    was restarted in between begin at 0 again and never count as negative.
     """
     sums = [0, 0, 0, 0]
     for name in before.keys() & now.keys():
@@ -96,22 +97,22 @@
     *,
     take_over: bool = False,
 ) -> Outcome | Paused:
-    """Commit everywhere at once, or in stages if a risky setting changes.
+    """Commit to all daemons at once, or in stages if a risky setting changes.
 
     Parameters
     ----------
     context : Context
-        Whose store, daemons and patience are used.
+        The store, daemons and settings to use.
     base : Stored
-        The generation that the change was made from.
+        The generation that the change is based on.
     document : Document
-        What to put in force.
+        The new configuration.
     author : str
         Name of the operator.
     operation : str
-        Identifies the commit, so that a lost answer can be settled.
+        Id of the commit, by which a lost answer can be settled.
     take_over : bool
-        Whether to end a rollout in stages that is under way, and have none.
+        Whether to end a rollout in progress and to commit without stages.
 
     Returns
     -------
@@ -134,8 +135,7 @@
     try:
         return await _advance_stages(context, base, author, outcome, plan, before)
     except ZinniahookError as error:
-        # Told as an error alone, a change that is in force in part would look
-        # like one that never happened.
+        # An error alone would hide that the change is already in force in part.
         return Paused(outcome.generation, base.generation, str(error))
 
 
@@ -147,7 +147,7 @@
     plan: list[Stage],
     before: TrafficByName,
 ) -> Outcome | Paused:
-    """Go through the stages, or take the change back."""
+    """Advance through the stages, or revert the change if one fails."""
     generation = committed.generation
     current, *later = [*plan, None]
     for stage in later:
@@ -156,7 +156,7 @@
             return await _revert(context, base, author, generation, stopped)
         moved = await configurations.move_stage(context.store, generation, stage)
         if not isinstance(moved, Committed):
-            reason = getattr(moved, "reason", "the answer of the store was lost")
+            reason = getattr(moved, "reason", "the store's answer was lost")
             return Paused(generation, base.generation, reason)
         context.on_progress(f"rollout: {_describe(stage)}")
         current = stage
@@ -166,22 +166,22 @@
 def stages(
     order: Iterable[str], instances: list[str], data_centres: list[str], previous: int
 ) -> list[Stage]:
-    """Return the stages before the last one, which is everywhere.
+    """Return the stages that precede the rollout to all daemons.
 
     Parameters
     ----------
     order : iterable of str
-        Kinds of stages: "instance" or "data-centre"; others are left out.
+        Kinds of stages: "instance" or "data-centre"; others are ignored.
     instances, data_centres : list of str
-        Names to choose from; the first goes first.
+        Candidates; each stage uses the first name.
     previous : int
-        The generation that stays in force elsewhere.
+        The generation that stays in force on the other daemons.
     """
     found = []
     stage = Stage(previous)
     for name in order:
         if name == "instance" and instances:
-            # A stage includes the earlier ones: no daemon may go back.
+            # A stage includes the earlier ones, as no daemon may go back.
             stage = stage._replace(instances=(instances[0],))
             found.append(stage)
         elif name == "data-centre" and len(data_centres) > 1:
@@ -191,12 +191,12 @@
 
 
 async def read_traffic(context: Context) -> TrafficByName:
-    """Read the counters of every daemon that answers.
+    """Return the traffic counters of every daemon that answers.
 
     Raises
     ------
     StoreError
-        If the store gives no answer.
+        If the store doesn't answer.
     """
     fleet = await read_fleet(context.store, context.daemons, counters=True)
     groups = (FORWARDED_COUNTERS, DROPPED_COUNTERS, REQUEST_COUNTERS, UNKNOWN_COUNTERS)
@@ -225,14 +225,14 @@
     fleet = await read_fleet(context.store, context.daemons)
     if fleet.survey.unanswered and not fleet.survey.answers_by_control:
         raise ZinniahookError(
-            "no daemon answers, so a risky change can't be watched", Code.NOT_READY
+            "no daemon answers, so a risky change can't be monitored", Code.NOT_READY
         )
     replies = [
         reply
         for reply in fleet.survey.answers_by_control.values()
         if reply.role == "entry" or reply.service in services
     ]
-    # An entry goes first: it shows harm soonest, and callers have others.
+    # An entry goes first: it shows failures soonest, and callers can use others.
     replies.sort(key=lambda reply: (reply.role != "entry", reply.name))
     return stages(
         rollout.stages,
@@ -249,12 +249,13 @@
     before: TrafficByName,
     stage: Stage,
 ) -> str | None:
-    """Watch one stage; return why it must stop, or None."""
+    """Monitor a stage; return why the rollout must stop, or None."""
     rollout = base.document.rollout
     deadline = time.monotonic() + rollout.pause
     while True:
         now = await read_traffic(context)
-        # One instance among thousands hardly moves the share of all of them.
+        # One instance among thousands hardly changes the share of all of them, so
+        # the stage is also checked alone.
         share = max(
             failure_share(before, now),
             failure_share(before, _traffic_in_stage(stage, now)),
@@ -281,7 +282,7 @@
 async def _revert(
     context: Context, base: Stored, author: str, generation: int, reason: str
 ) -> Outcome | Paused:
-    """Commit the old content anew: a lower generation would not be taken."""
+    """Commit the old content as a new generation; daemons ignore a lower one."""
     context.on_progress(f"rollout stopped: {reason}")
     now = await configurations.read(context.store)
     operation = configurations.new_operation()
@@ -290,7 +291,7 @@
         context.store, now, document, author, operation, take_over=True
     )
     if not isinstance(outcome, Committed):
-        reason = f"{reason}; taking it back failed: {outcome}"
+        reason = f"{reason}; reverting it failed: {outcome}"
         return Paused(generation, base.generation, reason)
     reason += f"; generation {outcome.generation} has the old content"
     return Refused(Code.ROLLOUT_STOPPED, reason)
--- a/packages/zinniahook-cli/src/zinniahook_cli/rotations.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/rotations.py
@@ -1,4 +1,4 @@
-"""Rotation of keys: accepted everywhere first, then used, then forgotten."""
+"""Key rotation: new keys are accepted everywhere, then used, and later dropped."""
 
 from __future__ import annotations
 
@@ -28,24 +28,24 @@
 ]
 
 KEYS_KEPT = 4
-"""Keys of a kind that stay accepted, the one in use among them."""
+"""Number of accepted keys of each kind, including the one in use."""
 
 OLD_KEY_AGE_SECONDS = 24 * 3600.0
-"""Seconds that a key stays accepted once it isn't used for new flows.
+"""Seconds for which a key stays accepted after new flows stop using it.
 
-Flows last for hours; dropped earlier, the key would take them along, which
-shows as drops under CONNECTION_ID_UNKNOWN at every entry at once.
+Flows last for hours. Dropping their key earlier breaks them, which shows as
+drops under CONNECTION_ID_UNKNOWN at every entry at once.
 """
 
 KEY_ID_COUNT = 256
-"""Key ids: one byte in front of each connection id."""
+"""Number of key ids, which are one byte in front of each connection id."""
 
 MAX_COMMIT_ATTEMPTS = 5
-"""Attempts against operators who commit other changes at the same time."""
+"""Attempts to commit while other operators commit changes concurrently."""
 
 
 async def rotate(context: Context, statement: Rotate) -> Answer:
-    """Bring new keys into use, or go on with a rotation that was stopped."""
+    """Bring new keys into use, or resume an interrupted rotation."""
     stored = await configurations.read(context.store)
     if stored.keys is None:
         raise ZinniahookError("there is no configuration yet", Code.GENERATION_UNKNOWN)
@@ -59,8 +59,8 @@
     stored = await configurations.read(context.store)
     accepted = await wait_until_in_force(context, stored.generation)
     if accepted.status is not Status.OK and not statement.force:
-        # Used now, the key would make datagrams that the daemons which lag
-        # can't read, and their flows would break.
+        # If the key were used now, lagging daemons couldn't decrypt its datagrams
+        # and their flows would break.
         return Answer(
             f"{accepted.text}\nnew keys aren't used yet; `rotate keys` goes on",
             data=accepted.data,
@@ -79,7 +79,7 @@
 
 
 def with_new_keys(ring: KeyRing) -> KeyRing:
-    """Add a key of each kind that isn't in use yet, and drop the oldest."""
+    """Add an unused key of each kind, and drop the oldest keys."""
     number = _next_id(ring)
     return without_old_keys(
         ring._replace(
@@ -96,7 +96,7 @@
 
 
 def with_newest_keys_in_use(ring: KeyRing) -> KeyRing:
-    """Bring the keys that wait into use."""
+    """Put the newest keys into use if they are still unused."""
     number = _unused_key(ring)
     if number is None:
         return ring
@@ -104,7 +104,7 @@
 
 
 def without_old_keys(ring: KeyRing) -> KeyRing:
-    """Keep the newest keys only, in the order in which they were added."""
+    """Keep only the newest keys, in the order in which they were added."""
     numbers = _ids_by_age(ring)[-KEYS_KEPT:]
     return ring._replace(
         flow_keys_by_number={
@@ -127,7 +127,8 @@
 def _ids_by_age(ring: KeyRing) -> list[int]:
     """Return the key ids from the oldest to the newest.
 
-    Ids wrap around; the ring holds few, so the oldest follows the widest gap.
+    Ids wrap around. The ring holds few of them, so the oldest key is the one after
+    the widest gap.
     """
     numbers = sorted(ring.flow_keys_by_number)
     gaps = [
@@ -152,7 +153,7 @@
 
 
 async def _check_age(context: Context, stored: Stored, force: bool) -> None:
-    """Refuse to drop a key that flows still alive may carry."""
+    """Raise an error if adding a key would drop one that live flows may use."""
     ring = stored.keys
     if force or len(ring.flow_keys_by_number) < KEYS_KEPT:
         return
@@ -161,13 +162,13 @@
     if age < OLD_KEY_AGE_SECONDS:
         raise ZinniahookError(
             f"the oldest key was in use {age / 3600:.1f} h ago and flows may still "
-            f"carry it; wait until {OLD_KEY_AGE_SECONDS / 3600:.0f} h, or force",
+            f"use it; wait until {OLD_KEY_AGE_SECONDS / 3600:.0f} h, or force",
             Code.NOT_PERMITTED,
         )
 
 
 async def _used_until(context: Context, number: int) -> float:
-    """Return when the key went out of use, as far as the history tells."""
+    """Return the time at which a key went out of use, 0 if the history lacks it."""
     used = [0.0]
     rings: dict[str, KeyRing] = {}
     later = time.time()
@@ -182,7 +183,7 @@
 
 
 async def _step(context: Context, update) -> Answer:
-    """Commit an altered ring, again if another operator came first."""
+    """Commit the updated key ring, and retry if another commit came first."""
     for _ in range(MAX_COMMIT_ATTEMPTS):
         stored = await configurations.read(context.store)
         operation = configurations.new_operation()
@@ -200,5 +201,5 @@
 
 
 def outcome_is_final(outcome: configurations.Outcome) -> bool:
-    """Whether another attempt would be wrong or of no use."""
+    """Return whether another attempt would be wrong or useless."""
     return getattr(outcome, "code", None) is not Code.CONFLICT
--- a/packages/zinniahook-cli/src/zinniahook_cli/sessions.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/sessions.py
@@ -1,4 +1,4 @@
-"""Runs statements: one session holds the store, the daemons and the open change."""
+"""Sessions, which run statements and hold the open change."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @dataclass
 class Draft:
-    """An open change: what it was begun on and its steps so far."""
+    """An open change: the generation it is based on and its steps so far."""
 
     base: Stored
     steps: list[Change]
@@ -50,15 +50,15 @@
     Parameters
     ----------
     settings : ClientSettings
-        Addresses, certificate and patience.
+        Addresses, certificate and time limits.
     store : Store
-        The store.
+        Client of the key-value store.
     on_progress : callable
-        Prints one line of progress.
+        Receives each line of progress.
     wait : bool
-        Whether a commit waits until it is in force everywhere.
+        Whether a commit waits until every daemon has it in force.
     base : int, optional
-        The generation that changes must be made on.
+        The generation that changes must be based on.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         Raises
         ------
         ZinniahookError
-            With the code and, for a `CommandError`, the word at fault.
+            With the result code and, for a `CommandError`, the word at fault.
         """
         return await _runners_by_type[type(statement)](self, statement)
 
@@ -91,7 +91,7 @@
         *,
         take_over: bool = False,
     ) -> Answer:
-        """Check who asks, commit, and say what became of it."""
+        """Check the operator's rights, commit, and return the outcome."""
         operator = self.operator
         forbidden = not_permitted(base.document, document, operator)
         if forbidden:
@@ -144,7 +144,7 @@
         draft.steps.pop()
         raise
     except ConfigurationError:
-        # A later step may mend it; only the whole is checked.
+        # A later step may fix it; only the whole change must be valid.
         pass
     return Answer(f"gathered ({len(draft.steps)} so far)")
 
@@ -260,7 +260,7 @@
 
 
 async def _base(session: Session) -> Stored:
-    """Read the newest generation; it must be the one that was asked for."""
+    """Read the newest generation and check it against the requested base."""
     stored = await configurations.read(session.store)
     if session.base is not None and stored.generation != session.base:
         raise ZinniahookError(
--- a/packages/zinniahook-cli/src/zinniahook_cli/settings.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the operators' client: a TOML file, or flags in its place."""
+"""Settings of the operators' client, from a TOML file and flags."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ClientSettings(NamedTuple):
-    """How the client reaches the store and the daemons, and who it is."""
+    """Addresses, certificate and time limits of the client."""
 
     store: Annotated[tuple[Address, ...], "addresses of the key-value service"]
     certificate: Annotated[Path | None, "PEM file of the operator's certificate"] = None
@@ -24,11 +24,11 @@
 
 
 class SettingsError(ZinniahookError):
-    """The client's settings can't be used."""
+    """The client's settings are invalid or incomplete."""
 
 
 def load(file: Path | None, flags: dict[str, Any]) -> ClientSettings:
-    """Read the file, let flags that are set take precedence, check both.
+    """Read and check the settings; flags that are set override the file.
 
     Raises
     ------
@@ -67,7 +67,10 @@
         return _addresses(name, value)
     if hints[name] is float:
         if type(value) not in (int, float) or not 0 < value < float("inf"):
-            raise SettingsError(f"{name}: must be above 0", Code.SETTINGS_TYPE)
+            raise SettingsError(
+                f"{name}: must be a finite number above 0, not {value!r}",
+                Code.SETTINGS_TYPE,
+            )
         return float(value)
     return _file(name, value, file)
 
@@ -77,7 +80,7 @@
     if not isinstance(texts, list | tuple) or not all(
         isinstance(text, str) for text in texts
     ):
-        reason = f"{name}: must be a list of addresses"
+        reason = f"{name}: must be a list of addresses, not {value!r}"
         raise SettingsError(reason, Code.SETTINGS_TYPE)
     try:
         return tuple(Address.parse(text) for text in texts)
@@ -87,14 +90,16 @@
 
 def _file(name: str, value: Any, settings: Path | None) -> Path:
     if not isinstance(value, str | Path):
-        raise SettingsError(f"{name}: must be a path", Code.SETTINGS_TYPE)
+        raise SettingsError(
+            f"{name}: must be a path, not {value!r}", Code.SETTINGS_TYPE
+        )
     path = Path(value)
     if isinstance(value, str) and settings is not None:
         path = settings.parent / path
     try:
         found = path.is_file()
     except OSError as error:
-        # A directory that this user may not enter, or a name too long.
+        # The directory isn't accessible to this user, or the name is too long.
         reason = f"{name}: {error.strerror}: {path}"
         raise SettingsError(reason, Code.SETTINGS_FILE_MISSING) from None
     if not found:
--- a/packages/zinniahook-cli/src/zinniahook_cli/statements.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/statements.py
@@ -1,4 +1,4 @@
-"""What an operator can say, as typed statements that remember their words."""
+"""The statements of the language, with the positions of their words."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Word(NamedTuple):
-    """One word and where it stands, so that an error can point at it."""
+    """A word and its position, for error messages."""
 
     text: str
     line: int = 1
@@ -42,7 +42,7 @@
 
 
 class Condition(NamedTuple):
-    """``key operator value`` after ``where``."""
+    """A condition ``key operator value`` of a ``where`` clause."""
 
     key: Word
     operator: str
@@ -50,14 +50,14 @@
 
 
 class Setting(NamedTuple):
-    """``path = values``; several values make a list."""
+    """An assignment ``path = values``; several values form a list."""
 
     path: Word
     values: tuple[Word, ...]
 
 
 class Show(NamedTuple):
-    """Ask for the table ``view``, filtered and grouped."""
+    """Show the table ``view``, filtered and grouped."""
 
     view: Word
     of: Word | None = None
@@ -88,14 +88,14 @@
 
 
 class Remove(NamedTuple):
-    """Take a service, a class or an operator out of the configuration."""
+    """Remove a service, a class or an operator from the configuration."""
 
     kind: str
     path: Word
 
 
 class Apply(NamedTuple):
-    """Replace the whole document by that of a TOML file."""
+    """Replace the whole document with that of a TOML file."""
 
     file: Word
 
@@ -119,7 +119,7 @@
 
 
 class Abort(NamedTuple):
-    """Forget the open change."""
+    """Discard the open change."""
 
     word: Word
 
@@ -139,7 +139,7 @@
 
 
 class Restart(NamedTuple):
-    """Drain every daemon, one after the other, as its supervisor restarts it."""
+    """Drain all daemons in waves while their supervisor restarts them."""
 
     word: Word
     force: bool = False
@@ -153,13 +153,13 @@
 
 
 class Watch(NamedTuple):
-    """Show how far the newest generation has come until it is everywhere."""
+    """Show the progress of the newest generation until it is in force everywhere."""
 
     word: Word
 
 
 class Settle(NamedTuple):
-    """Tell whether the change with this operation id was committed."""
+    """Find out whether the change with this operation id was committed."""
 
     operation: Word
 
--- a/packages/zinniahook-cli/src/zinniahook_cli/syntax.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/syntax.py
@@ -1,4 +1,7 @@
-"""The statements of the language: help, completion and the reference page."""
+"""Syntax, meaning and examples of each statement.
+
+Help, completion and the reference page are made from these.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 class Entry(NamedTuple):
-    """How a statement is written, what it does, and examples."""
+    """The syntax of a statement, its meaning, and examples."""
 
     syntax: str
     meaning: str
@@ -19,8 +22,8 @@
     "show": Entry(
         "show VIEW [of SERVICE] [by COLUMN] [at GENERATION] "
         "[where COLUMN OPERATOR VALUE [and ...]]",
-        "Prints a table. `by` adds up the number columns of equal rows; "
-        "`~` matches a pattern with `*` and `?`; `at` asks for an older "
+        "Prints a table. `by` groups the rows by a column and adds up the number "
+        "columns; `~` matches a pattern with `*` and `?`; `at` selects an older "
         "generation of the configuration.",
         (
             "show services",
@@ -37,8 +40,8 @@
     "set": Entry(
         "set PATH = VALUE [, VALUE ...]",
         "Changes a setting: SERVICE.SETTING, SERVICE.CLASS.SETTING, "
-        "rollout.SETTING or operators.NAME.SETTING. A setting of classes "
-        "without a class is that of every class. `none` is the empty list.",
+        "rollout.SETTING or operators.NAME.SETTING. A class setting "
+        "without a class name applies to every class. `none` is the empty list.",
         (
             "set tally.queue = 64",
             "set tally.ticket.deadline = 2.5",
@@ -55,12 +58,12 @@
     ),
     "remove": Entry(
         "remove service|class|operator NAME",
-        "Takes it out. The number of a removed service is never used again.",
+        "Removes it. The number of a removed service is never used again.",
         ("remove class feed.all",),
     ),
     "apply": Entry(
         "apply FILE",
-        "Replaces the whole document by that of a TOML file.",
+        "Replaces the whole document with that of a TOML file.",
         ("apply first.toml",),
     ),
     "export": Entry(
@@ -70,29 +73,29 @@
     ),
     "begin": Entry(
         "begin",
-        "Opens a change: what follows is gathered until `commit` or `abort`.",
+        "Opens a change: the next changes are collected until `commit` or `abort`.",
         ("begin; set tally.queue = 64; set ledger.queue = 8; commit",),
     ),
     "commit": Entry(
         "commit",
-        "Checks the gathered change as a whole against the generation it was "
+        "Checks the collected change as a whole against the generation it was "
         "begun on and commits it as one generation, or refuses all of it.",
         ("commit",),
     ),
-    "abort": Entry("abort", "Forgets the gathered change.", ("abort",)),
+    "abort": Entry("abort", "Discards the collected change.", ("abort",)),
     "rollback": Entry(
         "rollback to GENERATION",
         "Commits the content of an older generation as a new one. Keys stay "
-        "as they are: an older key in use would cut newer flows.",
+        "as they are: putting an older key in use would break newer flows.",
         ("rollback to 41",),
     ),
     "drain": Entry(
         "drain target ADDRESS|NAME [force]\n"
         "drain entry NAME [force]\n"
         "drain data centre NAME [force]",
-        "Stops it gracefully and shows the progress until it is safe to take "
-        "away. Refused if a service would be left without targets, or all "
-        "without an entry, unless forced.",
+        "Stops it gracefully and shows the progress until it is safe to "
+        "remove. Refused if a service would have no targets left, or if no "
+        "entry would be left, unless forced.",
         (
             "drain target 10.0.0.7:9000",
             "drain entry entry-1",
@@ -109,8 +112,8 @@
     "rotate": Entry(
         "rotate keys [force]",
         "Adds new keys, waits until every daemon accepts them, then brings "
-        "them into use. Old keys stay accepted for a bounded time. Started "
-        "again after a stop, it goes on where it was.",
+        "them into use. Old keys stay accepted for a limited time. Run again "
+        "after an interruption, it resumes where it stopped.",
         ("rotate keys",),
     ),
     "watch": Entry(
@@ -121,7 +124,7 @@
     ),
     "settle": Entry(
         "settle OPERATION",
-        "Tells whether the change with this operation id was committed.",
+        "Shows whether the change with this operation id was committed.",
         ("settle 5f0c1e9a77d24b1c",),
     ),
     "report": Entry(
--- a/packages/zinniahook-cli/src/zinniahook_cli/tables.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/tables.py
@@ -1,4 +1,4 @@
-"""Tables of answers: filtered, grouped, printed aligned or as JSON."""
+"""Tables in answers: filters, grouping, and output as text or JSON."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 class Table(NamedTuple):
     """Rows of plain values under named columns.
 
-    ``notes`` are lines below the table, such as daemons that didn't answer.
+    ``notes`` are lines below the table, such as the daemons that didn't answer.
     """
 
     columns: tuple[str, ...]
@@ -39,12 +39,12 @@
 
 
 def filtered(table: Table, conditions: tuple[Condition, ...]) -> Table:
-    """Keep the rows for which every condition holds.
+    """Return the table with the rows that satisfy every condition.
 
     Raises
     ------
     CommandError
-        If a column isn't there or a number is compared with a text.
+        If a column is unknown or a number is compared with a text.
     """
     tests = [_test(table, condition) for condition in conditions]
     rows = tuple(row for row in table.rows if all(test(row) for test in tests))
@@ -52,7 +52,7 @@
 
 
 def grouped(table: Table, by: Word) -> Table:
-    """Add up the number columns of the rows that agree in column ``by``."""
+    """Group the rows by column ``by`` and add up the number columns."""
     index = _index(table, by)
     numbers = [
         position
@@ -70,7 +70,7 @@
 
 
 def as_text(table: Table) -> str:
-    """Align the columns; numbers stand at the right."""
+    """Return the table as aligned text, with numbers aligned to the right."""
     cells = [[_cell(value) for value in row] for row in table.rows]
     lines = [list(table.columns), *cells]
     widths = [
@@ -89,7 +89,7 @@
 
 
 def as_json(table: Table) -> str:
-    """Return the rows as objects by column, and the notes."""
+    """Return the rows, as objects by column, and the notes as JSON."""
     rows = [dict(zip(table.columns, row, strict=True)) for row in table.rows]
     return json.dumps({"rows": rows, "notes": list(table.notes)}, default=str)
 
--- a/packages/zinniahook-cli/src/zinniahook_cli/views.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/views.py
@@ -1,4 +1,4 @@
-"""The tables that ``show`` prints, in a registry."""
+"""The registered views, which are the tables that ``show`` prints."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class View(NamedTuple):
-    """A view with its columns' source and what it is for."""
+    """A view: the function that reads its table, and its description."""
 
     read: Callable[[Context, Show], Awaitable[Table]]
     meaning: str
@@ -50,7 +50,7 @@
     Raises
     ------
     ZinniahookError
-        If a name is unknown or the store gives no answer.
+        If a name is unknown or the store doesn't answer.
     """
     view = VIEWS_BY_NAME.get(statement.view.text)
     if view is None:
@@ -62,12 +62,12 @@
 
 
 def parse_generation(word: Word) -> int:
-    """Return the generation that a word names.
+    """Return the generation number in a word.
 
     Raises
     ------
     CommandError
-        If it is no whole number.
+        If it isn't a whole number.
     """
     if not word.text.isdecimal():
         raise CommandError("a generation is a whole number", word=word)
@@ -77,12 +77,12 @@
 async def stored_at(
     context: Context, generation: int, word: Word
 ) -> configurations.Stored:
-    """Read a generation that a word names.
+    """Read the stored generation that a word names.
 
     Raises
     ------
     ZinniahookError
-        A `CommandError` that points at the word if it isn't stored.
+        If it can't be read; a `CommandError` at the word if it isn't stored.
     """
     try:
         return await configurations.read(context.store, generation)
@@ -121,7 +121,7 @@
 
 @_view("services")
 async def _services(context: Context, statement: Show) -> Table:
-    """Services with their addresses and limits, as the configuration has them."""
+    """Services with their addresses and limits, from the configuration."""
     stored = await _stored(context, statement)
     rows = tuple(
         (
@@ -178,7 +178,7 @@
 
 @_view("history")
 async def _history(context: Context, statement: Show) -> Table:
-    """Kept generations with author, time and operation id, the newest first."""
+    """All stored generations with author, time and operation id, newest first."""
     manifests = await configurations.history(context.store)
     rows = tuple(
         (
@@ -213,7 +213,7 @@
 
 @_view("targets")
 async def _targets(context: Context, statement: Show) -> Table:
-    """Targets as the rosters have them, with each agent's own state."""
+    """Targets from the rosters, with the state that each agent reports."""
     fleet = await _fleet(context, statement)
     rows = []
     for service, member in fleet.agents:
@@ -238,7 +238,7 @@
 
 @_view("flows")
 async def _flows(context: Context, statement: Show) -> Table:
-    """Flows, requests and queues at each target, by its agent's own counts."""
+    """Flows, requests and queues at each target, as counted by its agent."""
     fleet = await _fleet(context, statement)
     rows = []
     for service, member in fleet.agents:
@@ -255,7 +255,7 @@
 
 @_view("imbalance")
 async def _imbalance(context: Context, statement: Show) -> Table:
-    """How unevenly each service's targets are loaded: most over mean."""
+    """Load imbalance between each service's targets: maximum over mean."""
     fleet = await _fleet(context, statement)
     replies_by_service: dict[str, list] = {}
     for service, member in fleet.agents:
@@ -309,7 +309,7 @@
 
 @_view("counters")
 async def _counters(context: Context, statement: Show) -> Table:
-    """Counters of every daemon; those of drops by result code."""
+    """Counters of every daemon; drops are counted by result code."""
     fleet = await _fleet(context, statement, counters=True)
     rows = []
     for reply in fleet.survey.answers_by_control.values():
@@ -349,7 +349,7 @@
 
 @_view("rollout")
 async def _rollout(context: Context, statement: Show) -> Table:
-    """How far the newest generation has come, by data centre."""
+    """Progress of the newest generation by data centre."""
     stored = await configurations.read(context.store)
     fleet = await _fleet(context, statement)
     counts: dict[str, list[int]] = {}
--- a/packages/zinniahook-cli/src/zinniahook_cli/waits.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/waits.py
@@ -1,4 +1,4 @@
-"""Waits until a generation is in force everywhere, by the daemons' own answers."""
+"""Waiting until every daemon reports a generation as in force."""
 
 from __future__ import annotations
 
@@ -17,17 +17,18 @@
 __all__ = ["wait_until_in_force"]
 
 POLL_INTERVAL_SECONDS = 0.25
-"""Seconds between two questions to the daemons that lag."""
+"""Seconds between two status requests to the lagging daemons."""
 
 ROSTER_READ_INTERVAL_SECONDS = 2.0
 """Seconds between two reads of the rosters while daemons lag."""
 
 
 async def wait_until_in_force(context: Context, generation: int) -> Answer:
-    """Ask the daemons until each has the generation in force.
+    """Poll the daemons until each has the generation in force.
 
-    Gives up after the operator's patience and names those that lag, from their
-    own answers: what the store holds says nothing of what has arrived.
+    After the ``patience`` of the settings, return an unfinished answer that names
+    the lagging daemons. Only their own replies count, as the store doesn't show
+    what has reached the daemons.
     """
     deadline = time.monotonic() + context.settings.patience
     poller = _ProgressPoller(context, generation)
@@ -49,10 +50,11 @@
 
 
 class _ProgressPoller:
-    """Asks the daemons again and again, but only those that lagged.
+    """Polls the daemons that don't have the generation in force yet.
 
-    No daemon goes back, so one that has the generation needn't be asked again;
-    among thousands only the few that lag cost more than one call.
+    Daemons never go back to an older generation, so each is polled only until it
+    has the generation. Among thousands, only the few that lag cost more than one
+    call.
     """
 
     def __init__(self, context: Context, generation: int) -> None:
@@ -63,7 +65,7 @@
         self._done: dict[Address, StatusReply] = {}
 
     async def poll(self) -> Progress | None:
-        """Return how far the generation is; None if no daemon is known."""
+        """Return the progress; None if the list of daemons was never read."""
         await self._read()
         fleet = self._fleet
         if fleet is None:
@@ -83,10 +85,10 @@
         return progress(self._generation, self._fleet.survey, self._fleet.unlisted)
 
     async def _read(self) -> None:
-        """Read now and then who there is; keep to what is known in an outage.
+        """Refresh the list of daemons at intervals; keep it during a store outage.
 
         Otherwise an outage just after a commit would turn the answer
-        "committed" into an error, and the operator would make it again.
+        "committed" into an error, and the operator would repeat the change.
         """
         if time.monotonic() - self._read_at < ROSTER_READ_INTERVAL_SECONDS:
             return
@@ -101,9 +103,7 @@
 
 def _line(generation: int, found: Progress | None) -> str:
     if found is None:
-        return (
-            f"generation {generation}: the store doesn't tell which daemons there are"
-        )
+        return f"generation {generation}: the store doesn't return the list of daemons"
     total = len(found.in_force) + len(found.lagging)
     line = f"generation {found.generation}: in force on {len(found.in_force)} of "
     line += f"{total} daemons"
