--- a/packages/zinniahook-cli/tests/conftest.py
+++ b/packages/zinniahook-cli/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A store stand-in and operators with certificates."""
+"""Fixtures: a fake store and sessions of operators with certificates."""
 
 import asyncio
 
@@ -46,7 +46,7 @@
 
 @pytest.fixture
 def store(store_process):
-    """The stand-in, empty and without faults."""
+    """Return the fake store, emptied and without injected faults."""
     store_process.set_faults(outage="", lose=0, lose_prefix="", late=0.0, delay=0.0)
     asyncio.run(clear(store_process.address))
     return store_process
@@ -61,7 +61,7 @@
 
 @pytest.fixture
 def session_of(store, authority):
-    """Make the session of an operator, by name."""
+    """Return a function that makes the session of a named operator."""
 
     def make(name="amina", timeout=2.0, **flags):
         files = authority.issue(name)
@@ -77,6 +77,6 @@
 
 @pytest.fixture
 def first(tmp_path):
-    """The statement that makes the first generation."""
+    """Return the statement that commits the first generation."""
     (tmp_path / "first.toml").write_text(FIRST)
     return f"apply {tmp_path / 'first.toml'}"
--- a/packages/zinniahook-cli/tests/test_changes.py
+++ b/packages/zinniahook-cli/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the document by statements, and who may make them."""
+"""Changes of the document by statements, and the rights to make them."""
 
 import pytest
 from zinniahook_cli.changes import change, not_permitted
@@ -85,10 +85,11 @@
         assert swapped.services_by_name["ledger"].address.port == 4433
 
     def test_a_setting_of_classes_needs_a_class(self, document):
-        """Symptom: no setting 'bare.queue'; did you mean 'bare.queue'?
+        """The error must not suggest the name that was typed.
 
-        Sequence: a service is created, a setting of its classes is set.
-        Cause: it has no class, while the list of settings had it.
+        It read "no setting 'bare.queue'; did you mean 'bare.queue'?" for a class
+        setting of a service without classes, as the list of known settings contained
+        the name.
         """
         bare = change(document, parse("create service bare number=9 address=1.1.1.1:1"))
         with pytest.raises(
--- a/packages/zinniahook-cli/tests/test_commits.py
+++ b/packages/zinniahook-cli/tests/test_commits.py
@@ -1,4 +1,4 @@
-"""Commits of operators against the store's stand-in, with its faults."""
+"""Commits of operators against the fake store, with injected faults."""
 
 import asyncio
 
@@ -116,10 +116,10 @@
 
 class TestRace:
     def test_the_second_of_two_operators_gets_a_conflict(self, session_of, first):
-        """
-        Symptom: a change silently undoes that of another operator.
-        Sequence: both begin on generation 1, both change, both commit.
-        Cause: the second was made on content that is no longer in force.
+        """A commit must not silently undo that of another operator.
+
+        Both begin on generation 1 and commit. The second change is then based on
+        content that is no longer in force.
         """
 
         async def scenario():
@@ -141,10 +141,10 @@
         asyncio.run(scenario())
 
     def test_many_at_once_never_lose_a_commit(self, session_of, first):
-        """
-        Symptom: two operators are told the same generation number.
-        Sequence: eight commit at once, each on the generation it has read.
-        Cause: the pointer was moved without comparing its revision.
+        """Two operators must not get the same generation number.
+
+        Eight commit at once, each on the generation that it has read. This fails if
+        the pointer is moved without comparing its revision.
         """
 
         async def scenario():
@@ -183,10 +183,10 @@
     def test_a_commit_whose_answer_is_lost_is_committed_once(
         self, session_of, first, store
     ):
-        """
-        Symptom: a change is reported as failed and made a second time.
-        Sequence: the pointer moves, its answer is lost, the client asks again.
-        Cause: a lost answer says nothing of whether the write took effect.
+        """A change whose answer is lost must not be made a second time.
+
+        The pointer moves, the answer is lost, and the client asks again. A lost
+        answer doesn't show whether the write took effect.
         """
 
         async def scenario():
@@ -200,10 +200,10 @@
         asyncio.run(scenario())
 
     def test_what_stays_unknown_can_be_settled(self, session_of, first, store):
-        """
-        Symptom: an operator can't tell whether her change is in force.
-        Sequence: every answer to the commit is lost, then the store recovers.
-        Cause: the client gave up before the store could be read.
+        """An operator must be able to find out whether a change is in force.
+
+        Every answer to the commit is lost, and the client gives up before the store
+        recovers.
         """
 
         async def scenario():
@@ -220,12 +220,11 @@
     def test_a_write_settled_as_refused_can_not_arrive_later(
         self, session_of, first, store
     ):
-        """
-        Symptom: a change comes into force long after its operator was told
-        that nothing had happened.
-        Sequence: the write is sent, its answer lost, the operation settled as
-        not committed, and only then does the write reach the store.
-        Cause: a write under way was taken for one that had failed.
+        """A change settled as refused must not come into force later.
+
+        The write is sent, its answer is lost, the operation is settled as not
+        committed, and only then does the write reach the store. This fails if a
+        write in flight counts as failed.
         """
 
         async def scenario():
@@ -241,8 +240,8 @@
                 amina.store, base, base.document, "amina", "late-one"
             )
             assert isinstance(outcome, Unknown)
-            # Arrives after all copies of the commit: once it is stored, none
-            # of them is under way any more.
+            # The marker arrives after all copies of the commit: once it is stored,
+            # no copy is in flight any more.
             store.set_faults(lose_prefix="/marker")
             await amina.store.put("/marker", b"")
             store.set_faults(lose=0, late=0.0)
@@ -265,10 +264,10 @@
     def test_nothing_changes_while_the_store_is_down(
         self, session_of, first, store, outage
     ):
-        """
-        Symptom: half of a change is in force after an outage.
-        Sequence: a change is begun, the store goes down, commit, it returns.
-        Cause: the writes of one change took effect one by one.
+        """A change must not be half in force after a store outage.
+
+        A change is begun, the store goes down, the change is committed, and the
+        store returns. This fails if the writes of a change take effect one by one.
         """
 
         async def scenario():
@@ -300,10 +299,10 @@
     def test_is_bounded_and_leaves_no_value_behind(
         self, session_of, first, store, monkeypatch
     ):
-        """
-        Symptom: the store fills up with old generations.
-        Sequence: many commits, each with a chunk of its own.
-        Cause: nothing deleted what no kept generation names.
+        """The store must not fill up with old generations.
+
+        Many commits each write a chunk of their own. This fails if chunks that no
+        kept generation names aren't deleted.
         """
         monkeypatch.setattr(configurations, "HISTORY_KEPT", 5)
         monkeypatch.setattr(configurations, "PRUNE_EVERY", 4)
--- a/packages/zinniahook-cli/tests/test_explanations.py
+++ b/packages/zinniahook-cli/tests/test_explanations.py
@@ -1,4 +1,4 @@
-"""``zinniahook explain`` on logs with clocks that disagree."""
+"""``zinniahook explain`` on logs of instances whose clocks differ."""
 
 import json
 
@@ -29,7 +29,7 @@
     line(150.0, "home", "flow.placed", flow=FLOW, opening=7, agent="10.0.0.2"),
     line(150.1, "home", "flow.placed", flow=OTHER, opening=8, agent="10.0.0.2"),
 ]
-# This one's clock is 100 s behind.
+# The clock of the owner is 100 s behind.
 OWNER = [
     line(0.0, "owner", "started", address="10.0.0.2"),
     line(50.0, "owner", "request.begun", flow=FLOW, opening=7, request="r1"),
@@ -96,9 +96,11 @@
         assert "crashed" in found.meaning
 
     def test_is_the_answer_if_only_the_closing_was_reset(self, tmp_path):
-        """Symptom: an answered request is told to have broken off. Sequence: its
-        client closes the flow seconds later, when its target is gone. Cause: any
-        reset of a flow counted as the end of all its requests."""
+        """An answered request must not be reported as reset.
+
+        Its client closes the flow seconds later, when the target is gone. The reset
+        that responds to the closing doesn't end the request.
+        """
         closed = line(58.0, "home", "reset.no_owner", flow=FLOW, packet="closing")
         lines = explanations.read_logs(
             written(tmp_path, owner=[*OWNER, closed], home=HOME)
@@ -137,10 +139,10 @@
         ],
     )
     def test_lines_with_other_types_are_passed_over(self, tmp_path, odd):
-        """Symptom: a traceback instead of an explanation.
+        """JSON of another program must not cause a traceback.
 
-        Sequence: one line among thousands is another program's. Cause: its
-        fields were used as if a daemon had written them.
+        This fails if fields are used without a check of the types that a daemon
+        writes.
         """
         fields = {"time": 1, "instance": "a", "event": "returned", "flow": FLOW}
         path = tmp_path / "odd.log"
--- a/packages/zinniahook-cli/tests/test_grammar.py
+++ b/packages/zinniahook-cli/tests/test_grammar.py
@@ -1,4 +1,4 @@
-"""The query and command language: what it reads, and where its errors point."""
+"""The query and command language: parsing, and the positions of errors."""
 
 import pytest
 from zinniahook_cli.grammar import CommandError, parse
@@ -64,10 +64,9 @@
 
     @pytest.mark.parametrize("space", ["\u00a0", "\u2028", "\x0b"])
     def test_an_unsupported_space_is_pointed_at(self, space):
-        """A statement was copied from a page.
+        """A no-break space at the end of a copied statement must not cause a traceback.
 
-        Symptom: a traceback. Sequence: the copy ends in a no-break space.
-        Cause: the parser refuses it, and no word follows that could be named.
+        The parser refuses it, and no word follows that the error could name.
         """
         with pytest.raises(CommandError) as caught:
             parse(f"show services{space}")
--- a/packages/zinniahook-cli/tests/test_losses.py
+++ b/packages/zinniahook-cli/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""``zinniahook losses``: why openings came, and which were late."""
+"""``zinniahook losses``: causes of openings, and late openings."""
 
 import json
 
--- a/packages/zinniahook-cli/tests/test_main.py
+++ b/packages/zinniahook-cli/tests/test_main.py
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def settings(store, authority, tmp_path):
-    """A settings file of amina, with paths relative to itself."""
+    """Return a settings file of amina, with paths relative to the file."""
     authority.issue("amina")
     path = authority.folder / "zinniahook.toml"
     path.write_text(
@@ -46,10 +46,10 @@
     def test_statements_that_cannot_be_read_are_a_wrong_use(
         self, settings, tmp_path, capsys
     ):
-        """Symptom: the JSON said refused, the status of the process 2.
+        """The JSON status must agree with the exit status.
 
-        Sequence: statements are to come from a file that isn't there.
-        Cause: the error had the code of a wrong configuration.
+        Statements are read from a missing file. The JSON said "refused" with exit
+        status 2, as the error had the code of an invalid configuration.
         """
         file = tmp_path / "none.txt"
         status = zinniahook(file=file, settings=settings, json=True)
@@ -66,11 +66,11 @@
         not pathlib.Path("/dev/full").exists(), reason="no full device here"
     )
     def test_an_answer_that_cannot_be_printed(self, settings, first):
-        """The answers go to a file on a disk that is full.
+        """An answer that can't be written must end with the status for unknown.
 
-        Symptom: a traceback, and the status of a wrong use, 1 or 120.
-        Sequence: a change is committed, its answer can't be written.
-        Cause: the error of the system; the operator must look what holds.
+        A change is committed and its answer goes to a full disk. Unhandled, the
+        error causes a traceback and status 1 or 120, which mean something else; the
+        operator has to look up what is in force.
         """
         with open("/dev/full", "w") as full:
             command = (sys.executable, "-m", "zinniahook_cli.main", "--settings")
--- a/packages/zinniahook-cli/tests/test_reports.py
+++ b/packages/zinniahook-cli/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports, the prompt's completion, stages and drains as pure functions."""
+"""Functions without I/O of reports, completion, rollouts and drains."""
 
 from hdrh.histogram import HdrHistogram
 from zinniahook_cli.daemons import NoReply, Survey, progress
--- a/packages/zinniahook-cli/tests/test_rotations.py
+++ b/packages/zinniahook-cli/tests/test_rotations.py
@@ -1,4 +1,4 @@
-"""Rings of keys while they are rotated, and which keys may be dropped."""
+"""Key rings during rotations, and which keys may be dropped."""
 
 import asyncio
 
@@ -37,10 +37,10 @@
         assert len(ring.tunnel_keys_by_number) == KEYS_KEPT
 
     def test_key_ids_wrap_around(self):
-        """
-        Symptom: the key in use is dropped, and every flow breaks.
-        Sequence: 256 rotations, the one-byte key id starts again from 0.
-        Cause: the oldest key was taken to be the one with the lowest id.
+        """The key in use must not be dropped, which breaks every flow.
+
+        After 256 rotations the one-byte key id begins again at 0. This fails if the
+        key with the lowest id counts as the oldest.
         """
         ring = rotated(new_keys(), 300)
         assert ring.flow_key == 301 % 256
@@ -61,10 +61,10 @@
     def test_a_key_that_open_flows_may_carry_is_not_dropped(
         self, session_of, first, monkeypatch
     ):
-        """
-        Symptom: streams that have been open for hours break at a rotation.
-        Sequence: keys are rotated again and again within an hour.
-        Cause: the ring is bounded and the oldest key was dropped too early.
+        """Streams that have been open for hours must survive rotations.
+
+        Keys are rotated repeatedly within an hour. The ring is bounded, so the oldest
+        key would be dropped too early.
         """
 
         async def scenario():
--- a/packages/zinniahook-cli/tests/test_views.py
+++ b/packages/zinniahook-cli/tests/test_views.py
@@ -1,4 +1,4 @@
-"""What `show` prints, from a store with rosters and daemons' own answers."""
+"""The views of `show`, from rosters in a store and replies of daemons."""
 
 import asyncio
 
@@ -41,7 +41,7 @@
 
 
 class FakeDaemons:
-    """Answers for one agent and one entry; the other agent is silent."""
+    """Replies for one agent and one entry; the other agent doesn't answer."""
 
     async def survey(self, controls, **_):
         answers = {
@@ -73,7 +73,10 @@
 
 @pytest.fixture
 def ask(session_of, first):
-    """Run statements in a session over a filled store; return the last answer."""
+    """Return a function that runs statements and returns the last answer.
+
+    The store holds a roster and the list of daemons.
+    """
 
     def start(text):
         async def scenario():
