--- a/packages/zinniahook-caller/src/zinniahook_caller/adapters.py
+++ b/packages/zinniahook-caller/src/zinniahook_caller/adapters.py
@@ -17,7 +17,7 @@
 
 __all__ = ["Adapter", "Http3Adapter", "Options", "adapter", "adapters_by_scheme"]
 
-IDLE_TIMEOUT = 60.0
+IDLE_TIMEOUT_SECONDS = 60.0
 
 
 class Options(NamedTuple):
@@ -95,13 +95,15 @@
         self.opened = 0
         self._moves = 0
         self._connection: Http3Connection | None = None
-        self._leaving: list[Http3Connection] = []
+        self._draining: list[Http3Connection] = []
         self._lock = asyncio.Lock()
 
     @property
     def moves(self) -> int:
         """How often a connection moved to a new port."""
-        return self._moves + sum(each.moves for each in self._held())
+        return self._moves + sum(
+            connection.moves for connection in self._all_connections()
+        )
 
     @property
     def connection(self) -> Http3Connection | None:
@@ -112,43 +114,43 @@
         """Send a request, on a new connection if need be."""
         connection = self._connection
         if connection is None or not connection.usable:
-            connection = await self._renew()
+            connection = await self._replace_connection()
         return connection.start(request, self._authority)
 
     async def close(self) -> None:
         """Close every connection."""
-        for connection in self._held():
-            self._shut(connection)
+        for connection in self._all_connections():
+            self._close_connection(connection)
         self._connection = None
-        self._leaving.clear()
+        self._draining.clear()
 
     @property
     def _authority(self) -> str:
         return f"{self.options.server_name or self.options.host}:{self.options.port}"
 
-    async def _renew(self) -> Http3Connection:
+    async def _replace_connection(self) -> Http3Connection:
         async with self._lock:
             current = self._connection
             if current is not None and current.usable:
                 return current
             self._connection = None
             if current is not None:
-                self._leaving.append(current)
+                self._draining.append(current)
             self._close_idle()
             self._connection = await self._connect()
             return self._connection
 
     def _close_idle(self) -> None:
-        for connection in list(self._leaving):
+        for connection in list(self._draining):
             if connection.lost or not connection.busy:
-                self._shut(connection)
-                self._leaving.remove(connection)
+                self._close_connection(connection)
+                self._draining.remove(connection)
 
-    def _held(self) -> list[Http3Connection]:
+    def _all_connections(self) -> list[Http3Connection]:
         current = [] if self._connection is None else [self._connection]
-        return current + self._leaving
+        return current + self._draining
 
-    def _shut(self, connection: Http3Connection) -> None:
+    def _close_connection(self, connection: Http3Connection) -> None:
         self._moves += connection.moves
         connection.shut()
 
@@ -161,8 +163,8 @@
                 await connection.open((options.host, options.port))
         except (TimeoutError, OSError) as error:
             connection.shut()
-            place = f"{options.host}:{options.port}"
-            raise ConnectError(f"no connection to {place}: {error!r}") from error
+            address = f"{options.host}:{options.port}"
+            raise ConnectError(f"no connection to {address}: {error!r}") from error
         except asyncio.CancelledError:
             connection.shut()
             raise
@@ -174,7 +176,7 @@
         configuration = QuicConfiguration(
             is_client=True,
             alpn_protocols=H3_ALPN,
-            idle_timeout=IDLE_TIMEOUT,
+            idle_timeout=IDLE_TIMEOUT_SECONDS,
             server_name=options.server_name or options.host,
             verify_mode=None if options.verify else ssl.CERT_NONE,
         )
--- a/packages/zinniahook-caller/src/zinniahook_caller/connections.py
+++ b/packages/zinniahook-caller/src/zinniahook_caller/connections.py
@@ -29,10 +29,10 @@
 
 __all__ = ["Exchange", "Http3Connection", "Silence", "WindowedQuicConnection"]
 
-WINDOW = 1 << 20
+STREAM_WINDOW_BYTES = 1 << 20
 """Bytes of one answer that may wait unread before the sender must stop."""
 
-LIMIT_FRAME_CAPACITY = 1 + 8 + 8
+MAX_LIMIT_FRAME_BYTES = 1 + 8 + 8
 
 
 class Silence(NamedTuple):
@@ -65,16 +65,16 @@
         if unread is None:
             super()._write_stream_limits(builder=builder, space=space, stream=stream)
             return
-        limit = stream.receiver.highest_offset - unread + WINDOW
+        limit = stream.receiver.highest_offset - unread + STREAM_WINDOW_BYTES
         # Half a window a time: a frame for every chunk read would cost more
         # than the data.
-        if limit - stream.max_stream_data_local >= WINDOW // 2:
+        if limit - stream.max_stream_data_local >= STREAM_WINDOW_BYTES // 2:
             stream.max_stream_data_local = limit
         if stream.max_stream_data_local_sent == stream.max_stream_data_local:
             return
         buffer = builder.start_frame(
             QuicFrameType.MAX_STREAM_DATA,
-            capacity=LIMIT_FRAME_CAPACITY,
+            capacity=MAX_LIMIT_FRAME_BYTES,
             handler=self._on_max_stream_data_delivery,
             handler_args=(stream,),
         )
@@ -198,16 +198,16 @@
         super().__init__(quic)
         self.moves = 0
         self.lost = False
-        self._begun = False
+        self._connect_started = False
         self._h3 = _Http3(quic)
         self._silence = silence
-        self._heard_at = self._loop.time()
+        self._last_received_at = self._loop.time()
         self._moved_at: float | None = None
         self._pinged_at = 0.0
         self._exchanges_by_stream: dict[int, Exchange] = {}
         self._remote: tuple[str, int] | None = None
         self._watchdog: asyncio.TimerHandle | None = None
-        self._moving: asyncio.Task[None] | None = None
+        self._move_task: asyncio.Task[None] | None = None
 
     @property
     def usable(self) -> bool:
@@ -236,7 +236,7 @@
         self._remote = remote
         await self._bind()
         self.connect(remote)
-        self._begun = True
+        self._connect_started = True
         try:
             await self.wait_connected()
         except BaseException:
@@ -246,8 +246,8 @@
                 self._connected_waiter.cancel()
                 self._connected_waiter = None
             raise
-        self._heard_at = self._loop.time()
-        self._watch()
+        self._last_received_at = self._loop.time()
+        self._check_silence()
 
     def start(self, request: Request, authority: str) -> Exchange:
         """Send a request.
@@ -260,7 +260,7 @@
         quic = self._quic
         if not self._exchanges_by_stream:
             # Silence counts from here: nothing was due before.
-            self._heard_at = self._loop.time()
+            self._last_received_at = self._loop.time()
         stream = quic.get_next_available_stream_id()
         exchange = Exchange(self, stream)
         self._exchanges_by_stream[stream] = exchange
@@ -292,9 +292,9 @@
 
     def cancel(self, exchange: Exchange) -> None:
         """Reset the stream of an exchange in both directions."""
-        known = self._exchanges_by_stream.pop(exchange.stream, None)
+        removed = self._exchanges_by_stream.pop(exchange.stream, None)
         self._quic.unread_by_stream.pop(exchange.stream, None)
-        if known is None or exchange.ended or self.lost:
+        if removed is None or exchange.ended or self.lost:
             return
         exchange.fail(AnswerCutError("cancelled"))
         code = ErrorCode.H3_REQUEST_CANCELLED
@@ -315,15 +315,15 @@
         """
         if self._watchdog is not None:
             self._watchdog.cancel()
-        if self._begun and not self.lost:
+        if self._connect_started and not self.lost:
             self.close()
-        self._lose(ConnectionLostError(reason))
+        self._mark_lost(ConnectionLostError(reason))
         if self._transport is not None:
             self._transport.close()
 
     def datagram_received(self, data: bytes | str, addr: Any) -> None:
         """Take a datagram; any one shows that the path works."""
-        self._heard_at = self._loop.time()
+        self._last_received_at = self._loop.time()
         self._moved_at = None
         super().datagram_received(data, addr)
 
@@ -334,7 +334,7 @@
         """Hand an event to the exchange that it is for."""
         if isinstance(event, ConnectionTerminated):
             reason = event.reason_phrase or f"error {event.error_code:#x}"
-            self._lose(ConnectionLostError(f"connection closed: {reason}"))
+            self._mark_lost(ConnectionLostError(f"connection closed: {reason}"))
             return
         was_usable = self.usable
         for http_event in self._h3.handle_event(event):
@@ -343,7 +343,7 @@
             for exchange in self._exchanges_by_stream.values():
                 exchange.leaving.set()
         if isinstance(event, StreamReset | StopSendingReceived):
-            self._reset(event)
+            self._receive_reset(event)
 
     def _dispatch(self, event: H3Event) -> None:
         exchange = self._exchanges_by_stream.get(getattr(event, "stream_id", -1))
@@ -353,9 +353,9 @@
             self._quic.unread_by_stream[exchange.stream] += len(event.data)
         exchange.receive(event)
         if exchange.ended:
-            self._forget(exchange.stream)
+            self._remove_exchange(exchange.stream)
 
-    def _reset(self, event: StreamReset | StopSendingReceived) -> None:
+    def _receive_reset(self, event: StreamReset | StopSendingReceived) -> None:
         rejected = event.error_code == ErrorCode.H3_REQUEST_REJECTED
         # The server may stop reading a request and still answer it; only
         # a rejection ends it.
@@ -368,20 +368,20 @@
             exchange.fail(RequestRejectedError("the server did not process it"))
         else:
             exchange.fail(AnswerCutError(f"stream reset: {event.error_code:#x}"))
-        self._forget(event.stream_id)
+        self._remove_exchange(event.stream_id)
 
-    def _forget(self, stream: int) -> None:
+    def _remove_exchange(self, stream: int) -> None:
         self._exchanges_by_stream.pop(stream, None)
         self._quic.unread_by_stream.pop(stream, None)
 
-    def _lose(self, error: ConnectionLostError) -> None:
+    def _mark_lost(self, error: ConnectionLostError) -> None:
         self.lost = True
         for exchange in list(self._exchanges_by_stream.values()):
             exchange.fail(error)
         self._exchanges_by_stream.clear()
         self._quic.unread_by_stream.clear()
 
-    def _watch(self) -> None:
+    def _check_silence(self) -> None:
         """Look for silence while answers are due.
 
         Something between the two ends may lose track of a connection: no
@@ -391,18 +391,18 @@
         if self.lost:
             return
         interval = self._silence.probe / 2
-        self._watchdog = self._loop.call_later(interval, self._watch)
+        self._watchdog = self._loop.call_later(interval, self._check_silence)
         if not self._exchanges_by_stream:
             return
         now = self._loop.time()
-        quiet = now - self._heard_at
-        if quiet >= self._silence.give_up:
+        silent_seconds = now - self._last_received_at
+        if silent_seconds >= self._silence.give_up:
             self.shut("connection went silent")
             return
-        if quiet >= self._silence.move and self._moved_at is None:
+        if silent_seconds >= self._silence.move and self._moved_at is None:
             self._moved_at = now
-            self._moving = self._loop.create_task(self._move())
-        if quiet >= self._silence.probe and now - self._pinged_at >= interval:
+            self._move_task = self._loop.create_task(self._move())
+        if silent_seconds >= self._silence.probe and now - self._pinged_at >= interval:
             self._pinged_at = now
             self._quic.send_ping(id(self))
             self.transmit()
--- a/packages/zinniahook-caller/src/zinniahook_caller/feeds.py
+++ b/packages/zinniahook-caller/src/zinniahook_caller/feeds.py
@@ -20,10 +20,10 @@
 
 EVENT_STREAM = "text/event-stream"
 
-QUEUED = 64
+MAX_QUEUED_EVENTS = 64
 """Events that may wait unread before the sender must stop."""
 
-LARGEST = 1 << 20
+MAX_EVENT_BYTES = 1 << 20
 """Bytes that one event may take."""
 
 NO_CONTENT = 204
@@ -59,9 +59,9 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
         self._size = 0
-        self._clear()
+        self._reset()
 
     def feed(self, chunk: bytes) -> list[Event]:
         """Take a chunk and return the events that it completes.
@@ -71,25 +71,25 @@
         FeedRefusedError
             If an event is larger than 1 MiB.
         """
-        text = self._rest + chunk
+        text = self._buffer + chunk
         # The second half of a line end may still be on its way.
-        held = text.endswith(b"\r")
+        ends_with_cr = text.endswith(b"\r")
         lines = text.replace(b"\r\n", b"\n")
-        lines = (lines[:-1] if held else lines).replace(b"\r", b"\n")
-        *whole, rest = lines.split(b"\n")
-        self._rest = rest + b"\r" if held else rest
-        events = [event for line in whole if (event := self._line(line))]
-        if self._size + len(self._rest) > LARGEST:
-            raise FeedRefusedError(f"an event larger than {LARGEST} bytes")
+        lines = (lines[:-1] if ends_with_cr else lines).replace(b"\r", b"\n")
+        *complete_lines, rest = lines.split(b"\n")
+        self._buffer = rest + b"\r" if ends_with_cr else rest
+        events = [event for line in complete_lines if (event := self._parse_line(line))]
+        if self._size + len(self._buffer) > MAX_EVENT_BYTES:
+            raise FeedRefusedError(f"an event larger than {MAX_EVENT_BYTES} bytes")
         return events
 
-    def _clear(self) -> None:
+    def _reset(self) -> None:
         self._id = ""
         self._kind = ""
         self._data: list[str] = []
         self._size = 0
 
-    def _line(self, line: bytes) -> Event | None:
+    def _parse_line(self, line: bytes) -> Event | None:
         if not line:
             return self._dispatch()
         self._size += len(line)
@@ -107,7 +107,7 @@
         event = None
         if self._data:
             event = Event(self._id, self._kind or "message", "\n".join(self._data))
-        self._clear()
+        self._reset()
         return event
 
 
@@ -162,8 +162,10 @@
         self._spread = spread
         self._backoff = backoff
         self._rng = rng
-        self._queue: asyncio.Queue[Event | BaseException | None] = asyncio.Queue(QUEUED)
-        self._overlap: set[str] | None = None
+        self._queue: asyncio.Queue[Event | BaseException | None] = asyncio.Queue(
+            MAX_QUEUED_EVENTS
+        )
+        self._overlap_ids: set[str] | None = None
         self._task: asyncio.Task[None] | None = None
 
     async def open(self) -> None:
@@ -199,15 +201,17 @@
         doubles: set[str] = set()
         try:
             while exchange is not None:
-                exchange = await self._follow(exchange, doubles)
-                doubles, self._overlap = self._overlap or set(), None
+                exchange = await self._read_until_reopened(exchange, doubles)
+                doubles, self._overlap_ids = self._overlap_ids or set(), None
                 self.reopened += exchange is not None
         except Exception as error:
             # Whoever iterates has to learn of it, not the log of the loop.
             end = error
         await self._queue.put(end)
 
-    async def _follow(self, exchange: Exchange, doubles: set[str]) -> Exchange | None:
+    async def _read_until_reopened(
+        self, exchange: Exchange, doubles: set[str]
+    ) -> Exchange | None:
         """Read an answer until the next one has begun; return that.
 
         What goes wrong: a server that leaves would cut the feed, or the feed
@@ -222,7 +226,7 @@
                 wait = self._rng.random() * self._spread.leaving
                 await asyncio.wait({reading}, timeout=wait)
             if reading.done():
-                self._lost(reading)
+                self._check_read_result(reading)
                 await asyncio.sleep(self._rng.random() * self._spread.lost)
             return await self._reopen()
         finally:
@@ -235,9 +239,9 @@
         parser = EventParser()
         async for chunk in exchange.chunks():
             for event in parser.feed(chunk):
-                await self._pass_on(event, doubles)
+                await self._deliver(event, doubles)
 
-    async def _pass_on(self, event: Event, doubles: set[str]) -> None:
+    async def _deliver(self, event: Event, doubles: set[str]) -> None:
         if event.id and event.id in doubles:
             self.doubles += 1
             return
@@ -248,10 +252,10 @@
             return
         doubles.clear()
         self.last_id = event.id
-        if self._overlap is not None:
-            self._overlap.add(event.id)
+        if self._overlap_ids is not None:
+            self._overlap_ids.add(event.id)
 
-    def _lost(self, reading: asyncio.Task[None]) -> None:
+    def _check_read_result(self, reading: asyncio.Task[None]) -> None:
         error = reading.exception()
         if isinstance(error, FeedRefusedError):
             raise error
@@ -265,12 +269,12 @@
         while True:
             # Until the new answer takes over, the old one may still bring
             # events that the new one will bring as well.
-            self._overlap = {self.last_id}
+            self._overlap_ids = {self.last_id}
             attempt += 1
             least = 0.0
-            after = self.last_id
+            after_id = self.last_id
             try:
-                opened = await self._send(after)
+                opened = await self._send(after_id)
             except OutcomeError as error:
                 least = error.retry_after
             else:
@@ -279,7 +283,7 @@
                     return None
                 # An answer that began before any id was known says nothing
                 # of what the old one has brought meanwhile: ask again.
-                stale = not after and self.last_id
+                stale = not after_id and self.last_id
                 if opened.status < SERVER_ERROR and not stale:
                     return _accept(opened)
                 opened.exchange.cancel()
--- a/packages/zinniahook-caller/src/zinniahook_caller/sessions.py
+++ b/packages/zinniahook-caller/src/zinniahook_caller/sessions.py
@@ -32,8 +32,8 @@
 
 __all__ = ["Session", "StreamedResponse"]
 
-DEFAULT_DEADLINE = 30.0
-MAX_KEY = 128
+DEFAULT_DEADLINE_SECONDS = 30.0
+MAX_KEY_BYTES = 128
 
 
 class Call:
@@ -146,7 +146,7 @@
         server_name: str | None = None,
         verify: bool = True,
         scheme: str = "h3",
-        deadline: float = DEFAULT_DEADLINE,
+        deadline: float = DEFAULT_DEADLINE_SECONDS,
         backoff: Backoff | None = None,
         silence: Silence | None = None,
         spread: Spread | None = None,
@@ -300,8 +300,8 @@
         fields = {**(headers or {}), "accept": EVENT_STREAM}
 
         async def send(after: str) -> Opened:
-            named = {**fields, "last-event-id": after} if after else fields
-            request = _prepare("GET", path, named, b"", None, None)
+            named_headers = {**fields, "last-event-id": after} if after else fields
+            request = _prepare("GET", path, named_headers, b"", None, None)
             return Opened(*await self._send(self._call(request, deadline, True)))
 
         feed = Feed(send, self._spread, self._backoff, self._rng, last_id)
@@ -354,7 +354,7 @@
             finally:
                 if exchange is not None and not answered:
                     exchange.cancel()
-            await self._refused(call, status, fields)
+            await self._handle_refusal(call, status, fields)
 
     async def _retry(self, call: Call, error: CallerError) -> None:
         """Wait after a lost attempt, or raise if it must not be repeated."""
@@ -368,7 +368,9 @@
             raise error
         await self._wait(call, 0.0, str(error))
 
-    async def _refused(self, call: Call, status: int, fields: dict[str, str]) -> None:
+    async def _handle_refusal(
+        self, call: Call, status: int, fields: dict[str, str]
+    ) -> None:
         """Wait after an answer of the system, or raise if it is final."""
         kind = outcome_of(status, fields)
         wait = retry_after(fields)
@@ -417,8 +419,8 @@
     if key is None and method == "POST":
         key = fields.get("idempotency-key") or uuid.uuid4().hex
     if key:
-        if len(key.encode("latin-1", "replace")) > MAX_KEY:
-            raise InvalidRequestError(f"key longer than {MAX_KEY} bytes")
+        if len(key.encode("latin-1", "replace")) > MAX_KEY_BYTES:
+            raise InvalidRequestError(f"key longer than {MAX_KEY_BYTES} bytes")
         fields["idempotency-key"] = key
     if data:
         fields.setdefault("content-length", str(len(data)))
--- a/packages/zinniahook-caller/tests/conftest.py
+++ b/packages/zinniahook-caller/tests/conftest.py
@@ -24,10 +24,10 @@
 class Server(QuicConnectionProtocol):
     """Collects requests and hands them to the test's script."""
 
-    def __init__(self, script, served, *args, **kwargs):
+    def __init__(self, script, requests, *args, **kwargs):
         super().__init__(*args, **kwargs)
         self.script = script
-        self.served = served
+        self.requests = requests
         self.h3 = H3Connection(self._quic)
         self.headers = {}
         self.bodies = {}
@@ -51,7 +51,7 @@
     def serve_request(self, stream):
         body = self.bodies.get(stream, b"")
         received = Received(self, stream, self.headers[stream], body)
-        self.served.append(received)
+        self.requests.append(received)
         self.script(received)
         self.transmit()
 
@@ -77,11 +77,11 @@
         self.transmit()
 
 
-class Running(NamedTuple):
+class RunningServer(NamedTuple):
     """A running server: where it is and what it got."""
 
     address: str
-    served: list
+    requests: list
     connections: list
 
 
@@ -97,12 +97,12 @@
 
     def runner(script, test):
         async def main():
-            served, connections = [], []
+            requests, connections = [], []
             configuration = QuicConfiguration(is_client=False, alpn_protocols=H3_ALPN)
             configuration.load_cert_chain(certificate.certificate, certificate.key)
 
             def make(*args, **kwargs):
-                connections.append(Server(script, served, *args, **kwargs))
+                connections.append(Server(script, requests, *args, **kwargs))
                 return connections[-1]
 
             server = await serve(
@@ -111,7 +111,7 @@
             host, port = server._transport.get_extra_info("sockname")[:2]
             try:
                 async with asyncio.timeout(30):
-                    await test(Running(f"{host}:{port}", served, connections))
+                    await test(RunningServer(f"{host}:{port}", requests, connections))
             finally:
                 server.close()
 
--- a/packages/zinniahook-caller/tests/test_feeds.py
+++ b/packages/zinniahook-caller/tests/test_feeds.py
@@ -6,13 +6,13 @@
 from aioquic.h3.connection import ErrorCode
 from hypothesis import given, strategies
 from zinniahook_caller import Backoff, Event, FeedRefusedError, Session, Spread
-from zinniahook_caller.feeds import LARGEST, EventParser
+from zinniahook_caller.feeds import MAX_EVENT_BYTES, EventParser
 
 LAST_STREAM = (1 << 62) - 4
-AT_ONCE = Spread(leaving=0.0, lost=0.0)
+NO_SPREAD = Spread(leaving=0.0, lost=0.0)
 
 
-class Source:
+class FeedServer:
     """A server's feed of numbers, opened and written to by the test."""
 
     def __init__(self):
@@ -30,7 +30,7 @@
     received.server.transmit()
 
 
-def session(running, certificate, spread=AT_ONCE):
+def session(running, certificate, spread=NO_SPREAD):
     return Session(
         running.address,
         ca=str(certificate.authority),
@@ -52,7 +52,9 @@
 
 
 class TestFeed:
-    def test_it_goes_on_elsewhere_when_its_server_leaves(self, run, certificate):
+    def test_continues_on_another_connection_when_its_server_leaves(
+        self, run, certificate
+    ):
         """
         Symptom: a foreman's tally breaks off when a target is replaced.
         Sequence: the server sends GOAWAY and goes on for a while; the feed is
@@ -80,7 +82,7 @@
                 assert await take(feed, 3) == [3, 4, 5]
                 assert (feed.reopened, feed.cuts) == (1, 0)
 
-        run(source := Source(), check)
+        run(source := FeedServer(), check)
 
     def test_the_old_answer_is_read_until_the_new_one_begins(self, run, certificate):
         """
@@ -89,14 +91,14 @@
         old one brings further events, which the new one then repeats.
         Cause: the old answer was given up before the new one had begun.
         """
-        held = []
+        requests = []
 
         def script(received):
-            if source.opened.empty() and not held:
-                held.append(received)
+            if source.opened.empty() and not requests:
+                requests.append(received)
                 source(received)
             else:
-                held.append(received)
+                requests.append(received)
 
         async def check(running):
             async with (
@@ -107,20 +109,20 @@
                 send(old, 1)
                 assert await take(feed, 1) == [1]
                 old.server.go_away(LAST_STREAM)
-                while len(held) < 2:
+                while len(requests) < 2:
                     await asyncio.sleep(0)
                 send(old, 2, 3)
                 assert await take(feed, 2) == [2, 3]
-                source(held[1])
-                send(held[1], 2, 3, 4)
+                source(requests[1])
+                send(requests[1], 2, 3, 4)
                 assert await take(feed, 1) == [4]
                 assert feed.doubles == 2
 
-        source = Source()
+        source = FeedServer()
         run(script, check)
 
     @pytest.mark.parametrize("way", ["reset", "close", "end"])
-    def test_it_goes_on_after_it_was_cut(self, run, certificate, way):
+    def test_continues_after_it_was_cut(self, run, certificate, way):
         """
         Symptom: a feed has a gap where its connection was lost.
         Sequence: the answer is cut, ends, or its connection is closed.
@@ -146,9 +148,9 @@
                 assert await take(feed, 1) == [9]
                 assert feed.cuts == (way != "end")
 
-        run(source := Source(), check)
+        run(source := FeedServer(), check)
 
-    def test_feeds_of_one_server_dont_come_back_together(self, run, certificate):
+    def test_feeds_of_one_server_do_not_reopen_together(self, run, certificate):
         """
         Symptom: the other targets refuse callers whenever one is replaced.
         Sequence: a server with many feeds sends GOAWAY.
@@ -157,28 +159,28 @@
 
         async def check(running):
             async with session(running, certificate, Spread(3600.0, 0.0)) as caller:
-                caller._rng = Draws(0.0, 0.5)
+                caller._rng = FixedRandom(0.0, 0.5)
                 async with (
                     caller.events("/feed") as soon,
                     caller.events("/feed") as later,
                 ):
-                    olds = [await source.opened.get() for _ in range(2)]
-                    for old in olds:
+                    old_answers = [await source.opened.get() for _ in range(2)]
+                    for old in old_answers:
                         send(old, 1)
                     assert await take(soon, 1) == await take(later, 1) == [1]
-                    olds[0].server.go_away(LAST_STREAM)
+                    old_answers[0].server.go_away(LAST_STREAM)
                     new = await source.opened.get()
-                    assert new.server is not olds[0].server
+                    assert new.server is not old_answers[0].server
                     send(new, 2)
-                    for old in olds:
+                    for old in old_answers:
                         send(old, 2, 3)
                     assert await take(later, 2) == [2, 3]
                     assert (soon.reopened, later.reopened) == (1, 0)
                     assert source.opened.empty()
 
-        run(source := Source(), check)
+        run(source := FeedServer(), check)
 
-    def test_an_answer_that_is_no_feed_is_told(self, run, certificate):
+    def test_an_answer_that_is_no_feed_is_an_error(self, run, certificate):
         def plain(received):
             received.server.answer(received.stream, 404, body=b"no")
 
@@ -205,11 +207,11 @@
             ):
                 assert [event.id async for event in feed] == ["1"]
 
-        source = Source()
+        source = FeedServer()
         run(script, check)
 
 
-class Draws:
+class FixedRandom:
     """Random numbers as the test has them."""
 
     def __init__(self, *draws):
@@ -251,4 +253,4 @@
         parser = EventParser()
         with pytest.raises(FeedRefusedError):
             for _ in range(3):
-                parser.feed(b"data: " + b"x" * (LARGEST // 2) + b"\n")
+                parser.feed(b"data: " + b"x" * (MAX_EVENT_BYTES // 2) + b"\n")
--- a/packages/zinniahook-caller/tests/test_sessions.py
+++ b/packages/zinniahook-caller/tests/test_sessions.py
@@ -17,23 +17,23 @@
     UnknownOutcomeError,
 )
 from zinniahook_caller.adapters import Http3Adapter, Options
-from zinniahook_caller.connections import WINDOW
+from zinniahook_caller.connections import STREAM_WINDOW_BYTES
 
-QUICK = Backoff(base=0.001, limit=0.01)
+FAST_BACKOFF = Backoff(base=0.001, limit=0.01)
 
 
 def session(running, certificate, **kwargs):
-    kwargs.setdefault("backoff", QUICK)
+    kwargs.setdefault("backoff", FAST_BACKOFF)
     kwargs.setdefault("rng", random.Random(1))
     return Session(running.address, ca=str(certificate.authority), **kwargs)
 
 
 def scripted(*answers):
     """Answer the n-th request by the n-th function, the last one for ever."""
-    left = list(answers)
+    remaining = list(answers)
 
     def script(received):
-        answer = left.pop(0) if len(left) > 1 else left[0]
+        answer = remaining.pop(0) if len(remaining) > 1 else remaining[0]
         answer(received)
 
     return script
@@ -54,7 +54,7 @@
     )
 
 
-def say(kind, status=502):
+def answer_outcome(kind, status=502):
     def answer(received):
         received.server.answer(received.stream, status, zinniahook_outcome=kind)
 
@@ -95,11 +95,11 @@
                 answer = await caller.post("/tickets", json={"ticket": 1})
                 assert answer.json() == {"ticket": 1}
                 assert answer.attempts == 3
-            headers = [received.headers for received in running.served]
+            headers = [received.headers for received in running.requests]
             assert len({fields["idempotency-key"] for fields in headers}) == 1
             assert [f["zinniahook-attempt"] for f in headers] == ["1", "2", "3"]
-            left = [float(fields["zinniahook-deadline"]) for fields in headers]
-            assert left == sorted(left, reverse=True)
+            remaining = [float(fields["zinniahook-deadline"]) for fields in headers]
+            assert remaining == sorted(remaining, reverse=True)
 
         run(scripted(refuse, reject, done), check)
 
@@ -108,16 +108,20 @@
         [
             (refuse, NotRunError, OutcomeKind.NOT_RUN),
             (reject, NotRunError, OutcomeKind.NOT_RUN),
-            (say("in-progress", 409), InProgressError, OutcomeKind.IN_PROGRESS),
-            (say("unknown"), UnknownOutcomeError, OutcomeKind.UNKNOWN),
-            (say("new-in-2030"), UnknownOutcomeError, OutcomeKind.UNKNOWN),
             (
-                say("cancelled-before", 499),
+                answer_outcome("in-progress", 409),
+                InProgressError,
+                OutcomeKind.IN_PROGRESS,
+            ),
+            (answer_outcome("unknown"), UnknownOutcomeError, OutcomeKind.UNKNOWN),
+            (answer_outcome("new-in-2030"), UnknownOutcomeError, OutcomeKind.UNKNOWN),
+            (
+                answer_outcome("cancelled-before", 499),
                 RequestCancelledError,
                 OutcomeKind.CANCELLED_BEFORE,
             ),
             (
-                say("cancelled-after", 499),
+                answer_outcome("cancelled-after", 499),
                 RequestCancelledError,
                 OutcomeKind.CANCELLED_AFTER,
             ),
@@ -170,12 +174,12 @@
             async with session(running, certificate) as caller:
                 with pytest.raises(UnknownOutcomeError):
                     await caller.post("/tickets", data=b"x", key="")
-            assert len(running.served) == 1
-            assert "idempotency-key" not in running.served[0].headers
+            assert len(running.requests) == 1
+            assert "idempotency-key" not in running.requests[0].headers
 
         run(scripted(cut, done), check)
 
-    def test_refused_after_a_cut_get_is_not_told_as_certain(self, run, certificate):
+    def test_refusal_after_a_cut_get_is_not_reported_as_certain(self, run, certificate):
         async def check(running):
             patient = Backoff(base=0.001, limit=0.001)
             async with session(running, certificate, backoff=patient) as caller:
@@ -235,7 +239,7 @@
 
         run(script, check)
 
-    def test_silent_path_is_left_by_a_new_port(self, run, certificate):
+    def test_silent_path_is_replaced_by_a_new_port(self, run, certificate):
         """An open feed goes silent for good.
 
         Symptom: a foreman's feed shows nothing, and no error comes.
@@ -243,23 +247,23 @@
         datagrams of its old port are dropped from then on.
         Cause: the caller waited for an error that never comes.
         """
-        silent = set()
+        blocked_addresses = set()
 
         def script(received):
             received.server.h3.send_headers(received.stream, [(b":status", b"200")])
             received.server.h3.send_data(received.stream, b"one\n", end_stream=False)
 
         async def check(running):
-            limits = Silence(probe=0.1, move=0.3, give_up=5.0)
+            silence = Silence(probe=0.1, move=0.3, give_up=5.0)
             async with (
-                session(running, certificate, silence=limits) as caller,
+                session(running, certificate, silence=silence) as caller,
                 caller.stream("GET", "/tally/feed") as feed,
             ):
                 lines = feed.iter_lines()
                 assert await anext(lines) == b"one"
                 (server,) = running.connections
-                block(server, silent)
-                silent.update(server.addresses)
+                block(server, blocked_addresses)
+                blocked_addresses.update(server.addresses)
                 server.h3.send_data(0, b"two\n", end_stream=True)
                 server.transmit()
                 assert await anext(lines) == b"two"
@@ -285,8 +289,8 @@
             done(received)
 
         async def check(running):
-            limits = Silence(probe=0.1, move=0.2, give_up=0.6)
-            async with session(running, certificate, silence=limits) as caller:
+            silence = Silence(probe=0.1, move=0.2, give_up=0.6)
+            async with session(running, certificate, silence=silence) as caller:
                 answer = await caller.post("/tickets", data=b"x")
                 assert answer.attempts == 2
                 assert caller.adapter.opened == 2
@@ -313,7 +317,7 @@
                 sender = running.connections[0]._quic._streams[0]
                 while sender.sender.highest_offset < sender.max_stream_data_remote:
                     await asyncio.sleep(0.01)
-                assert sender.max_stream_data_remote == WINDOW
+                assert sender.max_stream_data_remote == STREAM_WINDOW_BYTES
                 total = 0
                 async for chunk in ledger.iter_content():
                     total += len(chunk)
@@ -335,7 +339,7 @@
                 async with caller.stream("GET", "/tally/feed", deadline=5) as feed:
                     assert await feed.read() == b"whole"
                 await caller.get("/ledger", deadline=5)
-            streamed, whole = (received.headers for received in running.served)
+            streamed, whole = (received.headers for received in running.requests)
             assert "zinniahook-deadline" not in streamed
             assert "zinniahook-deadline" in whole
 
@@ -358,11 +362,11 @@
 
         run(script, check)
 
-    def test_nobody_there_is_certainly_not_run(self, run, certificate):
+    def test_an_unreachable_service_is_certainly_not_run(self, run, certificate):
         async def check(running):
-            limits = Silence()
+            silence = Silence()
             caller = Session(
-                "127.0.0.1:9", ca=str(certificate.authority), silence=limits
+                "127.0.0.1:9", ca=str(certificate.authority), silence=silence
             )
             with pytest.raises(NotRunError) as caught:
                 await caller.post("/tickets", deadline=0.2)
@@ -372,32 +376,32 @@
         run(scripted(done), check)
 
 
-def block(server, silent):
+def block(server, blocked_addresses):
     """Drop what the server sends to, and gets from, silent addresses."""
     receive = server.datagram_received
     transport = server._transport
 
-    class Path:
+    class FilteredTransport:
         def sendto(self, data, addr):
-            if addr not in silent:
+            if addr not in blocked_addresses:
                 transport.sendto(data, addr)
 
         def __getattr__(self, name):
             return getattr(transport, name)
 
-    server._transport = Path()
+    server._transport = FilteredTransport()
     server.datagram_received = lambda data, addr: (
-        None if addr in silent else receive(data, addr)
+        None if addr in blocked_addresses else receive(data, addr)
     )
 
 
-class TestConnectionGivenUpBeforeItBegan:
+class TestConnectTimeoutBeforeTheSocketIsOpen:
     """Symptom: a call ends with an IndexError while the machine is busy.
     Sequence: the time to connect passes while the socket is being opened.
     Cause: the connection was closed though it had no path yet.
     """
 
-    def test_the_caller_hears_of_no_connection(self):
+    def test_raises_connect_error(self):
         async def check():
             options = Options("127.0.0.1", 9, connect_timeout=0.0)
             with pytest.raises(ConnectError):
