--- a/packages/zinniahook-caller/src/zinniahook_caller/__init__.py
+++ b/packages/zinniahook-caller/src/zinniahook_caller/__init__.py
@@ -1,7 +1,7 @@
 """HTTP/3 caller library that retries safely.
 
 A call keeps one Idempotency-Key over all its attempts, honours Retry-After,
-deadlines and GOAWAY, and goes on when a connection falls silent.
+deadlines and GOAWAY, and recovers from connections that go silent.
 """
 
 from .adapters import Adapter, Http3Adapter, Options, adapter, adapters_by_scheme
--- a/packages/zinniahook-caller/src/zinniahook_caller/adapters.py
+++ b/packages/zinniahook-caller/src/zinniahook_caller/adapters.py
@@ -1,4 +1,4 @@
-"""Transport adapters, registered by scheme; ``h3`` is the one built in."""
+"""Transport adapters, registered by scheme; ``h3`` is built in."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class Options(NamedTuple):
-    """How to reach a service.
+    """Address and connection settings of a service.
 
-    ``ca`` names a PEM file of the authorities to trust, None those of the
-    system. ``connect_timeout`` is in seconds.
+    ``ca`` is a PEM file of trusted authorities; None trusts those of the system.
+    ``connect_timeout`` is in seconds.
     """
 
     host: str
@@ -42,7 +42,7 @@
     Parameters
     ----------
     options : Options
-        How to reach the service.
+        Address and connection settings of the service.
     """
 
     def __init__(self, options: Options) -> None:
@@ -55,7 +55,7 @@
         Raises
         ------
         ConnectError
-            If it certainly was not sent.
+            If the request was certainly not sent.
         """
 
     @abc.abstractmethod
@@ -80,14 +80,14 @@
 class Http3Adapter(Adapter):
     """HTTP/3 with one connection for new requests.
 
-    A connection that the server wants to leave (GOAWAY), or that was lost,
-    is replaced for new requests; the answers still due on it may finish.
+    A connection that was lost, or on which the server sent GOAWAY, is replaced
+    for new requests. Pending answers on it may still finish.
 
     Attributes
     ----------
     opened, moves : int
-        Connections opened, and how often one that fell silent went on from
-        a new port.
+        Number of connections opened, and how often a silent connection moved to
+        a new local port.
     """
 
     def __init__(self, options: Options) -> None:
@@ -100,7 +100,7 @@
 
     @property
     def moves(self) -> int:
-        """How often a connection moved to a new port."""
+        """Number of moves of a connection to a new local port."""
         return self._moves + sum(
             connection.moves for connection in self._all_connections()
         )
@@ -111,7 +111,7 @@
         return self._connection
 
     async def open(self, request: Request) -> Exchange:
-        """Send a request, on a new connection if need be."""
+        """Send a request, on a new connection if necessary."""
         connection = self._connection
         if connection is None or not connection.usable:
             connection = await self._replace_connection()
@@ -184,5 +184,7 @@
             try:
                 configuration.load_verify_locations(cafile=options.ca)
             except OSError as error:
-                raise InvalidRequestError(f"no such file: {options.ca}") from error
+                raise InvalidRequestError(
+                    f"can't read the authorities in {options.ca}"
+                ) from error
         return configuration
--- a/packages/zinniahook-caller/src/zinniahook_caller/connections.py
+++ b/packages/zinniahook-caller/src/zinniahook_caller/connections.py
@@ -1,4 +1,4 @@
-"""One HTTP/3 connection on aioquic, which survives a path that went silent."""
+"""An HTTP/3 connection on aioquic that survives a silent network path."""
 
 from __future__ import annotations
 
@@ -30,17 +30,18 @@
 __all__ = ["Exchange", "Http3Connection", "Silence", "WindowedQuicConnection"]
 
 STREAM_WINDOW_BYTES = 1 << 20
-"""Bytes of one answer that may wait unread before the sender must stop."""
+"""Unread bytes of an answer after which the sender must pause."""
 
 MAX_LIMIT_FRAME_BYTES = 1 + 8 + 8
 
 
 class Silence(NamedTuple):
-    """After how many seconds without a packet, while answers are due, to act.
+    """Timeouts for a connection with pending answers that receives no packets.
 
-    First a PING is sent; then the connection moves to a new local port;
-    then it is given up. Moving keeps every answer in progress when only the
-    path has lost track of the old port.
+    All are in seconds since the last packet. After ``probe`` a PING is sent, after
+    ``move`` the connection moves to a new local port, and after ``give_up`` it is
+    closed. A move keeps the answers in progress if only the path has lost the
+    state of the old port.
     """
 
     probe: float = 1.0
@@ -49,11 +50,11 @@
 
 
 class WindowedQuicConnection(QuicConnection):
-    """A QUIC connection whose streams are bounded by what was read.
+    """A QUIC connection whose stream limits follow the reader.
 
-    aioquic doubles a stream's limit as data arrives, read or not, so that a
-    slow reader of a large export would end up with all of it in memory.
-    Here the limit follows the reader, and the sender waits for it.
+    aioquic doubles a stream's limit as data arrives, whether or not it is read, so
+    a slow reader of a large export would hold all of it in memory. Here the limit
+    grows only as data is read, and the sender waits.
     """
 
     def __init__(self, **kwargs: Any) -> None:
@@ -66,8 +67,8 @@
             super()._write_stream_limits(builder=builder, space=space, stream=stream)
             return
         limit = stream.receiver.highest_offset - unread + STREAM_WINDOW_BYTES
-        # Half a window a time: a frame for every chunk read would cost more
-        # than the data.
+        # Raise the limit by at least half a window: a frame for every chunk read
+        # would cost more than the data.
         if limit - stream.max_stream_data_local >= STREAM_WINDOW_BYTES // 2:
             stream.max_stream_data_local = limit
         if stream.max_stream_data_local_sent == stream.max_stream_data_local:
@@ -84,7 +85,7 @@
 
 
 class _Http3(H3Connection):
-    """HTTP/3 that notices GOAWAY, which aioquic skips."""
+    """HTTP/3 connection that records GOAWAY frames, which aioquic ignores."""
 
     going_away = False
 
@@ -95,9 +96,9 @@
 
 
 class Exchange:
-    """One request and its answer on one stream.
+    """A request and its answer on one stream.
 
-    ``leaving`` is set once the server wants to be left (GOAWAY).
+    ``leaving`` is set once the server has sent GOAWAY.
     """
 
     def __init__(self, connection: Http3Connection, stream: int) -> None:
@@ -118,17 +119,17 @@
         Raises
         ------
         CallerError
-            If none come: see `Http3Connection.start`.
+            If they don't arrive; see `Http3Connection.start`.
         """
         return await asyncio.shield(self._head)
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body as it arrives; the sender waits for the reader.
+        """Yield the body as it arrives; an unread body pauses the sender.
 
         Raises
         ------
         CallerError
-            If the answer is cut.
+            If the answer is cut off.
         """
         while True:
             while self._chunks:
@@ -147,11 +148,11 @@
         return b"".join([chunk async for chunk in self.chunks()])
 
     def cancel(self) -> None:
-        """Give the answer up, and tell the server."""
+        """Cancel the request and reset its stream."""
         self._connection.cancel(self)
 
     def receive(self, event: H3Event) -> None:
-        """Take an event of the stream."""
+        """Process an event of the stream."""
         if isinstance(event, HeadersReceived):
             self._receive_headers(event.headers)
         elif isinstance(event, DataReceived) and event.data:
@@ -169,7 +170,7 @@
         self._error = error
         if not self._head.done():
             self._head.set_exception(error)
-            # Nobody may be waiting any more; asyncio would log that.
+            # Without a waiter, asyncio would log the exception as never retrieved.
             self._head.exception()
         self._changed.set()
 
@@ -188,10 +189,9 @@
 
 
 class Http3Connection(QuicConnectionProtocol):
-    """One HTTP/3 connection as a datagram protocol.
+    """An HTTP/3 connection as a datagram protocol.
 
-    Answers are matched by stream, so that they may come late and in any
-    order.
+    Answers are matched to requests by stream, so they may arrive in any order.
     """
 
     def __init__(self, quic: WindowedQuicConnection, silence: Silence) -> None:
@@ -216,7 +216,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether answers are due."""
+        """Whether answers are pending."""
         return bool(self._exchanges_by_stream)
 
     @property
@@ -240,8 +240,8 @@
         try:
             await self.wait_connected()
         except BaseException:
-            # aioquic fails the waiter when the connection ends later, and
-            # asyncio would log an error that nobody took.
+            # aioquic sets an error on the waiter when the connection ends later,
+            # which asyncio would log as never retrieved.
             if self._connected_waiter is not None:
                 self._connected_waiter.cancel()
                 self._connected_waiter = None
@@ -259,7 +259,7 @@
         """
         quic = self._quic
         if not self._exchanges_by_stream:
-            # Silence counts from here: nothing was due before.
+            # No answer was pending before, so the silence begins now.
             self._last_received_at = self._loop.time()
         stream = quic.get_next_available_stream_id()
         exchange = Exchange(self, stream)
@@ -284,7 +284,7 @@
         return exchange
 
     def taken(self, stream: int, size: int) -> None:
-        """Note that ``size`` bytes of an answer were read."""
+        """Record that ``size`` bytes of an answer were read."""
         unread = self._quic.unread_by_stream
         if stream in unread:
             unread[stream] -= size
@@ -302,16 +302,15 @@
         try:
             self._quic.stop_stream(exchange.stream, code)
         except ValueError:
-            # The stream has ended meanwhile: there is nothing to stop.
+            # The stream has ended in the meantime, so there is nothing to stop.
             pass
         self.transmit()
 
     def shut(self, reason: str = "closed") -> None:
-        """Close at once; what is still due fails.
+        """Close the connection at once; pending answers fail.
 
-        One that was given up before it began has no path to say so on. What goes
-        wrong without the check: the caller's call ends with an IndexError of the
-        QUIC library instead of another try.
+        Before the handshake begins there is no path to send a close on. Without the
+        check, the call would end with an IndexError of aioquic instead of a retry.
         """
         if self._watchdog is not None:
             self._watchdog.cancel()
@@ -322,16 +321,16 @@
             self._transport.close()
 
     def datagram_received(self, data: bytes | str, addr: Any) -> None:
-        """Take a datagram; any one shows that the path works."""
+        """Process a datagram; any datagram shows that the path works."""
         self._last_received_at = self._loop.time()
         self._moved_at = None
         super().datagram_received(data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore a report of the network: it may be forged, and retries hold."""
+        """Ignore an ICMP error: it may be forged, and retries handle real failures."""
 
     def quic_event_received(self, event: QuicEvent) -> None:
-        """Hand an event to the exchange that it is for."""
+        """Pass an event to its exchange."""
         if isinstance(event, ConnectionTerminated):
             reason = event.reason_phrase or f"error {event.error_code:#x}"
             self._mark_lost(ConnectionLostError(f"connection closed: {reason}"))
@@ -357,8 +356,8 @@
 
     def _receive_reset(self, event: StreamReset | StopSendingReceived) -> None:
         rejected = event.error_code == ErrorCode.H3_REQUEST_REJECTED
-        # The server may stop reading a request and still answer it; only
-        # a rejection ends it.
+        # The server may stop reading a request and still answer it, so only a
+        # rejection ends the exchange.
         if isinstance(event, StopSendingReceived) and not rejected:
             return
         exchange = self._exchanges_by_stream.get(event.stream_id)
@@ -382,11 +381,11 @@
         self._quic.unread_by_stream.clear()
 
     def _check_silence(self) -> None:
-        """Look for silence while answers are due.
+        """Act on silence while answers are pending.
 
-        Something between the two ends may lose track of a connection: no
-        error comes, and answers just stop. A few seconds without even the
-        acknowledgement of a PING show it.
+        A device on the path may lose the state of a connection: answers then stop
+        without an error. A few seconds without even the acknowledgement of a PING
+        show this.
         """
         if self.lost:
             return
@@ -408,7 +407,7 @@
             self.transmit()
 
     async def _move(self) -> None:
-        """Go on from a new local port; the connection id finds its owner."""
+        """Move to a new local port; the connection id still leads to the owner."""
         old = self._transport
         await self._bind()
         if old is not None:
--- a/packages/zinniahook-caller/src/zinniahook_caller/exceptions.py
+++ b/packages/zinniahook-caller/src/zinniahook_caller/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the caller library; `CallerError` is the base of all."""
+"""Errors of the caller library, all derived from `CallerError`."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
 
 
 class InvalidRequestError(CallerError, ValueError):
-    """The arguments don't make a request."""
+    """The arguments don't form a valid request."""
 
 
 class FeedRefusedError(CallerError):
-    """The answer is no feed of server-sent events that could be read."""
+    """The answer is no readable feed of server-sent events."""
 
 
 class OutcomeError(CallerError):
-    """A request ended without an answer of the target.
+    """A request ended without an answer from the target.
 
     Parameters
     ----------
     reason : str
-        Why, in one line.
+        Why the request ended, in one line.
     attempts : int
-        How many times the request was sent.
+        Number of times the request was sent.
     retry_after : float
-        When it may be worth to come back, in seconds; 0 if nothing is known.
+        Seconds to wait before a retry; 0 if unknown.
     """
 
     outcome: OutcomeKind
@@ -62,19 +62,19 @@
 
 
 class InProgressError(OutcomeError):
-    """The request still runs; ask again with the same key."""
+    """The request is still running; retry with the same key."""
 
     outcome = OutcomeKind.IN_PROGRESS
 
 
 class UnknownOutcomeError(OutcomeError):
-    """Nobody can tell whether the request ran."""
+    """It is unknown whether the request ran."""
 
     outcome = OutcomeKind.UNKNOWN
 
 
 class RequestCancelledError(OutcomeError):
-    """The request was cancelled; ``outcome`` tells before or after its start."""
+    """The request was cancelled; ``outcome`` says whether it had started."""
 
     def __init__(self, reason: str, outcome: OutcomeKind, attempts: int = 0) -> None:
         super().__init__(reason, attempts)
@@ -82,16 +82,16 @@
 
 
 class AnswerCutError(CallerError):
-    """The answer ended before it was whole."""
+    """The answer was cut off before its end."""
 
 
 class ConnectError(CallerError):
-    """No connection could be opened, so that nothing was sent."""
+    """No connection could be opened, so nothing was sent."""
 
 
 class ConnectionLostError(CallerError):
-    """The connection ended or went silent while a request was out on it."""
+    """The connection ended or went silent while a request was pending."""
 
 
 class RequestRejectedError(CallerError):
-    """The server says that it did not process this copy of the request."""
+    """The server reported that it did not process this attempt."""
--- a/packages/zinniahook-caller/src/zinniahook_caller/feeds.py
+++ b/packages/zinniahook-caller/src/zinniahook_caller/feeds.py
@@ -1,8 +1,8 @@
-"""Feeds of server-sent events that go on when their server leaves.
+"""Feeds of server-sent events that survive the stop of their server.
 
-A feed lasts for hours; no target does. Each event carries an id, and a new
-answer is asked for with ``Last-Event-ID`` to begin after it, so that the
-reader sees every event once and in order, whichever target sent it.
+A feed lasts for hours, while targets are restarted in between. Each event carries
+an id, and a new request resumes the feed after it with ``Last-Event-ID``. The
+reader gets every event once and in order, whichever target sends it.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 EVENT_STREAM = "text/event-stream"
 
 MAX_QUEUED_EVENTS = 64
-"""Events that may wait unread before the sender must stop."""
+"""Unread events after which the sender must pause."""
 
 MAX_EVENT_BYTES = 1 << 20
-"""Bytes that one event may take."""
+"""Limit of the size of an event, in bytes."""
 
 NO_CONTENT = 204
 SERVER_ERROR = 500
 
 
 class Event(NamedTuple):
-    """One server-sent event; ``id`` is empty if it has none of its own."""
+    """A server-sent event; ``id`` is empty if the event has none."""
 
     id: str
     kind: str
@@ -39,12 +39,12 @@
 
 
 class Spread(NamedTuple):
-    """Seconds over which feeds that lose their server are opened anew.
+    """Seconds over which feeds that lose their server are reopened.
 
-    Each feed draws its own time. All feeds of a leaving server hear of it in
-    the same moment, and 2,000 of them at once would overload the six others;
-    over twenty seconds they are 17 a second for each. What was ``lost`` comes
-    back sooner, as its reader is waiting.
+    Each feed waits for a random part of the interval. All feeds of a leaving server
+    get its GOAWAY at the same time, and 2,000 of them at once would overload the
+    other six servers; over 20 s each server gets 17 a second. A ``lost`` feed is
+    reopened sooner, as its reader is waiting.
     """
 
     leaving: float = 20.0
@@ -52,10 +52,10 @@
 
 
 class EventParser:
-    """Server-sent events out of chunks of a body.
+    """Incremental parser of server-sent events.
 
-    The format is that of the HTML standard, section 9.2, without ``retry``:
-    the waits of the session hold.
+    The format is that of the HTML standard, section 9.2, without ``retry``; the
+    backoff of the session applies instead.
     """
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
         self._reset()
 
     def feed(self, chunk: bytes) -> list[Event]:
-        """Take a chunk and return the events that it completes.
+        """Parse a chunk of the body and return the events that it completes.
 
         Raises
         ------
@@ -72,7 +72,7 @@
             If an event is larger than 1 MiB.
         """
         text = self._buffer + chunk
-        # The second half of a line end may still be on its way.
+        # The LF of a CRLF may be in the next chunk.
         ends_with_cr = text.endswith(b"\r")
         lines = text.replace(b"\r\n", b"\n")
         lines = (lines[:-1] if ends_with_cr else lines).replace(b"\r", b"\n")
@@ -80,7 +80,7 @@
         self._buffer = rest + b"\r" if ends_with_cr else rest
         events = [event for line in complete_lines if (event := self._parse_line(line))]
         if self._size + len(self._buffer) > MAX_EVENT_BYTES:
-            raise FeedRefusedError(f"an event larger than {MAX_EVENT_BYTES} bytes")
+            raise FeedRefusedError(f"event larger than {MAX_EVENT_BYTES} bytes")
         return events
 
     def _reset(self) -> None:
@@ -112,7 +112,7 @@
 
 
 class Opened(NamedTuple):
-    """An answer that has begun."""
+    """An answer whose status and headers have arrived."""
 
     exchange: Exchange
     status: int
@@ -120,30 +120,30 @@
 
 
 class Feed:
-    """Events without a gap or a double, over as many answers as it takes.
+    """Events without gaps or duplicates, across several answers.
 
-    Iterate over it once. Events that have no id of their own are passed on
-    as they come: nothing tells a double of those.
+    A feed can be iterated once. Events without an id are passed on as they arrive,
+    as their duplicates can't be recognised.
 
     Parameters
     ----------
     send : callable
-        Sends the request for the events after an id (empty at first), and
-        returns the answer once it has begun.
+        Requests the events after an id (empty at first) and returns the answer
+        once its headers have arrived.
     spread : Spread
-        When to open a feed anew.
+        Intervals over which to reopen the feed.
     backoff : Backoff
-        Waits between attempts to do so.
+        Waits between attempts to reopen the feed.
     rng : random.Random
         Source of the jitter.
 
     Attributes
     ----------
     last_id : str
-        Id of the last event that was passed on.
+        Id of the last event queued for the reader.
     reopened, cuts, doubles : int
-        How often it was opened anew; how often because the answer before had
-        been cut; and events that were dropped as seen before.
+        How often the feed was reopened; how often because an answer had been cut
+        off; and the number of duplicate events dropped.
     """
 
     def __init__(
@@ -174,7 +174,7 @@
         Raises
         ------
         OutcomeError
-            If the deadline of the call expires before.
+            If the deadline of the call expires first.
         FeedRefusedError
             If the answer is no feed.
         """
@@ -205,18 +205,19 @@
                 doubles, self._overlap_ids = self._overlap_ids or set(), None
                 self.reopened += exchange is not None
         except Exception as error:
-            # Whoever iterates has to learn of it, not the log of the loop.
+            # The error is raised where the feed is iterated, instead of being
+            # logged by the event loop.
             end = error
         await self._queue.put(end)
 
     async def _read_until_reopened(
         self, exchange: Exchange, doubles: set[str]
     ) -> Exchange | None:
-        """Read an answer until the next one has begun; return that.
+        """Read an answer until the next one has begun, and return the next.
 
-        What goes wrong: a server that leaves would cut the feed, or the feed
-        would hold it up for hours. The caller gets a GOAWAY; the old answer
-        is read on until the new one is there, so nobody waits for it.
+        After a GOAWAY, the old answer is read until the new one has begun. Otherwise
+        a leaving server would cut off the feed, or the feed would delay the server's
+        stop for hours.
         """
         reading = asyncio.create_task(self._read(exchange, doubles))
         leaving = asyncio.create_task(exchange.leaving.wait())
@@ -245,8 +246,8 @@
         if event.id and event.id in doubles:
             self.doubles += 1
             return
-        # Only what the queue has taken counts as seen: a reader that is
-        # ended here leaves the event to the next answer.
+        # Only events in the queue count as seen. If this task is cancelled while it
+        # waits here, the next answer delivers the event.
         await self._queue.put(event)
         if not event.id:
             return
@@ -264,11 +265,11 @@
         self.cuts += error is not None
 
     async def _reopen(self) -> Exchange | None:
-        """Open the feed after the last id, however long that takes."""
+        """Reopen the feed after the last id, with unlimited retries."""
         attempt = 0
         while True:
-            # Until the new answer takes over, the old one may still bring
-            # events that the new one will bring as well.
+            # Until the new answer begins, the old one may deliver events that the
+            # new one repeats.
             self._overlap_ids = {self.last_id}
             attempt += 1
             least = 0.0
@@ -281,8 +282,8 @@
                 if opened.status == NO_CONTENT:
                     opened.exchange.cancel()
                     return None
-                # An answer that began before any id was known says nothing
-                # of what the old one has brought meanwhile: ask again.
+                # An answer requested without an id doesn't begin after the events
+                # that the old one has delivered since, so it is requested again.
                 stale = not after_id and self.last_id
                 if opened.status < SERVER_ERROR and not stale:
                     return _accept(opened)
--- a/packages/zinniahook-caller/src/zinniahook_caller/models.py
+++ b/packages/zinniahook-caller/src/zinniahook_caller/models.py
@@ -1,4 +1,4 @@
-"""Requests, responses and the closed set of outcomes."""
+"""Requests, responses and outcomes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class OutcomeKind(enum.Enum):
-    """What a caller may learn of a request; there is nothing else."""
+    """All possible outcomes of a request."""
 
     DONE = "done"
     NOT_RUN = "not-run"
@@ -25,7 +25,7 @@
 
 
 class Request(NamedTuple):
-    """One request as it goes on the wire; header names are in lower case."""
+    """A request as it is sent; header names are in lower case."""
 
     method: str
     path: str
@@ -34,17 +34,17 @@
 
     @property
     def key(self) -> str:
-        """The Idempotency-Key, or empty."""
+        """The Idempotency-Key, or an empty string."""
         return self.headers.get("idempotency-key", "")
 
     @property
     def repeatable(self) -> bool:
-        """Whether a second copy is harmless after the first may have run."""
+        """Whether the request can be repeated safely after it may have run."""
         return self.method in IDEMPOTENT_METHODS or bool(self.key)
 
 
 class Response:
-    """A whole answer.
+    """A complete answer.
 
     Attributes
     ----------
@@ -55,7 +55,7 @@
     content : bytes
         The body.
     attempts : int
-        How many times the request was sent, this time included.
+        Number of times the request was sent, including the last.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         Raises
         ------
         ValueError
-            If it isn't JSON.
+            If the body isn't valid JSON.
         """
         return json.loads(self.content)
 
--- a/packages/zinniahook-caller/src/zinniahook_caller/retries.py
+++ b/packages/zinniahook-caller/src/zinniahook_caller/retries.py
@@ -1,4 +1,4 @@
-"""When to send a request again, and what its answers mean for that."""
+"""Backoff between attempts, and the outcome headers of answers."""
 
 from __future__ import annotations
 
@@ -23,19 +23,20 @@
     def wait(self, attempt: int, least: float, rng: random.Random) -> float:
         """Return how long to wait after ``attempt`` (from 1) has failed.
 
-        ``least`` is what the server asked for. The jitter is added to it:
-        callers that were refused together would else come back together.
+        ``least`` is the wait that the server asked for. The jitter is added to it, as
+        callers that were refused together would otherwise retry together.
         """
-        # The exponent is bounded: a caller that never gives up would reach
-        # an overflow after about a thousand attempts.
+        # The exponent is bounded, as unlimited retries would overflow the float
+        # after about 1,000 attempts.
         growth = min(self.limit, self.base * 2 ** min(attempt - 1, 16))
         return least + rng.random() * growth
 
 
 def outcome_of(status: int, headers: Mapping[str, str]) -> OutcomeKind:
-    """Return what an answer says; an answer of the target itself is done.
+    """Return the outcome that an answer states.
 
-    An outcome that this library doesn't know counts as unknown.
+    An answer without the header comes from the target itself, so the request is
+    done. Outcomes that this library doesn't know count as unknown.
     """
     value = headers.get(OUTCOME_HEADER)
     if value is None:
@@ -47,15 +48,15 @@
 
 
 def retry_after(headers: Mapping[str, str]) -> float:
-    """Return the seconds that an answer asks to wait, 0 if it doesn't.
+    """Return the seconds that an answer asks to wait, or 0 if it doesn't.
 
-    A date in Retry-After is not understood and counts as 0; the backoff
-    holds anyway.
+    A date in Retry-After isn't supported and counts as 0; the backoff still
+    applies.
     """
     text = headers.get(EXACT_RETRY_HEADER) or headers.get("retry-after", "0")
     try:
         seconds = float(text)
     except ValueError:
         return 0.0
-    # "nan" and negative numbers parse; neither is a time to wait.
+    # "nan", "inf" and negative numbers are valid floats, but no times to wait.
     return seconds if 0.0 < seconds < float("inf") else 0.0
--- a/packages/zinniahook-caller/src/zinniahook_caller/sessions.py
+++ b/packages/zinniahook-caller/src/zinniahook_caller/sessions.py
@@ -1,4 +1,4 @@
-"""The session: calls that are retried without ever running twice."""
+"""Sessions, which retry calls without running a request twice."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Call:
-    """What one call of a session remembers over its attempts."""
+    """The state of a call across its attempts."""
 
     def __init__(self, request: Request, expires: float, streamed: bool) -> None:
         self.request = request
@@ -49,20 +49,21 @@
         self.retry_after = 0.0
 
     def attempt(self, now: float) -> Request:
-        """Return the request of the next attempt; the key stays the same."""
+        """Return the request for the next attempt, with the same key."""
         self.attempts += 1
         headers = {
             **self.request.headers,
             "zinniahook-attempt": str(self.attempts),
         }
-        # The system cancels what runs past its deadline. That of a stream
-        # ends with the headers of its answer, so a feed would be cut by it.
+        # The service cancels requests that run past their deadline. The deadline
+        # of a stream only covers the headers of the answer, so sending it would cut
+        # off the feed.
         if not self.streamed:
             headers["zinniahook-deadline"] = f"{max(0.0, self.expires - now):.3f}"
         return self.request._replace(headers=headers)
 
     def error(self, reason: str) -> OutcomeError:
-        """Return the error that tells what is certain about the call."""
+        """Return the error for what is known about the call's outcome."""
         kind: type[OutcomeError] = NotRunError
         if self.in_progress:
             kind = InProgressError
@@ -72,7 +73,7 @@
 
 
 class StreamedResponse:
-    """An answer whose body is read as it arrives."""
+    """An answer whose body is read while it arrives."""
 
     def __init__(
         self, status: int, headers: dict[str, str], exchange: Exchange, attempts: int
@@ -83,11 +84,11 @@
         self._exchange = exchange
 
     def iter_content(self) -> AsyncIterator[bytes]:
-        """Yield the body in the chunks that arrive; the sender waits."""
+        """Yield the body in chunks as they arrive; an unread body pauses the sender."""
         return self._exchange.chunks()
 
     async def iter_lines(self) -> AsyncIterator[bytes]:
-        """Yield the body line by line, without the line ends."""
+        """Yield the lines of the body, without their ends."""
         rest = b""
         async for chunk in self._exchange.chunks():
             *lines, rest = (rest + chunk).split(b"\n")
@@ -102,35 +103,35 @@
 
 
 class Session:
-    """Calls to one service.
+    """A client of one service.
 
     Parameters
     ----------
     address : str
-        ``host:port`` of the service, the host as an IP number.
+        ``host:port`` of the service, the host as an IP address.
     ca : str, optional
         PEM file of the authorities to trust.
     server_name : str, optional
-        The name that the service's certificate must have; the host if none.
+        Name that the service's certificate must have; defaults to the host.
     verify : bool
         Whether to check the certificate.
     scheme : str
         Name of a registered adapter.
     deadline : float
-        Seconds that a call may take with all its retries, unless it says.
+        Default for the seconds that a call may take with all its retries.
     backoff : Backoff, optional
         Waits between attempts.
     spread : Spread, optional
-        When feeds are opened anew.
+        Intervals over which feeds are reopened.
     silence : Silence, optional
-        When a connection without a sign of life is moved and given up.
+        Timeouts after which a silent connection is moved and closed.
     rng : random.Random, optional
         Source of the jitter.
 
     Attributes
     ----------
     cuts : int
-        Attempts whose answer was cut, or whose connection was lost.
+        Number of attempts whose answer was cut off or connection lost.
 
     Examples
     --------
@@ -154,9 +155,9 @@
     ) -> None:
         host, _, port = address.rpartition(":")
         if not host or not port.isdecimal():
-            raise InvalidRequestError(f"not an address: {address!r}")
+            raise InvalidRequestError(f"address must be host:port, not {address!r}")
         if scheme not in adapters_by_scheme:
-            raise InvalidRequestError(f"no adapter for {scheme!r}")
+            raise InvalidRequestError(f"no adapter is registered for scheme {scheme!r}")
         options = Options(
             host.strip("[]"), int(port), ca, server_name, verify, silence or Silence()
         )
@@ -172,7 +173,7 @@
         return await self.request("GET", path, **kwargs)
 
     async def post(self, path: str, **kwargs: Any) -> Response:
-        """Send a POST, under a new Idempotency-Key if none is given."""
+        """Send a POST, with a new Idempotency-Key unless one is given."""
         return await self.request("POST", path, **kwargs)
 
     async def request(
@@ -191,18 +192,18 @@
         Parameters
         ----------
         method : str
-            The method, in capitals.
+            The method, in upper case.
         path : str
-            Path and query.
+            Path and query string.
         headers : mapping, optional
-            Further header fields.
+            Additional header fields.
         data : bytes
             The body.
         json : object, optional
             The body, to be encoded as JSON.
         key : str, optional
-            Idempotency-Key. None draws one for a POST; an empty one sends
-            none, and then the request isn't retried once it may have run.
+            Idempotency-Key. If None, a POST gets a random key. An empty string
+            sends no key; the request is then not retried once it may have run.
         deadline : float, optional
             Seconds for all attempts together.
 
@@ -213,7 +214,7 @@
         UnknownOutcomeError
             It may have run.
         InProgressError
-            It still runs.
+            It is still running.
         RequestCancelledError
             It was cancelled.
         """
@@ -247,8 +248,8 @@
     ) -> AsyncIterator[StreamedResponse]:
         """Send a request and read its answer as it arrives.
 
-        The deadline holds up to the headers. A body that is cut raises
-        `AnswerCutError` or `ConnectionLostError` where it is read.
+        The deadline covers the time until the headers arrive. Reading a body that is
+        cut off raises `AnswerCutError` or `ConnectionLostError`.
         """
         request = _prepare(method, path, headers, data, json, key)
         call = self._call(request, deadline, streamed=True)
@@ -267,22 +268,22 @@
         last_id: str = "",
         deadline: float | None = None,
     ) -> AsyncIterator[Feed]:
-        """Follow a feed of server-sent events over all that changes.
+        """Follow a feed of server-sent events across restarts of its servers.
 
-        When its server leaves, or its connection is lost or falls silent, it
-        is opened anew with ``Last-Event-ID`` and goes on where it was. That
-        is tried without end; an answer 204 ends the feed.
+        When the server leaves, or the connection is lost or goes silent, the feed is
+        reopened with ``Last-Event-ID`` and resumes after the last event. Reopening
+        is retried without limit; status 204 ends the feed.
 
         Parameters
         ----------
         path : str
-            Path and query.
+            Path and query string.
         headers : mapping, optional
-            Further header fields.
+            Additional header fields.
         last_id : str, optional
-            Id of the event to begin after.
+            Id of the event after which to begin.
         deadline : float, optional
-            Seconds that one opening may take with all its attempts.
+            Seconds that opening the feed may take with all its attempts.
 
         Raises
         ------
@@ -333,7 +334,7 @@
         return Call(request, expires, streamed)
 
     async def _send(self, call: Call) -> tuple[Exchange, int, dict[str, str]]:
-        """Attempt the call until an answer of the target begins."""
+        """Send attempts until an answer of the target begins."""
         while True:
             exchange = None
             answered = False
@@ -357,7 +358,7 @@
             await self._handle_refusal(call, status, fields)
 
     async def _retry(self, call: Call, error: CallerError) -> None:
-        """Wait after a lost attempt, or raise if it must not be repeated."""
+        """Wait after a failed attempt, or raise if it must not be repeated."""
         if isinstance(error, AnswerCutError | ConnectionLostError):
             self.cuts += 1
             call.maybe_started = True
@@ -371,15 +372,15 @@
     async def _handle_refusal(
         self, call: Call, status: int, fields: dict[str, str]
     ) -> None:
-        """Wait after an answer of the system, or raise if it is final."""
+        """Wait after an answer of the load balancer, or raise if it is final."""
         kind = outcome_of(status, fields)
         wait = retry_after(fields)
         call.retry_after = wait
         call.in_progress = kind is OutcomeKind.IN_PROGRESS
         reason = f"{kind.value}, code {fields.get('zinniahook-code', '-')}"
         if kind is OutcomeKind.NOT_RUN:
-            # The system says it of the key, earlier attempts included; without
-            # a key it can only speak of this attempt.
+            # With a key, the answer covers all earlier attempts too; without one,
+            # it covers this attempt only.
             call.maybe_started &= not call.request.key
         elif kind is OutcomeKind.IN_PROGRESS:
             call.maybe_started = True
@@ -407,9 +408,9 @@
     json: Any,
     key: str | None,
 ) -> Request:
-    """Check the arguments of a call and make its request."""
+    """Check the arguments of a call and return its request."""
     if not path.startswith("/"):
-        raise InvalidRequestError(f"not a path: {path!r}")
+        raise InvalidRequestError(f"path must begin with a slash, not {path!r}")
     fields = {name.lower(): value for name, value in (headers or {}).items()}
     if json is not None:
         if data:
@@ -420,7 +421,7 @@
         key = fields.get("idempotency-key") or uuid.uuid4().hex
     if key:
         if len(key.encode("latin-1", "replace")) > MAX_KEY_BYTES:
-            raise InvalidRequestError(f"key longer than {MAX_KEY_BYTES} bytes")
+            raise InvalidRequestError(f"key must have at most {MAX_KEY_BYTES} bytes")
         fields["idempotency-key"] = key
     if data:
         fields.setdefault("content-length", str(len(data)))
--- a/packages/zinniahook-caller/tests/conftest.py
+++ b/packages/zinniahook-caller/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A plain aioquic server that answers as each test scripts it."""
+"""An aioquic server that answers as scripted by each test."""
 
 import asyncio
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
 
 class Received(NamedTuple):
-    """A whole request as the server saw it."""
+    """A complete request as received by the server."""
 
     server: "Server"
     stream: int
@@ -22,7 +22,7 @@
 
 
 class Server(QuicConnectionProtocol):
-    """Collects requests and hands them to the test's script."""
+    """Collects requests and passes them to the test's script."""
 
     def __init__(self, script, requests, *args, **kwargs):
         super().__init__(*args, **kwargs)
@@ -78,7 +78,7 @@
 
 
 class RunningServer(NamedTuple):
-    """A running server: where it is and what it got."""
+    """The address, requests and connections of a running server."""
 
     address: str
     requests: list
@@ -87,13 +87,13 @@
 
 @pytest.fixture(scope="session")
 def certificate(tmp_path_factory):
-    """Issue a certificate for 127.0.0.1."""
+    """Return a certificate for 127.0.0.1."""
     return Authority(tmp_path_factory.mktemp("certificates")).issue("test")
 
 
 @pytest.fixture
 def run(certificate):
-    """Run a test coroutine against a server that follows its script."""
+    """Return a function that runs a test against a server with a script."""
 
     def runner(script, test):
         async def main():
--- a/packages/zinniahook-caller/tests/test_feeds.py
+++ b/packages/zinniahook-caller/tests/test_feeds.py
@@ -13,7 +13,7 @@
 
 
 class FeedServer:
-    """A server's feed of numbers, opened and written to by the test."""
+    """Server script that begins a feed; the test sends its events."""
 
     def __init__(self):
         self.opened = asyncio.Queue()
@@ -41,7 +41,7 @@
 
 
 async def take(feed, count):
-    """Take so many events and return the numbers that they carry."""
+    """Read ``count`` events and return their numbers."""
     events = []
     async for event in feed:
         assert event.data == f"{event.id}!"
@@ -55,12 +55,12 @@
     def test_continues_on_another_connection_when_its_server_leaves(
         self, run, certificate
     ):
-        """
-        Symptom: a foreman's tally breaks off when a target is replaced.
-        Sequence: the server sends GOAWAY and goes on for a while; the feed is
-        opened on a new connection; both send the same events for a time.
-        Cause: nobody opened the feed anew while the old one still worked, or
-        events of the overlap were shown twice.
+        """A feed must survive the replacement of its target.
+
+        The server sends GOAWAY and continues for a while, the feed is opened on a new
+        connection, and both send the same events for a time. This fails if the feed
+        isn't reopened while the old answer still works, or if events of the overlap
+        are delivered twice.
         """
 
         async def check(running):
@@ -85,11 +85,11 @@
         run(source := FeedServer(), check)
 
     def test_the_old_answer_is_read_until_the_new_one_begins(self, run, certificate):
-        """
-        Symptom: a feed stands still for as long as a new target is slow.
-        Sequence: the server leaves; the new answer takes its time while the
-        old one brings further events, which the new one then repeats.
-        Cause: the old answer was given up before the new one had begun.
+        """A slow new target must not stall a feed.
+
+        The server leaves, and the new answer is slow while the old one delivers more
+        events, which the new one then repeats. This fails if the old answer is
+        cancelled before the new one has begun.
         """
         requests = []
 
@@ -123,10 +123,10 @@
 
     @pytest.mark.parametrize("way", ["reset", "close", "end"])
     def test_continues_after_it_was_cut(self, run, certificate, way):
-        """
-        Symptom: a feed has a gap where its connection was lost.
-        Sequence: the answer is cut, ends, or its connection is closed.
-        Cause: the new answer began with now instead of after the last id.
+        """A feed must have no gap where its connection was lost.
+
+        The answer is cut off or ends, or its connection is closed. This fails if the
+        new answer begins with the present instead of after the last id.
         """
 
         async def check(running):
@@ -151,10 +151,10 @@
         run(source := FeedServer(), check)
 
     def test_feeds_of_one_server_do_not_reopen_together(self, run, certificate):
-        """
-        Symptom: the other targets refuse callers whenever one is replaced.
-        Sequence: a server with many feeds sends GOAWAY.
-        Cause: all of them were opened anew in the same instant.
+        """The replacement of a target must not overload the other targets.
+
+        A server with many feeds sends GOAWAY. This fails if all of them are reopened
+        at the same time.
         """
 
         async def check(running):
@@ -212,7 +212,7 @@
 
 
 class FixedRandom:
-    """Random numbers as the test has them."""
+    """Random number generator that returns given numbers."""
 
     def __init__(self, *draws):
         self.draws = list(draws)
--- a/packages/zinniahook-caller/tests/test_sessions.py
+++ b/packages/zinniahook-caller/tests/test_sessions.py
@@ -29,7 +29,7 @@
 
 
 def scripted(*answers):
-    """Answer the n-th request by the n-th function, the last one for ever."""
+    """Answer the n-th request with the n-th function; the last one repeats."""
     remaining = list(answers)
 
     def script(received):
@@ -128,8 +128,7 @@
         ],
     )
     def test_outcomes_are_a_closed_set(self, run, certificate, answer, error, outcome):
-        # The first wait is longer than the deadline, so that each answer is
-        # the last word.
+        # The first wait exceeds the deadline, so no request is retried.
         patient = Backoff(base=1000.0, limit=1000.0)
 
         async def check(running):
@@ -141,11 +140,10 @@
         run(scripted(answer), check)
 
     def test_deadline_while_the_answer_is_due(self, run, certificate):
-        """An expired deadline must not be told as "not run".
+        """An expired deadline must not be reported as "not run".
 
-        Symptom: a clerk enters a ticket again that ran.
-        Sequence: the request is sent, no answer comes, the deadline expires.
-        Cause: the caller took its own giving up for a refusal.
+        The request is sent and no answer arrives before the deadline. The request
+        may have run, and a user who reads "not run" would enter a ticket again.
         """
 
         async def check(running):
@@ -163,11 +161,10 @@
         run(scripted(cut, done), check)
 
     def test_without_a_key_nothing_is_repeated(self, run, certificate):
-        """A POST without a key runs twice.
+        """A POST without a key must not run twice.
 
-        Symptom: a haulier is billed twice.
-        Sequence: the answer is cut, the caller sends the request again.
-        Cause: nothing tells the second copy from a new request.
+        The answer is cut off. If the caller sent the request again, the service
+        couldn't distinguish the copy from a new request and would bill twice.
         """
 
         async def check(running):
@@ -207,11 +204,10 @@
 
 class TestConnections:
     def test_goaway_moves_new_requests_only(self, run, certificate):
-        """A planned stop cuts what is in progress, or takes new work for ever.
+        """A planned stop must not cut off answers or receive new requests.
 
-        Symptom: a clerk's answer is lost when a target is replaced.
-        Sequence: GOAWAY arrives while an answer is due; a new call is made.
-        Cause: the caller left the connection, or stayed on it.
+        GOAWAY arrives while an answer is pending, and a new call is made. This fails
+        if the caller closes the connection, or keeps it for new requests.
         """
         held = []
 
@@ -240,12 +236,11 @@
         run(script, check)
 
     def test_silent_path_is_replaced_by_a_new_port(self, run, certificate):
-        """An open feed goes silent for good.
+        """An open feed must not stay silent forever.
 
-        Symptom: a foreman's feed shows nothing, and no error comes.
-        Sequence: something on the path loses track of the connection;
-        datagrams of its old port are dropped from then on.
-        Cause: the caller waited for an error that never comes.
+        A device on the path loses the state of the connection and drops datagrams of
+        its old port from then on. This fails if the caller waits for an error, as
+        none is reported.
         """
         blocked_addresses = set()
 
@@ -273,11 +268,10 @@
         run(script, check)
 
     def test_lost_connection_is_replaced(self, run, certificate):
-        """A server that died takes the caller's work with it.
+        """A request must not fail with a dead server while other targets work.
 
-        Symptom: a ticket is never filed although other targets are fine.
-        Sequence: the server stops answering on every port of a connection.
-        Cause: the caller stayed with a connection that nobody holds.
+        The server stops answering on every port of a connection. This fails if the
+        caller keeps a connection that no server holds any more.
         """
         dead = []
 
@@ -298,11 +292,10 @@
         run(script, check)
 
     def test_slow_reader_stops_the_sender(self, run, certificate):
-        """A large export ends up in the caller's memory.
+        """A large export must not end up in the caller's memory.
 
-        Symptom: a regulator's small machine runs out of memory.
-        Sequence: 8 MB are sent, the reader takes none of it for a while.
-        Cause: the stream's window grew with what arrived, not what was read.
+        8 MB are sent, and the reader reads nothing for a while. This fails if the
+        stream's window grows with the data that arrives instead of the data read.
         """
         size = 8 << 20
 
@@ -326,12 +319,11 @@
         run(script, check)
 
     def test_the_deadline_of_a_stream_stays_with_the_caller(self, run, certificate):
-        """A feed is cut after the deadline of its opening.
+        """A feed must not be cut off at the deadline for opening it.
 
-        Symptom: every feed ends ten seconds after it was opened.
-        Sequence: a feed is opened with a deadline; its answer begins in time;
-        the system cancels what still runs at the deadline.
-        Cause: the caller passed on a deadline that was meant for the headers.
+        A feed is opened with a deadline and its answer begins in time. The service
+        cancels requests that still run at the deadline they carry, so the caller must
+        not send a deadline that only covers the headers.
         """
 
         async def check(running):
@@ -377,7 +369,7 @@
 
 
 def block(server, blocked_addresses):
-    """Drop what the server sends to, and gets from, silent addresses."""
+    """Drop datagrams between the server and the blocked addresses."""
     receive = server.datagram_received
     transport = server._transport
 
@@ -396,9 +388,10 @@
 
 
 class TestConnectTimeoutBeforeTheSocketIsOpen:
-    """Symptom: a call ends with an IndexError while the machine is busy.
-    Sequence: the time to connect passes while the socket is being opened.
-    Cause: the connection was closed though it had no path yet.
+    """A connect timeout on a busy machine must not raise an IndexError.
+
+    The timeout expires while the socket is being opened, so the connection has no
+    network path yet when it is closed.
     """
 
     def test_raises_connect_error(self):
