--- a/packages/zinniahook-caller/src/zinniahook_caller/connections.py
+++ b/packages/zinniahook-caller/src/zinniahook_caller/connections.py
@@ -1,4 +1,4 @@
-"""One HTTP/3 connection on aioquic, which survives a path that went silent."""
+"""An HTTP/3 connection on aioquic that survives a silent network path."""
 
 from __future__ import annotations
 
@@ -29,18 +29,19 @@
 
 __all__ = ["Exchange", "Http3Connection", "Silence", "WindowedQuicConnection"]
 
-WINDOW = 1 << 20
-"""Bytes of one answer that may wait unread before the sender must stop."""
+STREAM_WINDOW_BYTES = 1 << 20
+"""Unread bytes of an answer after which the sender must pause."""
 
-LIMIT_FRAME_CAPACITY = 1 + 8 + 8
+MAX_LIMIT_FRAME_BYTES = 1 + 8 + 8
 
 
 class Silence(NamedTuple):
-    """After how many seconds without a packet, while answers are due, to act.
+    """Timeouts for a connection with pending answers that receives no packets.
 
-    First a PING is sent; then the connection moves to a new local port;
-    then it is given up. Moving keeps every answer in progress when only the
-    path has lost track of the old port.
+    All are in seconds since the last packet. After ``probe`` a PING is sent, after
+    ``move`` the connection moves to a new local port, and after ``give_up`` it is
+    closed. A move keeps the answers in progress if only the path has lost the
+    state of the old port.
     """
 
     probe: float = 1.0
@@ -49,11 +50,11 @@
 
 
 class WindowedQuicConnection(QuicConnection):
-    """A QUIC connection whose streams are bounded by what was read.
+    """A QUIC connection whose stream limits follow the reader.
 
-    aioquic doubles a stream's limit as data arrives, read or not, so that a
-    slow reader of a large export would end up with all of it in memory.
-    Here the limit follows the reader, and the sender waits for it.
+    aioquic doubles a stream's limit as data arrives, whether or not it is read, so
+    a slow reader of a large export would hold all of it in memory. Here the limit
+    grows only as data is read, and the sender waits.
     """
 
     def __init__(self, **kwargs: Any) -> None:
@@ -65,16 +66,16 @@
         if unread is None:
             super()._write_stream_limits(builder=builder, space=space, stream=stream)
             return
-        limit = stream.receiver.highest_offset - unread + WINDOW
-        # Half a window a time: a frame for every chunk read would cost more
-        # than the data.
-        if limit - stream.max_stream_data_local >= WINDOW // 2:
+        limit = stream.receiver.highest_offset - unread + STREAM_WINDOW_BYTES
+        # Raise the limit by at least half a window: a frame for every chunk read
+        # would cost more than the data.
+        if limit - stream.max_stream_data_local >= STREAM_WINDOW_BYTES // 2:
             stream.max_stream_data_local = limit
         if stream.max_stream_data_local_sent == stream.max_stream_data_local:
             return
         buffer = builder.start_frame(
             QuicFrameType.MAX_STREAM_DATA,
-            capacity=LIMIT_FRAME_CAPACITY,
+            capacity=MAX_LIMIT_FRAME_BYTES,
             handler=self._on_max_stream_data_delivery,
             handler_args=(stream,),
         )
@@ -84,7 +85,7 @@
 
 
 class _Http3(H3Connection):
-    """HTTP/3 that notices GOAWAY, which aioquic skips."""
+    """HTTP/3 connection that records GOAWAY frames, which aioquic ignores."""
 
     going_away = False
 
@@ -95,9 +96,9 @@
 
 
 class Exchange:
-    """One request and its answer on one stream.
+    """A request and its answer on one stream.
 
-    ``leaving`` is set once the server wants to be left (GOAWAY).
+    ``leaving`` is set once the server has sent GOAWAY.
     """
 
     def __init__(self, connection: Http3Connection, stream: int) -> None:
@@ -118,17 +119,17 @@
         Raises
         ------
         CallerError
-            If none come: see `Http3Connection.start`.
+            If they don't arrive; see `Http3Connection.start`.
         """
         return await asyncio.shield(self._head)
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body as it arrives; the sender waits for the reader.
+        """Yield the body as it arrives; an unread body pauses the sender.
 
         Raises
         ------
         CallerError
-            If the answer is cut.
+            If the answer is cut off.
         """
         while True:
             while self._chunks:
@@ -147,11 +148,11 @@
         return b"".join([chunk async for chunk in self.chunks()])
 
     def cancel(self) -> None:
-        """Give the answer up, and tell the server."""
+        """Cancel the request and reset its stream."""
         self._connection.cancel(self)
 
     def receive(self, event: H3Event) -> None:
-        """Take an event of the stream."""
+        """Process an event of the stream."""
         if isinstance(event, HeadersReceived):
             self._receive_headers(event.headers)
         elif isinstance(event, DataReceived) and event.data:
@@ -169,7 +170,7 @@
         self._error = error
         if not self._head.done():
             self._head.set_exception(error)
-            # Nobody may be waiting any more; asyncio would log that.
+            # Without a waiter, asyncio would log the exception as never retrieved.
             self._head.exception()
         self._changed.set()
 
@@ -188,26 +189,25 @@
 
 
 class Http3Connection(QuicConnectionProtocol):
-    """One HTTP/3 connection as a datagram protocol.
+    """An HTTP/3 connection as a datagram protocol.
 
-    Answers are matched by stream, so that they may come late and in any
-    order.
+    Answers are matched to requests by stream, so they may arrive in any order.
     """
 
     def __init__(self, quic: WindowedQuicConnection, silence: Silence) -> None:
         super().__init__(quic)
         self.moves = 0
         self.lost = False
-        self._begun = False
+        self._connect_started = False
         self._h3 = _Http3(quic)
         self._silence = silence
-        self._heard_at = self._loop.time()
+        self._last_received_at = self._loop.time()
         self._moved_at: float | None = None
         self._pinged_at = 0.0
         self._exchanges_by_stream: dict[int, Exchange] = {}
         self._remote: tuple[str, int] | None = None
         self._watchdog: asyncio.TimerHandle | None = None
-        self._moving: asyncio.Task[None] | None = None
+        self._move_task: asyncio.Task[None] | None = None
 
     @property
     def usable(self) -> bool:
@@ -216,7 +216,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether answers are due."""
+        """Whether answers are pending."""
         return bool(self._exchanges_by_stream)
 
     @property
@@ -236,18 +236,18 @@
         self._remote = remote
         await self._bind()
         self.connect(remote)
-        self._begun = True
+        self._connect_started = True
         try:
             await self.wait_connected()
         except BaseException:
-            # aioquic fails the waiter when the connection ends later, and
-            # asyncio would log an error that nobody took.
+            # aioquic sets an error on the waiter when the connection ends later,
+            # which asyncio would log as never retrieved.
             if self._connected_waiter is not None:
                 self._connected_waiter.cancel()
                 self._connected_waiter = None
             raise
-        self._heard_at = self._loop.time()
-        self._watch()
+        self._last_received_at = self._loop.time()
+        self._check_silence()
 
     def start(self, request: Request, authority: str) -> Exchange:
         """Send a request.
@@ -259,8 +259,8 @@
         """
         quic = self._quic
         if not self._exchanges_by_stream:
-            # Silence counts from here: nothing was due before.
-            self._heard_at = self._loop.time()
+            # No answer was pending before, so the silence begins now.
+            self._last_received_at = self._loop.time()
         stream = quic.get_next_available_stream_id()
         exchange = Exchange(self, stream)
         self._exchanges_by_stream[stream] = exchange
@@ -284,7 +284,7 @@
         return exchange
 
     def taken(self, stream: int, size: int) -> None:
-        """Note that ``size`` bytes of an answer were read."""
+        """Record that ``size`` bytes of an answer were read."""
         unread = self._quic.unread_by_stream
         if stream in unread:
             unread[stream] -= size
@@ -292,9 +292,9 @@
 
     def cancel(self, exchange: Exchange) -> None:
         """Reset the stream of an exchange in both directions."""
-        known = self._exchanges_by_stream.pop(exchange.stream, None)
+        removed = self._exchanges_by_stream.pop(exchange.stream, None)
         self._quic.unread_by_stream.pop(exchange.stream, None)
-        if known is None or exchange.ended or self.lost:
+        if removed is None or exchange.ended or self.lost:
             return
         exchange.fail(AnswerCutError("cancelled"))
         code = ErrorCode.H3_REQUEST_CANCELLED
@@ -302,39 +302,38 @@
         try:
             self._quic.stop_stream(exchange.stream, code)
         except ValueError:
-            # The stream has ended meanwhile: there is nothing to stop.
+            # The stream has ended in the meantime, so there is nothing to stop.
             pass
         self.transmit()
 
     def shut(self, reason: str = "closed") -> None:
-        """Close at once; what is still due fails.
+        """Close the connection at once; pending answers fail.
 
-        One that was given up before it began has no path to say so on. What goes
-        wrong without the check: the caller's call ends with an IndexError of the
-        QUIC library instead of another try.
+        Before the handshake begins there is no path to send a close on. Without the
+        check, the call would end with an IndexError of aioquic instead of a retry.
         """
         if self._watchdog is not None:
             self._watchdog.cancel()
-        if self._begun and not self.lost:
+        if self._connect_started and not self.lost:
             self.close()
-        self._lose(ConnectionLostError(reason))
+        self._mark_lost(ConnectionLostError(reason))
         if self._transport is not None:
             self._transport.close()
 
     def datagram_received(self, data: bytes | str, addr: Any) -> None:
-        """Take a datagram; any one shows that the path works."""
-        self._heard_at = self._loop.time()
+        """Process a datagram; any datagram shows that the path works."""
+        self._last_received_at = self._loop.time()
         self._moved_at = None
         super().datagram_received(data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore a report of the network: it may be forged, and retries hold."""
+        """Ignore an ICMP error: it may be forged, and retries handle real failures."""
 
     def quic_event_received(self, event: QuicEvent) -> None:
-        """Hand an event to the exchange that it is for."""
+        """Pass an event to its exchange."""
         if isinstance(event, ConnectionTerminated):
             reason = event.reason_phrase or f"error {event.error_code:#x}"
-            self._lose(ConnectionLostError(f"connection closed: {reason}"))
+            self._mark_lost(ConnectionLostError(f"connection closed: {reason}"))
             return
         was_usable = self.usable
         for http_event in self._h3.handle_event(event):
@@ -343,7 +342,7 @@
             for exchange in self._exchanges_by_stream.values():
                 exchange.leaving.set()
         if isinstance(event, StreamReset | StopSendingReceived):
-            self._reset(event)
+            self._receive_reset(event)
 
     def _dispatch(self, event: H3Event) -> None:
         exchange = self._exchanges_by_stream.get(getattr(event, "stream_id", -1))
@@ -353,12 +352,12 @@
             self._quic.unread_by_stream[exchange.stream] += len(event.data)
         exchange.receive(event)
         if exchange.ended:
-            self._forget(exchange.stream)
+            self._remove_exchange(exchange.stream)
 
-    def _reset(self, event: StreamReset | StopSendingReceived) -> None:
+    def _receive_reset(self, event: StreamReset | StopSendingReceived) -> None:
         rejected = event.error_code == ErrorCode.H3_REQUEST_REJECTED
-        # The server may stop reading a request and still answer it; only
-        # a rejection ends it.
+        # The server may stop reading a request and still answer it, so only a
+        # rejection ends the exchange.
         if isinstance(event, StopSendingReceived) and not rejected:
             return
         exchange = self._exchanges_by_stream.get(event.stream_id)
@@ -368,47 +367,47 @@
             exchange.fail(RequestRejectedError("the server did not process it"))
         else:
             exchange.fail(AnswerCutError(f"stream reset: {event.error_code:#x}"))
-        self._forget(event.stream_id)
+        self._remove_exchange(event.stream_id)
 
-    def _forget(self, stream: int) -> None:
+    def _remove_exchange(self, stream: int) -> None:
         self._exchanges_by_stream.pop(stream, None)
         self._quic.unread_by_stream.pop(stream, None)
 
-    def _lose(self, error: ConnectionLostError) -> None:
+    def _mark_lost(self, error: ConnectionLostError) -> None:
         self.lost = True
         for exchange in list(self._exchanges_by_stream.values()):
             exchange.fail(error)
         self._exchanges_by_stream.clear()
         self._quic.unread_by_stream.clear()
 
-    def _watch(self) -> None:
-        """Look for silence while answers are due.
+    def _check_silence(self) -> None:
+        """Act on silence while answers are pending.
 
-        Something between the two ends may lose track of a connection: no
-        error comes, and answers just stop. A few seconds without even the
-        acknowledgement of a PING show it.
+        A device on the path may lose the state of a connection: answers then stop
+        without an error. A few seconds without even the acknowledgement of a PING
+        show this.
         """
         if self.lost:
             return
         interval = self._silence.probe / 2
-        self._watchdog = self._loop.call_later(interval, self._watch)
+        self._watchdog = self._loop.call_later(interval, self._check_silence)
         if not self._exchanges_by_stream:
             return
         now = self._loop.time()
-        quiet = now - self._heard_at
-        if quiet >= self._silence.give_up:
+        silent_seconds = now - self._last_received_at
+        if silent_seconds >= self._silence.give_up:
             self.shut("connection went silent")
             return
-        if quiet >= self._silence.move and self._moved_at is None:
+        if silent_seconds >= self._silence.move and self._moved_at is None:
             self._moved_at = now
-            self._moving = self._loop.create_task(self._move())
-        if quiet >= self._silence.probe and now - self._pinged_at >= interval:
+            self._move_task = self._loop.create_task(self._move())
+        if silent_seconds >= self._silence.probe and now - self._pinged_at >= interval:
             self._pinged_at = now
             self._quic.send_ping(id(self))
             self.transmit()
 
     async def _move(self) -> None:
-        """Go on from a new local port; the connection id finds its owner."""
+        """Move to a new local port; the connection id still leads to the owner."""
         old = self._transport
         await self._bind()
         if old is not None:
--- a/packages/zinniahook-caller/tests/conftest.py
+++ b/packages/zinniahook-caller/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A plain aioquic server that answers as each test scripts it."""
+"""An aioquic server that answers as scripted by each test."""
 
 import asyncio
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
 
 class Received(NamedTuple):
-    """A whole request as the server saw it."""
+    """A complete request as received by the server."""
 
     server: "Server"
     stream: int
@@ -22,12 +22,12 @@
 
 
 class Server(QuicConnectionProtocol):
-    """Collects requests and hands them to the test's script."""
+    """Collects requests and passes them to the test's script."""
 
-    def __init__(self, script, served, *args, **kwargs):
+    def __init__(self, script, requests, *args, **kwargs):
         super().__init__(*args, **kwargs)
         self.script = script
-        self.served = served
+        self.requests = requests
         self.h3 = H3Connection(self._quic)
         self.headers = {}
         self.bodies = {}
@@ -51,7 +51,7 @@
     def serve_request(self, stream):
         body = self.bodies.get(stream, b"")
         received = Received(self, stream, self.headers[stream], body)
-        self.served.append(received)
+        self.requests.append(received)
         self.script(received)
         self.transmit()
 
@@ -77,32 +77,32 @@
         self.transmit()
 
 
-class Running(NamedTuple):
-    """A running server: where it is and what it got."""
+class RunningServer(NamedTuple):
+    """The address, requests and connections of a running server."""
 
     address: str
-    served: list
+    requests: list
     connections: list
 
 
 @pytest.fixture(scope="session")
 def certificate(tmp_path_factory):
-    """Issue a certificate for 127.0.0.1."""
+    """Return a certificate for 127.0.0.1."""
     return Authority(tmp_path_factory.mktemp("certificates")).issue("test")
 
 
 @pytest.fixture
 def run(certificate):
-    """Run a test coroutine against a server that follows its script."""
+    """Return a function that runs a test against a server with a script."""
 
     def runner(script, test):
         async def main():
-            served, connections = [], []
+            requests, connections = [], []
             configuration = QuicConfiguration(is_client=False, alpn_protocols=H3_ALPN)
             configuration.load_cert_chain(certificate.certificate, certificate.key)
 
             def make(*args, **kwargs):
-                connections.append(Server(script, served, *args, **kwargs))
+                connections.append(Server(script, requests, *args, **kwargs))
                 return connections[-1]
 
             server = await serve(
@@ -111,7 +111,7 @@
             host, port = server._transport.get_extra_info("sockname")[:2]
             try:
                 async with asyncio.timeout(30):
-                    await test(Running(f"{host}:{port}", served, connections))
+                    await test(RunningServer(f"{host}:{port}", requests, connections))
             finally:
                 server.close()
 
--- a/packages/zinniahook-cli/src/zinniahook_cli/changes.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/changes.py
@@ -1,4 +1,4 @@
-"""Changes of a document by statements: pure, so that they can be replayed."""
+"""Apply statements to a configuration document, as pure and repeatable functions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,13 @@
 from .grammar import CommandError
 from .statements import Apply, Create, Remove, Set, Setting, Word
 
-__all__ = ["Change", "change", "changed_settings", "not_permitted", "unknown"]
+__all__ = [
+    "Change",
+    "change",
+    "changed_settings",
+    "not_permitted",
+    "unknown_name_error",
+]
 
 Change = Set | Create | Remove | Apply
 Table = dict[str, Any]
@@ -32,8 +38,8 @@
     "class": CLASS_FIELDS_BY_NAME,
     "operator": OPERATOR_FIELDS_BY_NAME,
 }
-NOTHING = "none"
-"""The word for an empty list."""
+EMPTY_LIST_WORD = "none"
+"""The word that stands for an empty list in a statement."""
 
 _steps_by_type: dict[type, Callable[[Table, Any], Table]] = {}
 
@@ -52,9 +58,9 @@
     Raises
     ------
     CommandError
-        If a step names what isn't there or gives a value of a wrong type.
+        If a step uses an unknown name or a value of the wrong type.
     ConfigurationError
-        If the result as a whole is wrong.
+        If the resulting document is invalid.
     """
     table = configuration.to_table(document)
     for step in steps:
@@ -68,7 +74,7 @@
 
 
 def changed_settings(before: Document, after: Document) -> Iterator[tuple[str, str]]:
-    """Name the services and the settings of them that differ."""
+    """Yield the service name and key of each service setting that differs."""
     for item in configuration.diff(before, after):
         section, _, rest = item.key.partition(".")
         if section == "services":
@@ -77,32 +83,32 @@
 
 
 def not_permitted(before: Document, after: Document, operator: str) -> tuple[str, ...]:
-    """Return the keys that ``operator`` changed without being allowed to.
+    """Return the changed keys that ``operator`` has no right to change.
 
-    A document without operators binds nobody: it is that of the first
-    deployment, before anyone was named.
+    A document without operators grants every right: it belongs to the first
+    deployment, before any operator is defined.
     """
     if not before.operators_by_name:
         return ()
-    may = before.operators_by_name.get(operator, configuration.Operator(operator))
+    rights = before.operators_by_name.get(operator, configuration.Operator(operator))
     return tuple(
         item.key
         for item in configuration.diff(before, after)
-        if not _allowed(may, item.key)
+        if not _allowed(rights, item.key)
     )
 
 
-def unknown(word: Word, what: str, names: Iterable[str]) -> CommandError:
-    """Return the error for a name that isn't there, with the nearest one.
+def unknown_name_error(word: Word, what: str, names: Iterable[str]) -> CommandError:
+    """Return the error for an unknown name, with the closest known name as a hint.
 
     Parameters
     ----------
     word : Word
-        The name, as it was typed.
+        The name as typed.
     what : str
-        What it should have named, as in "service".
+        The kind of thing that was expected, such as "service".
     names : iterable of str
-        What is there.
+        The known names.
     """
     near = difflib.get_close_matches(word.text, list(names), 1)
     hint = f"; did you mean {near[0]!r}?" if near else ""
@@ -142,7 +148,7 @@
     for setting in step.settings:
         field = fields.get(setting.path.text)
         if field is None:
-            raise unknown(setting.path, f"setting of a {step.kind}", fields)
+            raise unknown_name_error(setting.path, f"setting of a {step.kind}", fields)
         values[setting.path.text] = _value(field, setting)
     parent[name] = values
     return table
@@ -152,7 +158,7 @@
 def _remove(table: Table, step: Remove) -> Table:
     parent, name = _parent(table, step.kind, step.path)
     if name not in parent:
-        raise unknown(step.path, step.kind, parent)
+        raise unknown_name_error(step.path, step.kind, parent)
     del parent[name]
     return table
 
@@ -176,16 +182,16 @@
         raise CommandError("a class is named as SERVICE.CLASS", word=path)
     service = table["services"].get(name)
     if service is None:
-        raise unknown(path, "service", table["services"])
+        raise unknown_name_error(path, "service", table["services"])
     return service.setdefault("classes", {}), item
 
 
 def _owners(table: Table, parts: list[str], path: Word) -> list[tuple[Table, Field]]:
-    """Find the tables that hold the setting at a dotted path.
+    """Return the tables that hold the setting at a dotted path.
 
-    ``SERVICE.SETTING``, ``SERVICE.CLASS.SETTING``, ``rollout.SETTING`` or
-    ``operators.NAME.SETTING``; a setting of classes named without a class is
-    that of every class.
+    A path is ``SERVICE.SETTING``, ``SERVICE.CLASS.SETTING``, ``rollout.SETTING``
+    or ``operators.NAME.SETTING``. A class setting without a class name selects
+    every class of the service.
     """
     name = parts[-1]
     if parts[0] == "rollout" and len(parts) == 2:
@@ -206,19 +212,19 @@
             raise CommandError(reason, Code.COMMAND_UNKNOWN_NAME, path)
         field = CLASS_FIELDS_BY_NAME[name]
         return [(item, field) for item in classes.values()]
-    raise unknown(path, "setting", _paths(table))
+    raise unknown_name_error(path, "setting", _paths(table))
 
 
 def _child(table: Table, name: str, what: str, path: Word) -> Table:
     if name in table:
         return table[name]
-    raise unknown(path._replace(text=name), what, table)
+    raise unknown_name_error(path._replace(text=name), what, table)
 
 
 def _field(fields: Any, name: str, path: Word) -> Field:
     if name in fields:
         return fields[name]
-    raise unknown(path, "setting", [*fields])
+    raise unknown_name_error(path, "setting", [*fields])
 
 
 def _paths(table: Table) -> Iterator[str]:
@@ -228,15 +234,15 @@
 
 
 def _value(field: Field, setting: Setting) -> Any:
-    """Read words as a value of the field; the field has the last word."""
+    """Convert words to a value that the field accepts."""
     words = setting.values
     texts = [word.text for word in words]
     if field.kind == "list of texts":
-        value: Any = [] if texts == [NOTHING] else texts
+        value: Any = [] if texts == [EMPTY_LIST_WORD] else texts
     elif len(words) > 1:
         raise CommandError("takes one value", Code.CONFIGURATION_INVALID, words[1])
     else:
-        value = _plain(texts[0])
+        value = _parse_scalar(texts[0])
     try:
         field.read(value)
     except ValueError as error:
@@ -246,7 +252,7 @@
     return value
 
 
-def _plain(text: str) -> Any:
+def _parse_scalar(text: str) -> Any:
     if text in ("true", "false"):
         return text == "true"
     for kind in (int, float):
--- a/packages/zinniahook-cli/src/zinniahook_cli/contexts.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/contexts.py
@@ -1,4 +1,4 @@
-"""What the statements of one operator share."""
+"""The state shared by all statements of one operator."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from zinniahook_store import Store
 
 from .daemons import Daemons
-from .identity import operator_of
+from .identity import operator_name
 from .settings import ClientSettings
 
-__all__ = ["Context", "Say"]
+__all__ = ["Context", "ProgressCallback"]
 
-Say = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 
 class Context:
@@ -21,30 +21,30 @@
     Parameters
     ----------
     settings : ClientSettings
-        Addresses, certificate and patience.
+        Addresses, certificate and time limits.
     store : Store
-        The store.
-    say : callable
-        Prints one line of progress.
+        Client of the key-value store.
+    on_progress : callable
+        Receives each line of progress.
     wait : bool
-        Whether a commit waits until it is in force everywhere.
+        Whether a commit waits until every daemon has it in force.
     """
 
     def __init__(
         self,
         settings: ClientSettings,
         store: Store,
-        say: Say,
+        on_progress: ProgressCallback,
         *,
         wait: bool = False,
     ) -> None:
         self.settings = settings
         self.store = store
         self.daemons = Daemons(settings)
-        self.say = say
+        self.on_progress = on_progress
         self.wait = wait
 
     @property
     def operator(self) -> str:
         """The operator's name, from the certificate."""
-        return operator_of(self.settings)
+        return operator_name(self.settings)
--- a/packages/zinniahook-cli/src/zinniahook_cli/daemons.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/daemons.py
@@ -1,7 +1,7 @@
-"""Asks the daemons themselves, over gRPC with mutual TLS.
+"""Calls to the daemons, over gRPC with mutual TLS.
 
-What a daemon has in force is only known from its own answer: the store tells
-what was accepted, not what has arrived.
+Only a daemon's own reply shows which generation it has in force. The store
+shows what was accepted, not what has reached the daemons.
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 
 from .settings import ClientSettings
 
-__all__ = ["Daemons", "Progress", "Silent", "Survey", "progress"]
+__all__ = ["Daemons", "Progress", "NoReply", "Survey", "progress"]
 
-CALLS_LIMIT = 64
-"""Calls at a time: a fleet of thousands must not exhaust our sockets."""
+MAX_CONCURRENT_CALLS = 64
+"""Limit of concurrent calls, so that thousands of daemons don't exhaust the sockets."""
 
 
 @dataclass(frozen=True, slots=True)
-class Silent:
-    """A daemon that gave no answer.
+class NoReply:
+    """A failed call to a daemon.
 
-    ``refused`` tells that nothing listens there any more, which a partition
-    or a paused process doesn't look like.
+    ``refused`` is True if the connection was refused: no process listens there.
+    A partition or a paused process causes a timeout instead.
     """
 
     control: Address
@@ -48,14 +48,14 @@
 
 
 class Survey(NamedTuple):
-    """The answers of many daemons."""
+    """The replies of several daemons, and the calls that failed."""
 
     answers_by_control: dict[Address, StatusReply]
-    silent: tuple[Silent, ...]
+    unanswered: tuple[NoReply, ...]
 
 
 class Progress(NamedTuple):
-    """How far a generation has come, from the daemons' own answers."""
+    """Which daemons have a generation in force, from their own replies."""
 
     generation: int
     in_force: tuple[str, ...]
@@ -63,23 +63,23 @@
 
     @property
     def everywhere(self) -> bool:
-        """Whether every known daemon has it in force."""
+        """Whether every known daemon has the generation in force."""
         return not self.lagging
 
 
 class Daemons:
-    """Calls to daemons as the operator of the client's certificate.
+    """Client for the daemons' control interface, authenticated by certificate.
 
     Parameters
     ----------
     settings : ClientSettings
-        Certificate, key and authority; without them no daemon answers.
+        Certificate, key and authority, which every daemon requires.
     """
 
     def __init__(self, settings: ClientSettings) -> None:
         self._settings = settings
         self._context: ssl.SSLContext | None = None
-        self._limit = asyncio.Semaphore(CALLS_LIMIT)
+        self._limit = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
     async def survey(
         self,
@@ -88,28 +88,30 @@
         counters: bool = False,
         rosters: bool = False,
     ) -> Survey:
-        """Ask every daemon for its status, many at a time."""
+        """Request the status of every daemon concurrently."""
         request = StatusRequest(counters=counters, rosters=rosters)
         wanted = list(dict.fromkeys(controls))
-        replies = await asyncio.gather(*(self._status(one, request) for one in wanted))
+        replies = await asyncio.gather(
+            *(self._status(control, request) for control in wanted)
+        )
         answers = {}
-        silent = []
+        unanswered = []
         for control, reply in zip(wanted, replies, strict=True):
-            if isinstance(reply, Silent):
-                silent.append(reply)
+            if isinstance(reply, NoReply):
+                unanswered.append(reply)
             else:
                 answers[control] = reply
-        return Survey(answers, tuple(silent))
+        return Survey(answers, tuple(unanswered))
 
     async def drain(
         self, control: Address, request: DrainRequest
-    ) -> DrainReply | Silent:
-        """Ask one daemon to drain, or how far its drain is."""
+    ) -> DrainReply | NoReply:
+        """Ask a daemon to drain, or to report the progress of its drain."""
         return await self._call(control, "Drain", request)
 
     async def _status(
         self, control: Address, request: StatusRequest
-    ) -> StatusReply | Silent:
+    ) -> StatusReply | NoReply:
         return await self._call(control, "Status", request)
 
     async def _call(self, control: Address, method: str, request):
@@ -119,11 +121,11 @@
                     request, timeout=self._settings.timeout
                 )
             except GRPCError as error:
-                return Silent(control, _reason(error))
+                return NoReply(control, _reason(error))
             except ConnectionRefusedError:
-                return Silent(control, "connection refused", refused=True)
+                return NoReply(control, "connection refused", refused=True)
             except (OSError, StreamTerminatedError, TimeoutError) as error:
-                return Silent(control, str(error) or type(error).__name__)
+                return NoReply(control, str(error) or type(error).__name__)
 
     @asynccontextmanager
     async def _stub(self, control: Address) -> AsyncIterator[ControlStub]:
@@ -134,18 +136,18 @@
             channel.close()
 
     def _tls(self) -> ssl.SSLContext:
-        """Return the TLS context, made at first use."""
+        """Return the TLS context, created on first use."""
         if self._context is not None:
             return self._context
         settings = self._settings
         if not (settings.certificate and settings.key and settings.authority):
             raise ZinniahookError(
-                "daemons answer only to a certificate: set certificate, key, authority",
+                "daemons require a certificate: set certificate, key and authority",
                 Code.SETTINGS_MISSING_KEY,
             )
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-        # Daemons are reached by IP numbers, which certificates needn't name;
-        # that the authority signed the certificate is what counts.
+        # Daemons are reached by IP address, which their certificates needn't name.
+        # The signature of the authority is checked instead.
         context.check_hostname = False
         context.minimum_version = ssl.TLSVersion.TLSv1_3
         context.set_alpn_protocols(["h2"])
@@ -154,23 +156,23 @@
             context.load_verify_locations(settings.authority)
         except (ssl.SSLError, OSError) as error:
             raise ZinniahookError(
-                f"no usable certificate: {error}", Code.SETTINGS_FILE_MISSING
+                f"can't load the certificate: {error}", Code.SETTINGS_FILE_MISSING
             ) from None
         self._context = context
         return context
 
 
 def progress(generation: int, survey: Survey, unlisted: Iterable[str] = ()) -> Progress:
-    """Sort the daemons by whether they have a generation in force.
+    """Split the daemons by whether they have a generation in force.
 
     Parameters
     ----------
     generation : int
-        The generation asked for; a later one counts as in force too.
+        The generation to look for; a later one counts as in force too.
     survey : Survey
-        What the daemons answered.
+        The replies of the daemons.
     unlisted : iterable of str
-        Names of daemons that can't be asked; they count as lagging.
+        Daemons that can't be asked; they count as lagging.
     """
     in_force, lagging = [], []
     for reply in survey.answers_by_control.values():
@@ -178,7 +180,9 @@
             in_force.append(reply.name)
         else:
             lagging.append(f"{reply.name} (at {reply.generation})")
-    lagging += [f"{one.control} (no answer: {one.reason})" for one in survey.silent]
+    lagging += [
+        f"{reply.control} (no answer: {reply.reason})" for reply in survey.unanswered
+    ]
     lagging += [f"{name} (its address is unknown)" for name in unlisted]
     return Progress(generation, tuple(sorted(in_force)), tuple(sorted(lagging)))
 
--- a/packages/zinniahook-cli/src/zinniahook_cli/drains.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/drains.py
@@ -1,4 +1,4 @@
-"""Planned stops: of a target, an entry, a data centre, and of everything in turn."""
+"""Graceful drains of targets, entries and data centres, and rolling restarts."""
 
 from __future__ import annotations
 
@@ -14,29 +14,28 @@
 from zinniahook_wire.control_pb2 import DrainReply, DrainRequest
 
 from .answers import Answer, Status
-from .changes import unknown
+from .changes import unknown_name_error
 from .contexts import Context
-from .daemons import Silent
-from .fleets import Fleet, others_ready, read_fleet
+from .daemons import NoReply
+from .fleets import Fleet, count_other_ready, read_fleet
 from .statements import Drain, Restart
 
-__all__ = ["Stop", "drain", "emptied", "restart", "waves"]
+__all__ = ["Stop", "drain", "services_without_targets", "restart", "waves"]
 
-LOOK_EVERY = 0.5
-"""Seconds between two questions about the progress."""
+POLL_INTERVAL_SECONDS = 0.5
+"""Seconds between two polls of the progress."""
 
-
-WAVE_LIMIT = 64
-"""Daemons that are drained at the same time."""
+MAX_WAVE_SIZE = 64
+"""Daemons drained at the same time."""
 
 ALL_SERVICES = "*"
 
 SERVING_STATES = ("ready", "serving")
-"""What agents and entries say of themselves when they take new work."""
+"""States reported by agents and entries that accept new work."""
 
 
 class Stop(NamedTuple):
-    """One daemon to be stopped; ``service`` is empty for an entry."""
+    """A daemon to drain; ``service`` is empty for an entry."""
 
     name: str
     control: Address
@@ -44,7 +43,7 @@
 
 
 async def drain(context: Context, statement: Drain) -> Answer:
-    """Drain what the statement names and wait until it is safe."""
+    """Drain the named daemons and wait until they can be stopped safely."""
     fleet = await read_fleet(context.store, context.daemons)
     stops = _FINDERS_BY_KIND[statement.kind](fleet, statement)
     await _check_permitted(context, stops)
@@ -55,50 +54,51 @@
 
 
 async def restart(context: Context, statement: Restart) -> Answer:
-    """Drain the daemons in waves; each must be back before the next wave."""
+    """Drain all daemons in waves; each wave must be back before the next starts."""
     fleet = await read_fleet(context.store, context.daemons)
     plan = waves(_agents(fleet), _entries(fleet))
     await _check_permitted(context, [stop for wave in plan for stop in wave])
     for number, wave in enumerate(plan, 1):
         names = ", ".join(stop.name for stop in wave)
-        context.say(f"wave {number} of {len(plan)}: {names}")
+        context.on_progress(f"wave {number} of {len(plan)}: {names}")
         now = await read_fleet(context.store, context.daemons)
         answer = _refusal(now, wave, statement.force)
         if answer is None:
             began = time.monotonic()
             answer = await _drain_all(context, wave, statement.force)
             if answer.status is Status.OK:
-                answer = await _until_back(context, wave, began)
+                answer = await _wait_until_restarted(context, wave, began)
         if answer.status is not Status.OK:
             text = f"stopped at wave {number} of {len(plan)} ({names}): {answer.text}"
-            return Answer(text, facts=answer.facts, status=answer.status)
+            return Answer(text, data=answer.data, status=answer.status)
     count = sum(map(len, plan))
-    return Answer(f"restarted {count} daemons", facts={"restarted": count})
+    return Answer(f"restarted {count} daemons", data={"restarted": count})
 
 
 def waves(agents: list[Stop], entries: list[Stop]) -> list[list[Stop]]:
-    """Divide the daemons so that each service loses one target at a time.
+    """Group the daemons so that each service loses one target at a time.
 
-    Agents of different services don't stand in for each other, so they go
-    together, up to a bound; of the entries at most a part goes at a time.
+    Agents of different services don't replace each other, so they share a wave
+    of up to `MAX_WAVE_SIZE`. A wave of entries holds at most an eighth of them.
     """
     waiting_by_service: dict[str, list[Stop]] = {}
     for stop in agents:
         waiting_by_service.setdefault(stop.service, []).append(stop)
     plan = []
-    for together in itertools.zip_longest(*waiting_by_service.values()):
-        plan += _pieces([stop for stop in together if stop], WAVE_LIMIT)
-    return plan + _pieces(entries, min(WAVE_LIMIT, max(1, len(entries) // 8)))
+    for batch in itertools.zip_longest(*waiting_by_service.values()):
+        plan += _chunks([stop for stop in batch if stop], MAX_WAVE_SIZE)
+    return plan + _chunks(entries, min(MAX_WAVE_SIZE, max(1, len(entries) // 8)))
 
 
-def _pieces(stops: list[Stop], size: int) -> list[list[Stop]]:
+def _chunks(stops: list[Stop], size: int) -> list[list[Stop]]:
     return [stops[start : start + size] for start in range(0, len(stops), size)]
 
 
 async def _check_permitted(context: Context, stops: list[Stop]) -> None:
-    """Refuse to stop what serves a service that isn't the operator's.
+    """Raise an error unless the operator may stop every daemon.
 
-    An entry serves every service, so it takes the right to all of them.
+    Stopping an agent requires the right to its service. An entry serves every
+    service, so stopping it requires the right to all of them.
     """
     stored = await configurations.read(context.store)
     operators = stored.document.operators_by_name
@@ -115,21 +115,21 @@
             raise ZinniahookError(reason, Code.NOT_PERMITTED)
 
 
-def emptied(fleet: Fleet, stops: list[Stop]) -> list[str]:
-    """Return the services that the stops would leave without a ready target."""
+def services_without_targets(fleet: Fleet, stops: list[Stop]) -> list[str]:
+    """Return the services that would have no ready target after the stops."""
     leaving = {stop.name for stop in stops}
     affected = {stop.service for stop in stops if stop.service}
     return sorted(
         service
         for service in affected
-        if not others_ready(fleet.rosters_by_service[service], leaving)
+        if not count_other_ready(fleet.rosters_by_service[service], leaving)
     )
 
 
 def _refusal(fleet: Fleet, stops: list[Stop], force: bool) -> Answer | None:
     if force:
         return None
-    services = emptied(fleet, stops)
+    services = services_without_targets(fleet, stops)
     entries = {stop.name for stop in _entries(fleet)}
     stopped = {stop.name for stop in stops if not stop.service}
     if services:
@@ -141,13 +141,13 @@
     code = Code.WOULD_EMPTY_SERVICE
     return Answer(
         f"refused: {reason}; `force` does it all the same ({code.name} {int(code)})",
-        facts={"outcome": "refused", "code": int(code), "reason": reason},
+        data={"outcome": "refused", "code": int(code), "reason": reason},
         status=Status.REFUSED,
     )
 
 
 async def _drain_all(context: Context, stops: list[Stop], force: bool) -> Answer:
-    """Ask every daemon at once and watch until each is safe."""
+    """Drain all daemons concurrently and poll until each is safe to stop."""
     replies = await asyncio.gather(
         *(
             context.daemons.drain(stop.control, DrainRequest(force=force))
@@ -155,46 +155,48 @@
         )
     )
     for stop, reply in zip(stops, replies, strict=True):
-        if isinstance(reply, Silent):
-            return _answer_silent(stop, reply)
+        if isinstance(reply, NoReply):
+            return _answer_no_reply(stop, reply)
         if reply.code:
             return _answer_refused(stop, reply)
     deadline = time.monotonic() + context.settings.patience
     waiting = {stop.name: stop for stop in stops}
-    said: dict[str, str] = {}
+    last_line_by_name: dict[str, str] = {}
     while waiting and time.monotonic() < deadline:
         for stop in list(waiting.values()):
-            line, safe = await _look(context, stop)
-            if said.get(stop.name) != line:
-                context.say(f"{stop.name}: {line}")
-                said[stop.name] = line
+            line, safe = await _poll(context, stop)
+            if last_line_by_name.get(stop.name) != line:
+                context.on_progress(f"{stop.name}: {line}")
+                last_line_by_name[stop.name] = line
             if safe:
                 del waiting[stop.name]
         if waiting:
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
     done = [stop.name for stop in stops if stop.name not in waiting]
-    facts = {"safe": done, "draining": list(waiting)}
+    data = {"safe": done, "draining": list(waiting)}
     if waiting:
         text = f"still draining: {', '.join(waiting)}; safe: {', '.join(done) or '-'}"
-        return Answer(text, facts=facts, status=Status.UNFINISHED)
-    return Answer(f"safe to stop: {', '.join(done)}", facts=facts)
+        return Answer(text, data=data, status=Status.UNFINISHED)
+    return Answer(f"safe to stop: {', '.join(done)}", data=data)
 
 
-async def _look(context: Context, stop: Stop) -> tuple[str, bool]:
-    """Say how far a drain is, and whether nothing is in progress any more.
+async def _poll(context: Context, stop: Stop) -> tuple[str, bool]:
+    """Return the progress of a drain, and whether the daemon is safe to stop.
 
-    A daemon that has drained ends, and then refuses connections. One that
-    gives no answer otherwise may still be at work: it counts as draining.
+    A drained daemon exits and then refuses connections. Any other failed call
+    may come from a daemon that is still working, so it counts as draining.
     """
     reply = await context.daemons.drain(stop.control, DrainRequest(look=True))
-    if isinstance(reply, Silent):
+    if isinstance(reply, NoReply):
         return ("ended" if reply.refused else reply.reason), reply.refused
     line = f"{reply.state}, {reply.flows} flows, {reply.requests} requests"
     return line, reply.safe
 
 
-async def _until_back(context: Context, wave: list[Stop], began: float) -> Answer:
-    """Wait until every daemon of the wave serves in a life begun since then."""
+async def _wait_until_restarted(
+    context: Context, wave: list[Stop], began: float
+) -> Answer:
+    """Wait until every daemon of the wave has restarted after ``began`` and serves."""
     deadline = time.monotonic() + context.settings.patience
     while True:
         fleet = await read_fleet(context.store, context.daemons)
@@ -208,8 +210,8 @@
             return Answer("back")
         if time.monotonic() >= deadline:
             text = f"{', '.join(missing)} did not come back"
-            return Answer(text, facts={"missing": missing}, status=Status.UNFINISHED)
-        await asyncio.sleep(LOOK_EVERY)
+            return Answer(text, data={"missing": missing}, status=Status.UNFINISHED)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
 
 def _agents(fleet: Fleet) -> list[Stop]:
@@ -238,7 +240,7 @@
     if not found:
         names = [str(member.target) for _, member in fleet.agents]
         names += [member.name for _, member in fleet.agents]
-        raise unknown(statement.name, "target", names)
+        raise unknown_name_error(statement.name, "target", names)
     return found
 
 
@@ -246,7 +248,9 @@
     entries = _entries(fleet)
     found = [stop for stop in entries if stop.name == statement.name.text]
     if not found:
-        raise unknown(statement.name, "entry", [stop.name for stop in entries])
+        raise unknown_name_error(
+            statement.name, "entry", [stop.name for stop in entries]
+        )
     return found
 
 
@@ -263,8 +267,10 @@
     ]
     if not agents and not entries:
         names = {member.data_centre for member in members.values()}
-        names |= {one.data_centre for one in fleet.survey.answers_by_control.values()}
-        raise unknown(statement.name, "data centre", sorted(names))
+        names |= {
+            reply.data_centre for reply in fleet.survey.answers_by_control.values()
+        }
+        raise unknown_name_error(statement.name, "data centre", sorted(names))
     return agents + entries
 
 
@@ -278,15 +284,15 @@
 def _answer_refused(stop: Stop, reply: DrainReply) -> Answer:
     return Answer(
         f"refused: {stop.name}: {reply.reason} (code {reply.code})",
-        facts={"outcome": "refused", "code": reply.code, "reason": reply.reason},
+        data={"outcome": "refused", "code": reply.code, "reason": reply.reason},
         status=Status.REFUSED,
     )
 
 
-def _answer_silent(stop: Stop, silent: Silent) -> Answer:
+def _answer_no_reply(stop: Stop, no_reply: NoReply) -> Answer:
     return Answer(
-        f"unknown: {stop.name} gave no answer ({silent.reason}); "
+        f"unknown: {stop.name} gave no answer ({no_reply.reason}); "
         "`show daemons` tells whether it drains",
-        facts={"outcome": "unknown", "reason": silent.reason},
+        data={"outcome": "unknown", "reason": no_reply.reason},
         status=Status.UNKNOWN,
     )
--- a/packages/zinniahook-cli/src/zinniahook_cli/losses.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/losses.py
@@ -1,9 +1,9 @@
-"""``zinniahook losses``: second by second, where openings and answers are late.
+"""``zinniahook losses``: late openings and answers, second by second.
 
-Reads the packet service's logs. For each second it tells how many openings
-came and for what reason, how many were opened, late or in vain, which searches
-and resets there were, and how long targets took. Logs leave lines out under
-load (``omitted``), so the counts of the worst seconds are lower bounds.
+Reads the logs of the packet service. Each row counts the openings of a second
+by cause, those that opened, were late or waited in vain, searches, resets and
+answers, and gives the response times. Daemons omit log lines under load
+(``omitted``), so the counts of the busiest seconds are lower bounds.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from zinniahook_core.codes import ZinniahookError
 
 from .answers import Answer, Status, status_of
-from .explanations import Line, read
+from .explanations import Line, read_logs
 from .tables import Table
 
-__all__ = ["losses", "measured"]
+__all__ = ["losses", "loss_table"]
 
-AFTER_RESET = 0.05
-"""Seconds within which an opening of a client follows the reset of its flow: two
-trips to the client and its own time."""
+AFTER_RESET_SECONDS = 0.05
+"""Seconds within which a client opens a new flow after a reset: two network trips
+and the client's own delay."""
 
-RETRY = (1.3, 1.5)
-"""Seconds after which a client tries again whose opening waited in vain: it gives
-a try 1.4 s."""
+RETRY_WINDOW_SECONDS = (1.3, 1.5)
+"""Range of seconds after which a client retries an opening that waited in vain. A
+client abandons an attempt after 1.4 s."""
 
 COLUMNS = (
     "second",
@@ -48,16 +48,16 @@
 
 
 class Opening(NamedTuple):
-    """The first placement of a flow, and when it was opened, if it was."""
+    """The first placement of a flow; ``opened_at`` is None if it never opened."""
 
-    at: float
+    placed_at: float
     client: str
     copy: int
     opened_at: float | None
 
 
 class History(NamedTuple):
-    """What the clients' openings are compared with."""
+    """The openings and resets of each client."""
 
     openings_by_client: dict[str, list[Opening]]
     resets_by_client: dict[str, list[float]]
@@ -65,15 +65,15 @@
 
 Cause = Callable[[Opening, History], bool]
 CAUSES_BY_COLUMN: dict[str, Cause] = {}
-"""Why an opening isn't a caller's first, by the column that counts it."""
+"""Tests for openings that aren't a client's first, by the column that counts them."""
 
 
 def cause(column: str) -> Callable[[Cause], Cause]:
-    """Register what tells a cause."""
+    """Register the test for openings that ``column`` counts."""
 
-    def register(tells: Cause) -> Cause:
-        CAUSES_BY_COLUMN[column] = tells
-        return tells
+    def register(matches: Cause) -> Cause:
+        CAUSES_BY_COLUMN[column] = matches
+        return matches
 
     return register
 
@@ -86,27 +86,32 @@
 @cause("after reset")
 def _follows_reset(opening: Opening, history: History) -> bool:
     resets = history.resets_by_client.get(opening.client, ())
-    return any(0 <= opening.at - at < AFTER_RESET for at in resets)
+    return any(
+        0 <= opening.placed_at - reset_at < AFTER_RESET_SECONDS for reset_at in resets
+    )
 
 
 @cause("retries")
 def _is_retry(opening: Opening, history: History) -> bool:
-    """Tell whether the client's former try was never opened."""
+    """Return whether an earlier opening of the client never opened."""
     return any(
-        former.opened_at is None and RETRY[0] < opening.at - former.at < RETRY[1]
+        former.opened_at is None
+        and RETRY_WINDOW_SECONDS[0]
+        < opening.placed_at - former.placed_at
+        < RETRY_WINDOW_SECONDS[1]
         for former in history.openings_by_client[opening.client]
     )
 
 
-def measured(lines: Iterable[Line], goal: float) -> Table:
-    """Return the table of losses.
+def loss_table(lines: Iterable[Line], goal: float) -> Table:
+    """Return one row of counts and times for each second.
 
     Parameters
     ----------
     lines : iterable of Line
-        Lines of all daemons, whose clocks must agree within a second.
+        Lines of all daemons; their clocks must agree within a second.
     goal : float
-        Seconds until an opening counts as late.
+        Seconds after which an opening counts as late.
     """
     lines = sorted(lines, key=lambda line: line.time)
     start = lines[0].time if lines else 0.0
@@ -114,7 +119,7 @@
     history = _history(lines, openings)
     counts_by_second: dict[int, Counter[str]] = defaultdict(Counter)
     for opening in openings.values():
-        counts = counts_by_second[int(opening.at - start)]
+        counts = counts_by_second[int(opening.placed_at - start)]
         _count(opening, history, goal, counts)
     times_by_second: dict[int, list[float]] = defaultdict(list)
     for line in lines:
@@ -136,10 +141,10 @@
 ) -> None:
     counts["openings"] += 1
     counts["opened"] += opening.opened_at is not None
-    waited = (opening.opened_at or opening.at) - opening.at
+    waited = (opening.opened_at or opening.placed_at) - opening.placed_at
     counts["late"] += waited > goal
-    for column, tells in CAUSES_BY_COLUMN.items():
-        if tells(opening, history):
+    for column, matches in CAUSES_BY_COLUMN.items():
+        if matches(opening, history):
             counts[column] += 1
             return
 
@@ -157,18 +162,18 @@
 
 
 def _row(second: int, counts: Counter[str], times: list[float]) -> tuple:
-    middle = times[len(times) // 2] if times else 0.0
-    tenth = times[len(times) * 9 // 10] if times else 0.0
+    median = times[len(times) // 2] if times else 0.0
+    ninth_decile = times[len(times) * 9 // 10] if times else 0.0
     return (
         second,
         *(counts[c] for c in COLUMNS[1:-2]),
-        round(middle, 3),
-        round(tenth, 3),
+        round(median, 3),
+        round(ninth_decile, 3),
     )
 
 
 def _openings(lines: list[Line]) -> dict[str, Opening]:
-    """Return the openings by flow, in the order of their first placement."""
+    """Return the openings by flow, in order of first placement."""
     opened_by_flow: dict[str, float] = {}
     by_flow: dict[str, Opening] = {}
     for line in lines:
@@ -205,7 +210,7 @@
 
 
 def losses(*, logs: list[Path], goal: float = 0.2, json: bool = False) -> int:
-    """Tell from the logs where openings and answers are late, by seconds.
+    """Print from the logs when openings and answers are late, by second.
 
     Parameters
     ----------
@@ -222,7 +227,7 @@
         Status of the process.
     """
     try:
-        answer = Answer(table=measured(read(logs), goal))
+        answer = Answer(table=loss_table(read_logs(logs), goal))
     except ZinniahookError as error:
         print(f"{error.code.name} {int(error.code)}: {error}", file=sys.stderr)
         return status_of(error.code)
--- a/packages/zinniahook-cli/src/zinniahook_cli/main.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/main.py
@@ -1,4 +1,4 @@
-"""The command line of ``zinniahook``."""
+"""Entry point of the ``zinniahook`` command."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 __all__ = ["evaluate", "main", "zinniahook"]
 
 
-READERS_BY_WORD = {"explain": explain, "losses": losses}
+LOG_COMMANDS_BY_NAME = {"explain": explain, "losses": losses}
 
 
 def main(argv: list[str] | None = None) -> None:
     """Run ``zinniahook`` with the arguments of the process.
 
     ``explain`` and ``losses`` read logs and need neither store nor settings, so
-    that they work on an engineer's own machine; everything else is statements.
+    they also run on a developer's machine. All other arguments are statements.
     """
     words = sys.argv[1:] if argv is None else argv
-    if words and (reader := READERS_BY_WORD.get(words[0])):
-        sys.exit(defopt.run(reader, argv=words[1:]))
+    if words and (command := LOG_COMMANDS_BY_NAME.get(words[0])):
+        sys.exit(defopt.run(command, argv=words[1:]))
     sys.exit(defopt.run(zinniahook, argv=words))
 
 
@@ -51,7 +51,7 @@
     base: int | None = None,
     patience: float | None = None,
 ) -> int:
-    """Ask what is in force, and change it everywhere or not at all.
+    """Show what is in force, and change it everywhere or not at all.
 
     Without words and without a file, statements are read at a prompt.
 
@@ -96,7 +96,7 @@
         loaded = load(settings, flags)
         text = _text(words, file)
     except ZinniahookError as error:
-        _complain(error, "", json)
+        _print_error(error, "", json)
         return Status.USAGE
     try:
         return asyncio.run(_run(loaded, text, json, wait, base))
@@ -126,12 +126,12 @@
 ) -> int:
     store = Store(settings.store, settings.timeout)
 
-    def say(line: str) -> None:
+    def on_progress(line: str) -> None:
         print(line, file=sys.stderr, flush=True)
 
-    session = Session(settings, store, say, wait=wait, base=base)
+    session = Session(settings, store, on_progress, wait=wait, base=base)
     if text is not None:
-        return await evaluate(session, text, json, whole=True)
+        return await evaluate(session, text, json, must_commit=True)
     from . import prompt
 
     return await prompt.run(
@@ -142,45 +142,45 @@
 
 
 async def evaluate(
-    session: Session, text: str, json: bool = False, whole: bool = False
+    session: Session, text: str, json: bool = False, must_commit: bool = False
 ) -> int:
-    """Run a text of statements and print each answer.
+    """Run statements and print each answer.
 
     Parameters
     ----------
     session
-        Where to run them.
+        The session that runs them.
     text
-        The statements; none is run if one can't be understood.
+        The statements; none is run if one can't be parsed.
     json
         Whether to print JSON.
     whole
-        Whether the text must commit what it begins.
+        Whether the text must commit or abort the change that it begins.
 
     Returns
     -------
     int
-        The first status that isn't 0; the rest isn't run then.
+        The first status that isn't 0; the remaining statements aren't run.
     """
     try:
         parsed = grammar.parse(text)
-        if whole:
-            _check_whole(parsed)
+        if must_commit:
+            _check_committed(parsed)
         for statement in parsed:
             answer = await session.run(statement)
             _print(answer, json)
             if answer.status is not Status.OK:
                 return answer.status
     except ZinniahookError as error:
-        _complain(error, text, json)
-        if whole:
+        _print_error(error, text, json)
+        if must_commit:
             session.draft = None
         return status_of(error.code)
     return Status.OK
 
 
-def _check_whole(parsed: tuple[Statement, ...]) -> None:
-    """Refuse a text that would leave its change open: nobody could commit it."""
+def _check_committed(parsed: tuple[Statement, ...]) -> None:
+    """Refuse a text that leaves its change open, as it could never be committed."""
     begun = None
     for statement in parsed:
         if isinstance(statement, Begin):
@@ -204,25 +204,25 @@
     try:
         print(text, flush=True)
     except OSError as error:
-        # A full disk, or a reader such as head that has gone. What is left in
-        # the buffer would fail again as the process ends, with a traceback
-        # and a status of Python's own.
-        with open(os.devnull, "w") as nowhere:
-            os.dup2(nowhere.fileno(), sys.stdout.fileno())
+        # The disk is full, or a reader such as head has closed the pipe. Without
+        # this, the rest of the buffer would fail again at exit, with a traceback
+        # and an exit status of Python itself.
+        with open(os.devnull, "w") as devnull:
+            os.dup2(devnull.fileno(), sys.stdout.fileno())
         reason = f"can't print the answer: {error.strerror or error}"
         raise ZinniahookError(reason, Code.UNKNOWN) from None
 
 
-def _complain(error: ZinniahookError, source: str, json: bool) -> None:
+def _print_error(error: ZinniahookError, source: str, json: bool) -> None:
     if json:
-        facts = {"code": int(error.code), "reason": str(error)}
+        data = {"code": int(error.code), "reason": str(error)}
         if isinstance(error, CommandError) and error.word is not None:
-            facts |= error.word._asdict()
+            data |= error.word._asdict()
         status = status_of(error.code)
-        print(Answer(str(error), facts=facts, status=status).as_json(), flush=True)
+        print(Answer(str(error), data=data, status=status).as_json(), flush=True)
         return
     if isinstance(error, CommandError):
-        print(error.pointed(source), file=sys.stderr)
+        print(error.format_with_source(source), file=sys.stderr)
     else:
         message = f"{error.code.name} {int(error.code)}: {error}"
         print(message, file=sys.stderr)
--- a/packages/zinniahook-cli/src/zinniahook_cli/waits.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/waits.py
@@ -1,4 +1,4 @@
-"""Waits until a generation is in force everywhere, by the daemons' own answers."""
+"""Waiting until every daemon reports a generation as in force."""
 
 from __future__ import annotations
 
@@ -14,45 +14,47 @@
 from .daemons import Progress, Survey, progress
 from .fleets import Fleet, read_fleet
 
-__all__ = ["until_everywhere"]
+__all__ = ["wait_until_in_force"]
 
-LOOK_EVERY = 0.25
-"""Seconds between two questions to the daemons that lag."""
+POLL_INTERVAL_SECONDS = 0.25
+"""Seconds between two status requests to the lagging daemons."""
 
-READ_EVERY = 2.0
+ROSTER_READ_INTERVAL_SECONDS = 2.0
 """Seconds between two reads of the rosters while daemons lag."""
 
 
-async def until_everywhere(context: Context, generation: int) -> Answer:
-    """Ask the daemons until each has the generation in force.
+async def wait_until_in_force(context: Context, generation: int) -> Answer:
+    """Poll the daemons until each has the generation in force.
 
-    Gives up after the operator's patience and names those that lag, from their
-    own answers: what the store holds says nothing of what has arrived.
+    After the ``patience`` of the settings, return an unfinished answer that names
+    the lagging daemons. Only their own replies count, as the store doesn't show
+    what has reached the daemons.
     """
     deadline = time.monotonic() + context.settings.patience
-    wait = _Wait(context, generation)
+    poller = _ProgressPoller(context, generation)
     line = ""
     while True:
-        found = await wait.look()
+        found = await poller.poll()
         if line != _line(generation, found):
             line = _line(generation, found)
-            context.say(line)
+            context.on_progress(line)
         done = found is not None and found.everywhere
         if done or time.monotonic() >= deadline:
             break
-        await asyncio.sleep(LOOK_EVERY)
-    facts = {"in_force": [], "lagging": []}
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
+    data = {"in_force": [], "lagging": []}
     if found is not None:
-        facts = {"in_force": list(found.in_force), "lagging": list(found.lagging)}
+        data = {"in_force": list(found.in_force), "lagging": list(found.lagging)}
     status = Status.OK if done else Status.UNFINISHED
-    return Answer(line, facts=facts, status=status)
+    return Answer(line, data=data, status=status)
 
 
-class _Wait:
-    """Asks the daemons again and again, but only those that lagged.
+class _ProgressPoller:
+    """Polls the daemons that don't have the generation in force yet.
 
-    No daemon goes back, so one that has the generation needn't be asked again;
-    among thousands only the few that lag cost more than one call.
+    Daemons never go back to an older generation, so each is polled only until it
+    has the generation. Among thousands, only the few that lag cost more than one
+    call.
     """
 
     def __init__(self, context: Context, generation: int) -> None:
@@ -62,29 +64,33 @@
         self._read_at = -float("inf")
         self._done: dict[Address, StatusReply] = {}
 
-    async def look(self) -> Progress | None:
-        """Return how far the generation is; None if no daemon is known."""
+    async def poll(self) -> Progress | None:
+        """Return the progress; None if the list of daemons was never read."""
         await self._read()
         fleet = self._fleet
         if fleet is None:
             return None
-        waiting = [one for one in fleet.controls if one not in self._done]
+        waiting = [control for control in fleet.controls if control not in self._done]
         survey = await self._context.daemons.survey(waiting)
         for control, reply in survey.answers_by_control.items():
             if reply.generation >= self._generation:
                 self._done[control] = reply
-        known = {one: self._done[one] for one in fleet.controls if one in self._done}
+        known = {
+            control: self._done[control]
+            for control in fleet.controls
+            if control in self._done
+        }
         answers = {**survey.answers_by_control, **known}
-        self._fleet = fleet._replace(survey=Survey(answers, survey.silent))
+        self._fleet = fleet._replace(survey=Survey(answers, survey.unanswered))
         return progress(self._generation, self._fleet.survey, self._fleet.unlisted)
 
     async def _read(self) -> None:
-        """Read now and then who there is; keep to what is known in an outage.
+        """Refresh the list of daemons at intervals; keep it during a store outage.
 
         Otherwise an outage just after a commit would turn the answer
-        "committed" into an error, and the operator would make it again.
+        "committed" into an error, and the operator would repeat the change.
         """
-        if time.monotonic() - self._read_at < READ_EVERY:
+        if time.monotonic() - self._read_at < ROSTER_READ_INTERVAL_SECONDS:
             return
         try:
             self._fleet = await read_fleet(
@@ -97,9 +103,7 @@
 
 def _line(generation: int, found: Progress | None) -> str:
     if found is None:
-        return (
-            f"generation {generation}: the store doesn't tell which daemons there are"
-        )
+        return f"generation {generation}: the store doesn't return the list of daemons"
     total = len(found.in_force) + len(found.lagging)
     line = f"generation {found.generation}: in force on {len(found.in_force)} of "
     line += f"{total} daemons"
--- a/packages/zinniahook-cli/tests/test_changes.py
+++ b/packages/zinniahook-cli/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the document by statements, and who may make them."""
+"""Changes of the document by statements, and the rights to make them."""
 
 import pytest
 from zinniahook_cli.changes import change, not_permitted
@@ -85,15 +85,18 @@
         assert swapped.services_by_name["ledger"].address.port == 4433
 
     def test_a_setting_of_classes_needs_a_class(self, document):
-        """Symptom: no setting 'bare.queue'; did you mean 'bare.queue'?
+        """The error must not suggest the name that was typed.
 
-        Sequence: a service is created, a setting of its classes is set.
-        Cause: it has no class, while the list of settings had it.
+        It read "no setting 'bare.queue'; did you mean 'bare.queue'?" for a class
+        setting of a service without classes, as the list of known settings contained
+        the name.
         """
         bare = change(document, parse("create service bare number=9 address=1.1.1.1:1"))
-        with pytest.raises(CommandError, match="of classes, and bare has none") as told:
+        with pytest.raises(
+            CommandError, match="of classes, and bare has none"
+        ) as caught:
             change(bare, parse("set bare.queue = 64"))
-        assert told.value.code is Code.COMMAND_UNKNOWN_NAME
+        assert caught.value.code is Code.COMMAND_UNKNOWN_NAME
 
     @pytest.mark.parametrize(
         ("source", "word", "code"),
@@ -120,10 +123,10 @@
         assert not_permitted(document, changed, "moussa") == ()
         assert len(not_permitted(document, changed, "nobody")) == 2
 
-    def test_nobody_grants_rights_to_herself(self, document):
+    def test_an_operator_cannot_grant_herself_rights(self, document):
         changed = change(document, parse("set operators.amina.operators = true"))
         assert not_permitted(document, changed, "amina")
 
-    def test_the_first_deployment_binds_nobody(self):
+    def test_the_first_deployment_allows_any_operator(self):
         changed = parse_document(TEXT)
         assert not_permitted(Document(), changed, "anyone") == ()
--- a/packages/zinniahook-cli/tests/test_commits.py
+++ b/packages/zinniahook-cli/tests/test_commits.py
@@ -1,4 +1,4 @@
-"""Commits of operators against the store's stand-in, with its faults."""
+"""Commits of operators against the fake store, with injected faults."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
             answer = await run(amina, first)
             assert answer.text == "committed (generation 1)"
             answer = await run(amina, "set tally.queue = 64")
-            assert answer.facts == {"outcome": "committed", "generation": 2}
+            assert answer.data == {"outcome": "committed", "generation": 2}
             current = await configurations.load(amina.store)
             tally = current.configuration.services_by_name["tally"]
             assert current.configuration.generation == 2
@@ -53,7 +53,7 @@
             answer = await run(
                 amina, "begin; set tally.queue = 8; set ledger.queue = 9; commit"
             )
-            assert answer.facts["generation"] == 2
+            assert answer.data["generation"] == 2
             assert await queue_of(amina) == 8
             assert await queue_of(amina, "ledger", "export") == 9
 
@@ -64,7 +64,7 @@
             amina = session_of()
             await run(amina, first)
             text = "begin\nset tally.queue = 8\nset ledger.queue = many\ncommit"
-            status = await evaluate(amina, text, whole=True)
+            status = await evaluate(amina, text, must_commit=True)
             assert status == Status.REFUSED
             assert (await configurations.read(amina.store)).generation == 1
 
@@ -79,7 +79,7 @@
             await run(amina, first)
             await run(amina, "set tally.queue = 64; remove service ledger")
             answer = await run(amina, "rollback to 1")
-            assert answer.facts["generation"] == 4
+            assert answer.data["generation"] == 4
             stored = await configurations.read(amina.store)
             assert stored.document.retired_by_name == {}
             assert await queue_of(amina) == 16
@@ -93,7 +93,7 @@
             await run(session_of(), first)
             answer = await run(session_of("moussa"), "set ledger.queue = 8")
             assert answer.status is Status.REFUSED
-            assert answer.facts["code"] == Code.NOT_PERMITTED
+            assert answer.data["code"] == Code.NOT_PERMITTED
             answer = await run(session_of("moussa"), "set tally.queue = 8")
             assert answer.status is Status.OK
 
@@ -116,10 +116,10 @@
 
 class TestRace:
     def test_the_second_of_two_operators_gets_a_conflict(self, session_of, first):
-        """
-        Symptom: a change silently undoes that of another operator.
-        Sequence: both begin on generation 1, both change, both commit.
-        Cause: the second was made on content that is no longer in force.
+        """A commit must not silently undo that of another operator.
+
+        Both begin on generation 1 and commit. The second change is then based on
+        content that is no longer in force.
         """
 
         async def scenario():
@@ -130,7 +130,7 @@
             assert (await run(amina, "commit")).status is Status.OK
             answer = await run(moussa, "commit")
             assert answer.status is Status.REFUSED
-            assert answer.facts["code"] == Code.CONFLICT
+            assert answer.data["code"] == Code.CONFLICT
             assert "generation 2 of amina" in answer.text
             assert answer.table.rows == (
                 ("services.tally.classes.ticket.queue", 16, 8),
@@ -141,10 +141,10 @@
         asyncio.run(scenario())
 
     def test_many_at_once_never_lose_a_commit(self, session_of, first):
-        """
-        Symptom: two operators are told the same generation number.
-        Sequence: eight commit at once, each on the generation it has read.
-        Cause: the pointer was moved without comparing its revision.
+        """Two operators must not get the same generation number.
+
+        Eight commit at once, each on the generation that it has read. This fails if
+        the pointer is moved without comparing its revision.
         """
 
         async def scenario():
@@ -157,9 +157,9 @@
                 )
             )
             won = [
-                answer.facts["generation"]
+                answer.data["generation"]
                 for answer in answers
-                if answer.facts["outcome"] == "committed"
+                if answer.data["outcome"] == "committed"
             ]
             assert sorted(won) == list(range(2, 2 + len(won)))
             stored = await configurations.read(sessions[0].store)
@@ -183,10 +183,10 @@
     def test_a_commit_whose_answer_is_lost_is_committed_once(
         self, session_of, first, store
     ):
-        """
-        Symptom: a change is reported as failed and made a second time.
-        Sequence: the pointer moves, its answer is lost, the client asks again.
-        Cause: a lost answer says nothing of whether the write took effect.
+        """A change whose answer is lost must not be made a second time.
+
+        The pointer moves, the answer is lost, and the client asks again. A lost
+        answer doesn't show whether the write took effect.
         """
 
         async def scenario():
@@ -194,16 +194,16 @@
             await run(amina, first)
             store.set_faults(lose=1, lose_prefix=POINTER)
             answer = await run(amina, "set tally.queue = 64")
-            assert answer.facts == {"outcome": "committed", "generation": 2}
+            assert answer.data == {"outcome": "committed", "generation": 2}
             assert len(await configurations.history(amina.store)) == 2
 
         asyncio.run(scenario())
 
     def test_what_stays_unknown_can_be_settled(self, session_of, first, store):
-        """
-        Symptom: an operator can't tell whether her change is in force.
-        Sequence: every answer to the commit is lost, then the store recovers.
-        Cause: the client gave up before the store could be read.
+        """An operator must be able to find out whether a change is in force.
+
+        Every answer to the commit is lost, and the client gives up before the store
+        recovers.
         """
 
         async def scenario():
@@ -212,20 +212,19 @@
             store.set_faults(lose=configurations.ATTEMPTS, lose_prefix=POINTER)
             answer = await run(amina, "set tally.queue = 64")
             if answer.status is Status.UNKNOWN:
-                answer = await run(amina, answer.facts["command"])
-            assert answer.facts == {"outcome": "committed", "generation": 2}
+                answer = await run(amina, answer.data["command"])
+            assert answer.data == {"outcome": "committed", "generation": 2}
 
         asyncio.run(scenario())
 
     def test_a_write_settled_as_refused_can_not_arrive_later(
         self, session_of, first, store
     ):
-        """
-        Symptom: a change comes into force long after its operator was told
-        that nothing had happened.
-        Sequence: the write is sent, its answer lost, the operation settled as
-        not committed, and only then does the write reach the store.
-        Cause: a write under way was taken for one that had failed.
+        """A change settled as refused must not come into force later.
+
+        The write is sent, its answer is lost, the operation is settled as not
+        committed, and only then does the write reach the store. This fails if a
+        write in flight counts as failed.
         """
 
         async def scenario():
@@ -241,8 +240,8 @@
                 amina.store, base, base.document, "amina", "late-one"
             )
             assert isinstance(outcome, Unknown)
-            # Arrives after all copies of the commit: once it is stored, none
-            # of them is under way any more.
+            # The marker arrives after all copies of the commit: once it is stored,
+            # no copy is in flight any more.
             store.set_faults(lose_prefix="/marker")
             await amina.store.put("/marker", b"")
             store.set_faults(lose=0, late=0.0)
@@ -265,10 +264,10 @@
     def test_nothing_changes_while_the_store_is_down(
         self, session_of, first, store, outage
     ):
-        """
-        Symptom: half of a change is in force after an outage.
-        Sequence: a change is begun, the store goes down, commit, it returns.
-        Cause: the writes of one change took effect one by one.
+        """A change must not be half in force after a store outage.
+
+        A change is begun, the store goes down, the change is committed, and the
+        store returns. This fails if the writes of a change take effect one by one.
         """
 
         async def scenario():
@@ -300,10 +299,10 @@
     def test_is_bounded_and_leaves_no_value_behind(
         self, session_of, first, store, monkeypatch
     ):
-        """
-        Symptom: the store fills up with old generations.
-        Sequence: many commits, each with a chunk of its own.
-        Cause: nothing deleted what no kept generation names.
+        """The store must not fill up with old generations.
+
+        Many commits each write a chunk of their own. This fails if chunks that no
+        kept generation names aren't deleted.
         """
         monkeypatch.setattr(configurations, "HISTORY_KEPT", 5)
         monkeypatch.setattr(configurations, "PRUNE_EVERY", 4)
--- a/packages/zinniahook-cli/tests/test_rotations.py
+++ b/packages/zinniahook-cli/tests/test_rotations.py
@@ -1,4 +1,4 @@
-"""Rings of keys while they are rotated, and which keys may be dropped."""
+"""Key rings during rotations, and which keys may be dropped."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 from zinniahook_cli.rotations import (
     KEYS_KEPT,
     with_new_keys,
-    with_waiting_keys,
+    with_newest_keys_in_use,
     without_old_keys,
 )
 from zinniahook_core.codes import Code, ZinniahookError
@@ -17,7 +17,7 @@
 
 def rotated(ring, times):
     for _ in range(times):
-        ring = with_waiting_keys(with_new_keys(ring))
+        ring = with_newest_keys_in_use(with_new_keys(ring))
     return ring
 
 
@@ -28,7 +28,7 @@
         assert set(added.flow_keys_by_number) == {1, 2}
         assert (added.flow_key, added.tunnel_key) == (1, 1)
         assert added.flow_keys_by_number[1] == ring.flow_keys_by_number[1]
-        used = with_waiting_keys(added)
+        used = with_newest_keys_in_use(added)
         assert (used.flow_key, used.tunnel_key) == (2, 2)
 
     def test_the_ring_is_bounded_and_keeps_the_newest(self):
@@ -37,10 +37,10 @@
         assert len(ring.tunnel_keys_by_number) == KEYS_KEPT
 
     def test_key_ids_wrap_around(self):
-        """
-        Symptom: the key in use is dropped, and every flow breaks.
-        Sequence: 256 rotations, the one-byte key id starts again from 0.
-        Cause: the oldest key was taken to be the one with the lowest id.
+        """The key in use must not be dropped, which breaks every flow.
+
+        After 256 rotations the one-byte key id begins again at 0. This fails if the
+        key with the lowest id counts as the oldest.
         """
         ring = rotated(new_keys(), 300)
         assert ring.flow_key == 301 % 256
@@ -61,10 +61,10 @@
     def test_a_key_that_open_flows_may_carry_is_not_dropped(
         self, session_of, first, monkeypatch
     ):
-        """
-        Symptom: streams that have been open for hours break at a rotation.
-        Sequence: keys are rotated again and again within an hour.
-        Cause: the ring is bounded and the oldest key was dropped too early.
+        """Streams that have been open for hours must survive rotations.
+
+        Keys are rotated repeatedly within an hour. The ring is bounded, so the oldest
+        key would be dropped too early.
         """
 
         async def scenario():
@@ -79,7 +79,7 @@
             assert caught.value.code is Code.NOT_PERMITTED
             ring = (await configurations.read(amina.store)).keys
             assert set(ring.flow_keys_by_number) == {1, 2, 3, 4}
-            monkeypatch.setattr(rotations, "OLD_KEY_AGE", 0.0)
+            monkeypatch.setattr(rotations, "OLD_KEY_AGE_SECONDS", 0.0)
             await amina.run(rotate)
             ring = (await configurations.read(amina.store)).keys
             assert set(ring.flow_keys_by_number) == {2, 3, 4, 5}
--- a/packages/zinniahook-cli/tests/test_views.py
+++ b/packages/zinniahook-cli/tests/test_views.py
@@ -1,11 +1,11 @@
-"""What `show` prints, from a store with rosters and daemons' own answers."""
+"""The views of `show`, from rosters in a store and replies of daemons."""
 
 import asyncio
 
 import pytest
 from hdrh.histogram import HdrHistogram
 from zinniahook_cli import grammar
-from zinniahook_cli.daemons import Silent, Survey
+from zinniahook_cli.daemons import NoReply, Survey
 from zinniahook_cli.views import VIEWS_BY_NAME
 from zinniahook_core.codes import Code, ZinniahookError
 from zinniahook_core.models import Address, AgentState, Member, Roster
@@ -41,7 +41,7 @@
 
 
 class FakeDaemons:
-    """Answers for one agent and one entry; the other agent is silent."""
+    """Replies for one agent and one entry; the other agent doesn't answer."""
 
     async def survey(self, controls, **_):
         answers = {
@@ -63,13 +63,20 @@
             ENTRY: StatusReply(name="entry-1", role="entry", state="serving"),
         }
         asked = list(controls)
-        silent = tuple(Silent(one, "timeout") for one in asked if one not in answers)
-        return Survey({one: answers[one] for one in asked if one in answers}, silent)
+        unanswered = tuple(
+            NoReply(one, "timeout") for one in asked if one not in answers
+        )
+        return Survey(
+            {one: answers[one] for one in asked if one in answers}, unanswered
+        )
 
 
 @pytest.fixture
 def ask(session_of, first):
-    """Run statements in a session over a filled store; return the last answer."""
+    """Return a function that runs statements and returns the last answer.
+
+    The store holds a roster and the list of daemons.
+    """
 
     def start(text):
         async def scenario():
