--- a/packages/zinniahook-testkit/src/zinniahook_testkit/atmostonce.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/atmostonce.py
@@ -14,7 +14,7 @@
 from zinniahook_core.requests import Requests
 
 from .participants import Agent, Caller, Faults
-from .worlds import WARM_UP, CoreFactory, World
+from .simulation import WARM_UP_SECONDS, CoreFactory, Simulation
 
 __all__ = ["DENSE_FAULTS", "USUAL_FAULTS", "Faults", "Result", "measure"]
 
@@ -73,14 +73,14 @@
     make_core : callable
         Makes a core; a broken one must be caught.
     """
-    world = World(agents, faults, seed, make_core)
-    world.run_until(WARM_UP)
+    world = Simulation(agents, faults, seed, make_core)
+    world.run_until(WARM_UP_SECONDS)
     callers = [Caller(f"ticket-{number}".encode()) for number in range(requests)]
     duration = requests / rate
     for caller in callers:
         world.after(world.rng.uniform(0.0, duration), _call(world, caller))
     injected = _schedule_faults(world, duration)
-    world.run_until(WARM_UP + duration + 120.0)
+    world.run_until(WARM_UP_SECONDS + duration + 120.0)
     ended = Counter(caller.ended for caller in callers)
     runs = world.runs_by_key
     return Result(
@@ -99,11 +99,11 @@
     )
 
 
-def _call(world: World, caller: Caller) -> Callable[[], None]:
+def _call(world: Simulation, caller: Caller) -> Callable[[], None]:
     return lambda: world.call(caller)
 
 
-def _schedule_faults(world: World, duration: float) -> Counter[str]:
+def _schedule_faults(world: Simulation, duration: float) -> Counter[str]:
     injected: Counter[str] = Counter()
     faults = world.faults
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/keyspaces.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/keyspaces.py
@@ -9,7 +9,7 @@
 
 __all__ = ["Compare", "CompactedError", "Event", "Keyspace", "Lease", "Version"]
 
-EVENTS_KEPT = 50_000
+MAX_EVENTS = 50_000
 """Events kept for watches; half of them are compacted away beyond that."""
 
 
@@ -224,8 +224,8 @@
                 self._versions_by_key[event.key] = []
             self._versions_by_key[event.key].append(event.version)
         self._events.extend(events)
-        if len(self._events) > EVENTS_KEPT:
-            self.compact(self._events[EVENTS_KEPT // 2].version.revision)
+        if len(self._events) > MAX_EVENTS:
+            self.compact(self._events[MAX_EVENTS // 2].version.revision)
         for listener in self._listeners:
             listener(events)
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetends.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetendpoints.py
@@ -14,19 +14,19 @@
 
 from zinniahook_core.packets import Answer, Codec, Flag, Packet
 
-__all__ = ["ClientFlow", "EndCodec", "PlainCodec", "TargetEnd", "flow_key"]
+__all__ = ["ClientFlow", "EndpointCodec", "PlainCodec", "SimulatedTarget", "flow_key"]
 
-HEAD = struct.Struct("!12sBIIH")
-FIRST_RANGE = 1 << 32
-COPY_TIMES = (0.2, 0.6)
+HEADER = struct.Struct("!12sBIIH")
+SEQUENCE_RANGE = 1 << 32
+OPENING_RETRY_SECONDS = (0.2, 0.6)
 """Seconds after which a client sends its opening again."""
 
-OPEN_TIMEOUT = 1.4
-REPEAT_FIRST = 0.2
-REPEAT_LONGEST = 1.6
+OPEN_TIMEOUT_SECONDS = 1.4
+RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 1.6
 REQUEST = b"GET / HTTP/1.1\r\n\r\n"
 ANSWER = b"HTTP/1.1 200 OK\r\n\r\n"
-FAILING_TIME = 0.001
+FAILURE_SECONDS = 0.001
 FAILURE = b"HTTP/1.1 500 NO\r\n\r\n"
 
 
@@ -40,7 +40,7 @@
     )
 
 
-class EndCodec(Codec, Protocol):
+class EndpointCodec(Codec, Protocol):
     """A packet format that the ends write as well."""
 
     def write(
@@ -73,8 +73,8 @@
         to_client: bool = False,
     ) -> bytes:
         """Return a packet; this format is the same in both directions."""
-        numbers = sequence % FIRST_RANGE, acknowledged % FIRST_RANGE
-        return HEAD.pack(flow, flags, *numbers, len(data)) + data
+        numbers = sequence % SEQUENCE_RANGE, acknowledged % SEQUENCE_RANGE
+        return HEADER.pack(flow, flags, *numbers, len(data)) + data
 
     def from_client(self, raw: bytes) -> Packet | None:
         """Read a packet of a client."""
@@ -83,10 +83,10 @@
 
     def from_target(self, raw: bytes) -> Packet | None:
         """Read a packet of a target."""
-        if len(raw) < HEAD.size:
+        if len(raw) < HEADER.size:
             return None
-        flow, flags, sequence, acknowledged, length = HEAD.unpack_from(raw)
-        if length != len(raw) - HEAD.size:
+        flow, flags, sequence, acknowledged, length = HEADER.unpack_from(raw)
+        if length != len(raw) - HEADER.size:
             return None
         return Packet(flow, flags, sequence, acknowledged, length, raw)
 
@@ -104,9 +104,9 @@
 
     def answer(self, raw: bytes) -> int:
         """Return how an answer begins."""
-        if raw.startswith(FAILURE, HEAD.size):
+        if raw.startswith(FAILURE, HEADER.size):
             return Answer.FAILED
-        return Answer.DONE if raw.startswith(ANSWER, HEAD.size) else Answer.UNREAD
+        return Answer.DONE if raw.startswith(ANSWER, HEADER.size) else Answer.UNREAD
 
     def reset(self, flow: bytes, acknowledged: int) -> bytes:
         """Return a reset."""
@@ -114,7 +114,7 @@
 
 
 @dataclass
-class _Held:
+class _TargetFlow:
     """A flow at a target."""
 
     first: int
@@ -125,7 +125,7 @@
     done_at: float = 0.0
 
 
-class TargetEnd:
+class SimulatedTarget:
     """A target that answers each request after a while.
 
     Parameters
@@ -145,7 +145,7 @@
         name: str,
         slots: int,
         rng: random.Random,
-        codec: EndCodec | None = None,
+        codec: EndpointCodec | None = None,
     ) -> None:
         self.name = name
         self.slots = slots
@@ -169,7 +169,7 @@
         self.ran: list[bytes] = []
         self.openings: list[tuple[float, bytes]] = []
         self.foreign: list[tuple[float, bytes]] = []
-        self.by_flow: dict[bytes, _Held] = {}
+        self.by_flow: dict[bytes, _TargetFlow] = {}
         self._codec = codec or PlainCodec()
         self._rng = rng
 
@@ -181,22 +181,22 @@
         if packet is None:
             raise AssertionError("a target got what no client wrote")
         if packet.is_opening:
-            return self._opening(now, packet)
+            return self._receive_opening(now, packet)
         held = self.by_flow.get(packet.flow)
-        if held is None or (not held.open and not self._opens(held, packet)):
+        if held is None or (not held.open and not self._confirm_opening(held, packet)):
             self.foreign.append((now, packet.flow))
             if self.resets_unknown:
                 return [(0.0, self._codec.reset(packet.flow, packet.acknowledged))]
             return [(0.0, self._codec.returned(raw))]
-        return self._take(now, packet, held)
+        return self._receive_data(now, packet, held)
 
-    def _opening(self, now: float, packet: Packet) -> list[tuple[float, bytes]]:
+    def _receive_opening(self, now: float, packet: Packet) -> list[tuple[float, bytes]]:
         if self.full:
             return [(0.0, self._codec.returned(packet.raw))]
         held = self.by_flow.get(packet.flow)
         if held is None or held.client_first != packet.sequence:
             self.openings.append((now, packet.flow))
-            held = _Held(self._rng.randrange(FIRST_RANGE), packet.sequence)
+            held = _TargetFlow(self._rng.randrange(SEQUENCE_RANGE), packet.sequence)
             self.by_flow[packet.flow] = held
         flags = Flag.OPENING | Flag.ACKNOWLEDGES
         answer = self._codec.write(
@@ -204,16 +204,16 @@
         )
         return [(0.0003, answer)]
 
-    def _opens(self, held: _Held, packet: Packet) -> bool:
-        held.open = packet.acknowledged == (held.first + 1) % FIRST_RANGE
+    def _confirm_opening(self, held: _TargetFlow, packet: Packet) -> bool:
+        held.open = packet.acknowledged == (held.first + 1) % SEQUENCE_RANGE
         return held.open
 
-    def _take(
-        self, now: float, packet: Packet, held: _Held
+    def _receive_data(
+        self, now: float, packet: Packet, held: _TargetFlow
     ) -> list[tuple[float, bytes]]:
         if not packet.length:
             return []
-        number = (packet.sequence - held.client_first) % FIRST_RANGE
+        number = (packet.sequence - held.client_first) % SEQUENCE_RANGE
         again = number <= held.taken
         if not again:
             held.taken = number
@@ -232,13 +232,13 @@
         if again:
             # A request that was repeated meanwhile isn't done any sooner.
             return [(0.001, answer)] if now >= held.done_at else []
-        held.done_at = self._finish(now)
+        held.done_at = self._completion_time(now)
         took = held.done_at - now
         # It doesn't track what was acknowledged, so it always repeats once.
-        sent = [(took, answer), (took + REPEAT_FIRST, answer)]
-        return [(took, self._end(packet, held)), *sent] if self.ends_first else sent
+        sent = [(took, answer), (took + RETRY_SECONDS, answer)]
+        return [(took, self._closing(packet, held)), *sent] if self.ends_first else sent
 
-    def _end(self, packet: Packet, held: _Held) -> bytes:
+    def _closing(self, packet: Packet, held: _TargetFlow) -> bytes:
         """Return the end of a flow, as it follows the answer."""
         return self._codec.write(
             packet.flow,
@@ -248,10 +248,10 @@
             to_client=True,
         )
 
-    def _finish(self, now: float) -> float:
+    def _completion_time(self, now: float) -> float:
         """Return when a request that arrives now is done; slots take turns."""
         if self.fails:
-            return now + FAILING_TIME
+            return now + FAILURE_SECONDS
         start = max(now, heapq.heappop(self._free_at))
         heapq.heappush(self._free_at, start + self.work)
         return start + self.work
@@ -278,11 +278,11 @@
     asked_at: float | None = None
     repeats: int = 0
     answers: list[float] = field(default_factory=list)
-    codec: EndCodec = field(default_factory=PlainCodec)
+    codec: EndpointCodec = field(default_factory=PlainCodec)
 
     def open(self, now: float) -> bytes:
         """Return the opening, or a copy of it."""
-        following = [*COPY_TIMES, OPEN_TIMEOUT][self.copies]
+        following = [*OPENING_RETRY_SECONDS, OPEN_TIMEOUT_SECONDS][self.copies]
         self.due = self.begun + following
         return self.codec.write(self.key, Flag.OPENING, self.first, self.copies)
 
@@ -291,7 +291,7 @@
         if self.asked_at is None:
             self.asked_at = now
             self.repeats = 0
-        self.due = now + min(REPEAT_LONGEST, REPEAT_FIRST * 2**self.repeats)
+        self.due = now + min(MAX_RETRY_SECONDS, RETRY_SECONDS * 2**self.repeats)
         return self.codec.write(
             self.key,
             Flag.ACKNOWLEDGES,
@@ -304,7 +304,7 @@
         """Return what is due: a copy, a request again, or nothing."""
         if self.state == "opening":
             self.copies += 1
-            if self.copies > len(COPY_TIMES):
+            if self.copies > len(OPENING_RETRY_SECONDS):
                 self.state = "timeout"
                 return None
             return self.open(now)
@@ -329,7 +329,7 @@
                 first = [self._acknowledgement()] if self.acknowledges else []
                 return [*first, self.ask(now)]
             return []
-        expected = (self.server_first + 1 + self.taken) % FIRST_RANGE
+        expected = (self.server_first + 1 + self.taken) % SEQUENCE_RANGE
         if self.state == "open" and packet.length and packet.sequence == expected:
             self.taken += packet.length
             self.sent += len(REQUEST)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetparts.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetparts.py
@@ -7,14 +7,14 @@
 
 from zinniahook_core.packets import Agent
 
-from .packetends import TargetEnd
+from .packetendpoints import SimulatedTarget
 
 if TYPE_CHECKING:
-    from .packetworlds import PacketWorld
+    from .packetsimulation import PacketSimulation
 
-__all__ = ["LOOK_EVERY", "RecordingLog", "SimulatedAgent", "SimulatedLinks"]
+__all__ = ["POLL_SECONDS", "RecordingLog", "SimulatedAgent", "SimulatedLinks"]
 
-LOOK_EVERY = 0.05
+POLL_SECONDS = 0.05
 """Seconds between two looks of an agent whether its target runs."""
 
 
@@ -42,29 +42,29 @@
 class SimulatedLinks:
     """The network of one daemon."""
 
-    def __init__(self, world: PacketWorld, address: str) -> None:
-        self._world = world
+    def __init__(self, sim: PacketSimulation, address: str) -> None:
+        self._sim = sim
         self._address = address
 
     def to_peer(self, address: str, data: bytes) -> None:
         """Send a datagram to another daemon."""
-        self._world.send_peer(self._address, address, data)
+        self._sim.send_peer(self._address, address, data)
 
     def to_client(self, flow: bytes, raw: bytes) -> None:
         """Send a packet to a client."""
-        self._world.send_client(self._address, flow, raw)
+        self._sim.send_client(self._address, flow, raw)
 
     def to_target(self, raw: bytes) -> None:
         """Give a packet to the target."""
-        self._world.send_target(self._address, raw)
+        self._sim.send_target(self._address, raw)
 
     def lookup(self, service: str) -> None:
         """Read the agents of a service from the store."""
-        self._world.lookup(self._address, service)
+        self._sim.lookup(self._address, service)
 
     def fetch(self, address: str) -> None:
         """Get another daemon's configuration."""
-        self._world.fetch(self._address, address)
+        self._sim.fetch(self._address, address)
 
 
 class SimulatedAgent:
@@ -75,13 +75,13 @@
         self.centre = centre
         self.service = service
         self.core: Agent | None = None
-        self.target: TargetEnd | None = None
-        self.beats = 0
+        self.target: SimulatedTarget | None = None
+        self.heartbeats = 0
         self.born = 0
-        self.told_leaving: float | None = None
+        self.leaving_reported_at: float | None = None
         self.warm_at = 0.0
 
-    def look(self, now: float) -> bool:
+    def poll_target(self, now: float) -> bool:
         """Let the agent look for its target; return whether it needn't again."""
         if self.core is None or self.core.target.is_known:
             return True
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packets.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packets.py
@@ -35,7 +35,7 @@
 BURST = 48
 """Datagrams in flight; the default kernel buffer holds more."""
 
-QUIET = 0.2
+QUIET_SECONDS = 0.2
 """Seconds without a datagram after which a burst counts as through."""
 
 SERVICE = "tally"
@@ -109,7 +109,7 @@
 ) -> Cost:
     """Send ``total`` datagrams through ``process``; return the cost of one."""
     sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    sink.settimeout(QUIET)
+    sink.settimeout(QUIET_SECONDS)
     received = sent = 0
     with sender:
         received += _burst(sender, packets[:BURST], to, sink)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetworlds.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetsimulation.py
@@ -1,7 +1,7 @@
 """Entries, agents, targets and clients of the packet service on a fake clock.
 
 The real cores exchange datagrams over a network that delays, loses, doubles
-and cuts them. `PacketWorld.findings` tells which promises of the service were
+and cuts them. `PacketSimulation.findings` tells which promises of the service were
 broken, judged by what clients and targets saw alone.
 """
 
@@ -26,31 +26,30 @@
 )
 from zinniahook_core.packets.formers import FormerServices
 
-from .packetends import ClientFlow, PlainCodec, TargetEnd, flow_key
-from .packetparts import LOOK_EVERY, RecordingLog, SimulatedAgent, SimulatedLinks
+from .misrouting import misrouted_flows
+from .packetendpoints import ClientFlow, PlainCodec, SimulatedTarget, flow_key
+from .packetparts import POLL_SECONDS, RecordingLog, SimulatedAgent, SimulatedLinks
 from .packetstores import Announced, SimulatedStore
-from .strays import strayed
 
-__all__ = ["PacketWorld", "SimulatedAgent", "route_address"]
+__all__ = ["PacketSimulation", "SimulatedAgent", "route_address"]
 
-TICK = 0.05
-BEAT = 1.0
-NEAR = 0.0002
-FAR = 0.001
-CLIENT_DELAY = 0.001
+TICK_SECONDS = 0.05
+HEARTBEAT_SECONDS = 1.0
+NEAR_SECONDS = 0.0002
+FAR_SECONDS = 0.001
+CLIENT_DELAY_SECONDS = 0.001
 SERVICE_PORT = 8443
-DRAIN_TIME = 3.0
-WATCH_TIME = 0.4
+DRAIN_SECONDS = 3.0
+WATCH_SECONDS = 0.4
 DATA_CENTRES = ("a", "b", "c")
 
-
-APPLY_LONGEST = 0.3
+MAX_APPLY_SECONDS = 0.3
 """Seconds until the last daemon has a change."""
 
-RECORD_DELAY = 0.05
+RECORD_DELAY_SECONDS = 0.05
 """Seconds until the store's record follows a change."""
 
-AGENT_LEAD = 3.0
+AGENT_LEAD_SECONDS = 3.0
 """Seconds that a new instance's agent runs before its target."""
 
 
@@ -59,7 +58,7 @@
     return flow_key("0.0.0.0", 0, f"198.18.0.{number}", SERVICE_PORT)[6:]
 
 
-class PacketWorld:
+class PacketSimulation:
     """A deployment of one or more services.
 
     Parameters
@@ -107,7 +106,7 @@
         self.store_readers: set[str] | None = None
         self.evacuated_openings: list[tuple[float, str, bytes]] = []
         self.formers = FormerServices()
-        self._beats_from = 0.0
+        self._heartbeats_from = 0.0
         self._ids = itertools.count(1)
         self._hosts = itertools.count(1)
         self._ports = itertools.count(1024)
@@ -115,7 +114,7 @@
         self._centres: dict[str, str] = {}
         services = services or {"tally": 6}
         self.routes = self.make_routes(1, services)
-        self.store.order()
+        self.store.apply_order()
         self.store.write_record()
         for service, count in services.items():
             for _ in range(count):
@@ -154,7 +153,7 @@
         self._centres[address] = DATA_CENTRES[len(self._centres) % 3]
         self.entries_by_address[address] = None
         self.start_entry(address)
-        self._repeat(TICK, lambda: self._tick(self.entries_by_address[address]))
+        self._repeat(TICK_SECONDS, lambda: self._tick(self.entries_by_address[address]))
         return address
 
     def start_entry(self, address: str) -> None:
@@ -174,9 +173,9 @@
         self.agents_by_address[address] = agent
         self.start_target(agent)
         self.start_agent(agent)
-        agent.core.target.start(self.now - AGENT_LEAD)
-        self._repeat(TICK, lambda: self._tick(agent.core))
-        self._repeat(BEAT, lambda: self._beat(agent))
+        agent.core.target.start(self.now - AGENT_LEAD_SECONDS)
+        self._repeat(TICK_SECONDS, lambda: self._tick(agent.core))
+        self._repeat(HEARTBEAT_SECONDS, lambda: self._send_due_heartbeat(agent))
         return agent
 
     def start_agent(self, agent: SimulatedAgent, configured: bool = True) -> None:
@@ -184,9 +183,9 @@
 
         Without ``configured`` it has to get the configuration from others.
         """
-        target = Target(agent.service, BEAT)
+        target = Target(agent.service, HEARTBEAT_SECONDS)
         # What the former process confirmed doesn't bind this one.
-        agent.told_leaving = None
+        agent.leaving_reported_at = None
         agent.core = Agent(
             agent.address,
             agent.centre,
@@ -201,23 +200,23 @@
         for order, announced in enumerate(self.announced):
             agent.core.members(self.now, *announced, order)
         agent.core.formers.begin(self.now)
-        self.at(LOOK_EVERY, lambda core=agent.core: self._look(agent, core))
+        self.at(POLL_SECONDS, lambda core=agent.core: self._poll_target(agent, core))
         if configured:
             self._configure(agent.core)
 
-    def _look(self, agent: SimulatedAgent, core: Agent) -> None:
+    def _poll_target(self, agent: SimulatedAgent, core: Agent) -> None:
         """Let an agent look for its target, as the daemon does."""
-        if agent.core is core and not agent.look(self.now):
-            self.at(LOOK_EVERY, lambda: self._look(agent, core))
+        if agent.core is core and not agent.poll_target(self.now):
+            self.at(POLL_SECONDS, lambda: self._poll_target(agent, core))
 
     def start_target(self, agent: SimulatedAgent) -> None:
         """Start a target, with none of the flows of the one before."""
         if agent.target is not None:
             agent.target.alive = False
-        agent.target = TargetEnd(f"t-{next(self._ids)}", 4, self.rng)
-        agent.beats = 0
+        agent.target = SimulatedTarget(f"t-{next(self._ids)}", 4, self.rng)
+        agent.heartbeats = 0
         agent.born = round(self.now * 1000)
-        agent.told_leaving = None
+        agent.leaving_reported_at = None
 
     def _ports_of(self, address: str) -> tuple:
         rng = random.Random(self.rng.random())
@@ -253,32 +252,32 @@
                 self._read_evacuations(core)
             core.tick(self.now)
 
-    def hold_beats(self, seconds: float) -> None:
+    def suspend_heartbeats(self, seconds: float) -> None:
         """Let no heartbeats of their own through for a while."""
-        self._beats_from = self.now + seconds
+        self._heartbeats_from = self.now + seconds
 
-    def _beat(self, agent: SimulatedAgent) -> None:
-        if self.now >= self._beats_from:
-            self.beat(agent)
+    def _send_due_heartbeat(self, agent: SimulatedAgent) -> None:
+        if self.now >= self._heartbeats_from:
+            self.send_heartbeat(agent)
 
-    def beat(self, agent: SimulatedAgent) -> None:
+    def send_heartbeat(self, agent: SimulatedAgent) -> None:
         """Let a target send its heartbeat."""
         target = agent.target
         if agent.core is None or target is None or not target.alive or target.silent:
             return
-        agent.beats += 1
+        agent.heartbeats += 1
         beat = Heartbeat(
             target.name,
             agent.service,
             target.slots,
             target.leaving,
             max(0.0, agent.warm_at - self.now),
-            agent.beats,
+            agent.heartbeats,
             agent.born,
         )
         agent.core.heartbeat(self.now, beat)
-        if target.leaving and agent.told_leaving is None:
-            agent.told_leaving = self.now
+        if target.leaving and agent.leaving_reported_at is None:
+            agent.leaving_reported_at = self.now
 
     # Network
 
@@ -290,10 +289,10 @@
         if self._is_cut(sender, address) or self.rng.random() < self.loss:
             return
         near = self._centres.get(sender) == self._centres.get(address)
-        delay = (NEAR if near else FAR) * (1 + self.rng.random())
-        self.at(delay, lambda: self._arrive(sender, address, data))
+        delay = (NEAR_SECONDS if near else FAR_SECONDS) * (1 + self.rng.random())
+        self.at(delay, lambda: self._to_daemon(sender, address, data))
 
-    def _arrive(self, sender: str, address: str, data: bytes) -> None:
+    def _to_daemon(self, sender: str, address: str, data: bytes) -> None:
         core = self.entries_by_address.get(address)
         if core is None and address in self.agents_by_address:
             core = self.agents_by_address[address].core
@@ -302,9 +301,9 @@
 
     def send_target(self, address: str, raw: bytes) -> None:
         """Give a packet to the target beside an agent."""
-        self.at(0.0001, lambda: self._at_target(self.agents_by_address[address], raw))
+        self.at(0.0001, lambda: self._to_target(self.agents_by_address[address], raw))
 
-    def _at_target(self, agent: SimulatedAgent, raw: bytes) -> None:
+    def _to_target(self, agent: SimulatedAgent, raw: bytes) -> None:
         target = agent.target
         if target is None or not target.alive:
             return
@@ -312,7 +311,7 @@
         answers = target.receive(self.now, raw)
         packet = self.codec.from_client(raw)
         if len(target.foreign) > before[0]:
-            if not self._is_unreachable(packet.flow):
+            if not self._is_agent_down(packet.flow):
                 self.foreign.append((self.now, packet.flow))
         elif not packet.is_opening:
             self.owned.append((self.now, packet.flow))
@@ -320,21 +319,21 @@
             if agent.centre in self.evacuated:
                 opened = (self.now, agent.address, packet.flow)
                 self.evacuated_openings.append(opened)
-            told = agent.told_leaving
-            if told is not None and self.now - told > DRAIN_TIME:
+            told = agent.leaving_reported_at
+            if told is not None and self.now - told > DRAIN_SECONDS:
                 self.late_openings.append(packet.flow)
         for delay, answer in answers:
             self.at(delay, lambda raw=answer: self._from_target(agent, target, raw))
 
-    def _from_target(self, agent: SimulatedAgent, target: TargetEnd, raw: bytes):
+    def _from_target(self, agent: SimulatedAgent, target: SimulatedTarget, raw: bytes):
         if target.alive and agent.core is not None:
             agent.core.from_target(self.now, raw)
 
     def send_client(self, sender: str, flow: bytes, raw: bytes) -> None:
         """Carry a packet to a client."""
-        self.at(CLIENT_DELAY, lambda: self._at_client(flow, raw))
+        self.at(CLIENT_DELAY_SECONDS, lambda: self._to_client(flow, raw))
 
-    def _at_client(self, key: bytes, raw: bytes) -> None:
+    def _to_client(self, key: bytes, raw: bytes) -> None:
         flow = self.flows_by_key.get(key)
         if flow is None:
             return
@@ -342,7 +341,7 @@
             self.resets.append((self.now, key, self.is_held(flow)))
         for packet in flow.receive(self.now, raw):
             self.from_client(packet)
-        self._plan(flow)
+        self._schedule_wake(flow)
 
     def lookup(self, address: str, service: str) -> None:
         """Let an entry read the agents of a service from the store."""
@@ -353,12 +352,12 @@
 
     def fetch(self, address: str, source: str) -> None:
         """Carry a configuration from one daemon to another."""
-        core, teller = self._core(address), self._core(source)
-        if core is None or teller is None:
+        core, peer = self._core(address), self._core(source)
+        if core is None or peer is None:
             return
-        known = teller.formers
+        known = peer.formers
         told = known.rows(self.now) if known.is_complete else None
-        routes = teller.routes
+        routes = peer.routes
         self.at(0.002, lambda: core.configure(self.now, routes, told))
 
     def _core(self, address: str) -> Entry | Agent | None:
@@ -395,12 +394,12 @@
         former = self.routes
         self.routes = former._replace(version=former.version + 1, by_address=by_address)
         self.formers.replaced(self.now, former, self.routes)
-        self.store.order()
+        self.store.apply_order()
         routes = self.routes
         for core in self.cores():
-            delay = APPLY_LONGEST * self.rng.random()
+            delay = MAX_APPLY_SECONDS * self.rng.random()
             self.at(delay, lambda core=core: core.configure(self.now, routes))
-        self.at(RECORD_DELAY, self.store.write_record)
+        self.at(RECORD_DELAY_SECONDS, self.store.write_record)
 
     def cores(self) -> list[Entry | Agent]:
         """Return the daemons that run."""
@@ -410,7 +409,7 @@
     def evacuate(self, *centres: str) -> None:
         """Let the operator evacuate these data centres, and no others."""
         self.evacuated = frozenset(centres)
-        self.store.order()
+        self.store.apply_order()
 
     def _read_evacuations(self, core: Entry | Agent) -> None:
         """Let a daemon read the store, if it is one of its readers."""
@@ -433,23 +432,23 @@
         flow = ClientFlow(key, self.rng.randrange(1 << 32), self.now)
         self.flows_by_key[key] = flow
         self.from_client(flow.open(self.now))
-        self._plan(flow)
+        self._schedule_wake(flow)
         return flow
 
     def ask(self, flow: ClientFlow) -> None:
         """Let a client send its next request."""
         if flow.state == "open" and flow.asked_at is None:
             self.from_client(flow.ask(self.now))
-            self._plan(flow)
+            self._schedule_wake(flow)
 
     def from_client(self, raw: bytes) -> None:
         """Hand a packet to any entry that runs, as routers do."""
         running = [entry for entry in self.entries_by_address.values() if entry]
         if running:
             entry = self.rng.choice(running)
-            self.at(CLIENT_DELAY, lambda: entry.client(self.now, raw))
+            self.at(CLIENT_DELAY_SECONDS, lambda: entry.client(self.now, raw))
 
-    def _plan(self, flow: ClientFlow) -> None:
+    def _schedule_wake(self, flow: ClientFlow) -> None:
         due = flow.due
         if due > self.now:
             self.at(due - self.now, lambda: self._wake(flow, due))
@@ -460,7 +459,7 @@
         packet = flow.wake(self.now)
         if packet is not None:
             self.from_client(packet)
-            self._plan(flow)
+            self._schedule_wake(flow)
 
     # Judging
 
@@ -477,7 +476,7 @@
                 return agent
         return None
 
-    def _is_unreachable(self, key: bytes) -> bool:
+    def _is_agent_down(self, key: bytes) -> bool:
         """Tell whether the agent of the target that holds a flow doesn't run.
 
         Nobody can bring it a packet then, and nobody promises to.
@@ -495,5 +494,5 @@
         found += [f"opening at a leaving target: {k.hex()}" for k in self.late_openings]
         keys = {key for _, key in self.foreign}
         held = {key for key in keys if self.is_held(self.flows_by_key[key])}
-        strays = strayed(self.now, held, self.foreign, self.owned)
-        return found + strays
+        misrouted = misrouted_flows(self.now, held, self.foreign, self.owned)
+        return found + misrouted
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetslopes.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetslopes.py
@@ -14,8 +14,8 @@
 
 from zinniahook_core.packets import Flag
 
-from .packetends import ClientFlow, PlainCodec, flow_key
-from .packetworlds import SERVICE_PORT, TICK, PacketWorld
+from .packetendpoints import ClientFlow, PlainCodec, flow_key
+from .packetsimulation import SERVICE_PORT, TICK_SECONDS, PacketSimulation
 from .scenarios import Figure, scenario
 
 __all__: list[str] = []
@@ -25,7 +25,7 @@
 """Sequence number with which the measured targets begin."""
 
 
-class _Counting:
+class _CountingLinks:
     """Links that count what is sent and deliver nothing."""
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
         flow.entry = "10.0.1.1"
 
 
-def _each(repeat: Callable[[], None], count: int) -> float:
+def _microseconds_each(repeat: Callable[[], None], count: int) -> float:
     """Return the processor time of one of ``count`` steps, in microseconds."""
     began = time.process_time()
     repeat()
@@ -98,11 +98,11 @@
 
 
 def _entry(flows: int) -> list[Figure]:
-    world = PacketWorld(1)
-    entry = next(iter(world.entries_by_address.values()))
-    entry.links = _Counting()
+    sim = PacketSimulation(1)
+    entry = next(iter(sim.entries_by_address.values()))
+    entry.links = _CountingLinks()
     keys = _keys(flows)
-    owner = next(iter(world.agents_by_address))
+    owner = next(iter(sim.agents_by_address))
 
     def remember() -> None:
         for key in keys:
@@ -117,20 +117,20 @@
 
     def route() -> None:
         for packet in packets:
-            entry.client(world.now, packet)
+            entry.client(sim.now, packet)
 
     return [
         Figure("entry: bytes a flow", memory / flows, "B"),
-        Figure("entry: processor a packet", _each(route, flows), "us"),
+        Figure("entry: processor a packet", _microseconds_each(route, flows), "us"),
     ]
 
 
 def _agent(flows: int) -> list[Figure]:
-    world = PacketWorld(1)
-    agent = next(iter(world.agents_by_address.values())).core
-    agent.links = _Counting()
+    sim = PacketSimulation(1)
+    agent = next(iter(sim.agents_by_address.values())).core
+    agent.links = _CountingLinks()
     keys = _keys(flows)
-    memory = _memory(lambda: _open(agent, world.now, keys))
+    memory = _memory(lambda: _open(agent, sim.now, keys))
     return [
         Figure("agent: bytes a flow", memory / flows, "B"),
         Figure("agent: processor an opening", _openings(flows // 10), "us"),
@@ -139,35 +139,35 @@
 
 def _openings(count: int) -> float:
     """Return the time of all cores together for an opening and a request."""
-    world = PacketWorld(2, {"tally": 7}, entries=1)
-    for agent in world.agents_by_address.values():
+    sim = PacketSimulation(2, {"tally": 7}, entries=1)
+    for agent in sim.agents_by_address.values():
         agent.target.work = 0.001
 
     def open_all() -> None:
         for _ in range(count):
-            flow: ClientFlow = world.open_flow()
-            world.run(0.02)
+            flow: ClientFlow = sim.open_flow()
+            sim.run(0.02)
             assert flow.state == "open", "an opening wasn't served"
 
-    return _each(open_all, count)
+    return _microseconds_each(open_all, count)
 
 
 def _control() -> list[Figure]:
     figures = []
     for agents in (7, 45):
-        world = PacketWorld(3, {"tally": agents}, entries=1)
-        core = next(iter(world.agents_by_address.values())).core
-        core.links = counting = _Counting()
+        sim = PacketSimulation(3, {"tally": agents}, entries=1)
+        core = next(iter(sim.agents_by_address.values())).core
+        core.links = counting = _CountingLinks()
         seconds = 10.0
-        ticks = int(seconds / TICK)
+        ticks = int(seconds / TICK_SECONDS)
 
-        def tick_all(core=core, ticks=ticks, world=world) -> None:
+        def tick_all(core=core, ticks=ticks, sim=sim) -> None:
             for number in range(ticks):
                 for member in core.roster.by_address.values():
-                    member.heard(world.now + number * TICK)
-                core.tick(world.now + number * TICK)
+                    member.heard(sim.now + number * TICK_SECONDS)
+                core.tick(sim.now + number * TICK_SECONDS)
 
-        spent = _each(tick_all, ticks)
+        spent = _microseconds_each(tick_all, ticks)
         peers = agents - 1
         figures += [
             Figure(
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetstores.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetstores.py
@@ -10,21 +10,21 @@
 from .packetparts import SimulatedAgent
 
 if TYPE_CHECKING:
-    from .packetworlds import PacketWorld
+    from .packetsimulation import PacketSimulation
 
 __all__ = ["Announced", "SimulatedStore"]
 
-OPERATOR_DELAY = 1.0
+OPERATOR_DELAY_SECONDS = 1.0
 """Seconds until the operator writes again what a restored store lacks."""
 
-SETTLED_DELAY = 1.5
+RECORD_REWRITE_SECONDS = 1.5
 """Seconds until a daemon that lived through a restore writes the record again."""
 
-RENEW_FIRST = 2.0
-RENEW_LAST = 7.0
+MIN_RENEW_SECONDS = 2.0
+MAX_RENEW_SECONDS = 7.0
 """Seconds between a restore and the agents' second announcements."""
 
-LOOK_LONGEST = 0.3
+MAX_READ_SECONDS = 0.3
 """Seconds until the last daemon has what the operator wrote again."""
 
 Announced = tuple[str, str, str]
@@ -44,7 +44,7 @@
 class SimulatedStore:
     """Holds what the operator and the daemons of a world have written."""
 
-    def __init__(self, world: PacketWorld) -> None:
+    def __init__(self, sim: PacketSimulation) -> None:
         self.era = 0
         self.revision = 1
         self.routes = Routes.none()
@@ -52,14 +52,14 @@
         self.announced: list[Announced] = []
         self.record = Record({})
         self.record_era = 0
-        self._world = world
+        self._sim = sim
         self._copies: list[tuple[float, Contents]] = []
 
     # Writing
 
-    def order(self) -> None:
+    def apply_order(self) -> None:
         """Take what the operator wants now."""
-        self.routes, self.evacuated = self._world.routes, self._world.evacuated
+        self.routes, self.evacuated = self._sim.routes, self._sim.evacuated
         self._changed()
 
     def announce(self, agent: Announced) -> None:
@@ -70,8 +70,8 @@
 
     def write_record(self) -> None:
         """Take the record of a daemon that has seen every change."""
-        world = self._world
-        self.record = Record.of(world.now, world.routes, world.formers)
+        sim = self._sim
+        self.record = Record.of(sim.now, sim.routes, sim.formers)
         self._changed()
 
     def _changed(self) -> None:
@@ -84,7 +84,7 @@
             self.record,
             self.record_era,
         )
-        self._copies.append((self._world.now, contents))
+        self._copies.append((self._sim.now, contents))
 
     # Reading
 
@@ -92,7 +92,7 @@
         """Let a daemon that starts read everything."""
         former = self.record.formers(self.routes)
         whole = self.record_era >= self.era
-        core.configure(self._world.now, self.routes, former, whole)
+        core.configure(self._sim.now, self.routes, former, whole)
 
     # Coming back
 
@@ -106,38 +106,38 @@
         The operator, the agents and whoever looks at the store write again what
         they still mean.
         """
-        world, at = self._world, self._world.now - seconds
+        sim, at = self._sim, self._sim.now - seconds
         self._copies = [c for c in self._copies if c[0] <= at] or self._copies[:1]
         copy = self._copies[-1][1]
         self.era += 1
         self.revision, self.routes, self.evacuated = copy[:3]
         self.announced = list(copy.announced)
         self.record, self.record_era = copy.record, copy.record_era
-        world.at(OPERATOR_DELAY, self._order_again)
-        world.at(SETTLED_DELAY, self._write_record_again)
-        for agent in world.agents_by_address.values():
-            delay = world.rng.uniform(RENEW_FIRST, RENEW_LAST)
-            world.at(delay, lambda agent=agent: self._renew(agent))
+        sim.at(OPERATOR_DELAY_SECONDS, self._reapply_order)
+        sim.at(RECORD_REWRITE_SECONDS, self._rewrite_record)
+        for agent in sim.agents_by_address.values():
+            delay = sim.rng.uniform(MIN_RENEW_SECONDS, MAX_RENEW_SECONDS)
+            sim.at(delay, lambda agent=agent: self._renew(agent))
 
-    def _order_again(self) -> None:
+    def _reapply_order(self) -> None:
         """Take again what the operator wants; daemons look and find it."""
-        self.order()
-        world, routes = self._world, self.routes
-        for core in world.cores():
-            delay = LOOK_LONGEST * world.rng.random()
-            world.at(delay, lambda core=core: core.configure(world.now, routes))
+        self.apply_order()
+        sim, routes = self._sim, self.routes
+        for core in sim.cores():
+            delay = MAX_READ_SECONDS * sim.rng.random()
+            sim.at(delay, lambda core=core: core.configure(sim.now, routes))
 
     def _renew(self, agent: SimulatedAgent) -> None:
         if agent.core is not None:
             self.announce((agent.service, agent.address, agent.centre))
 
-    def _write_record_again(self) -> None:
+    def _rewrite_record(self) -> None:
         """Let a daemon that lacks nothing write the record, if any runs."""
-        world = self._world
-        whole = [core for core in world.cores() if core.formers.is_complete]
+        sim = self._sim
+        whole = [core for core in sim.cores() if core.formers.is_complete]
         if whole and self.record_era < self.era:
-            core = world.rng.choice(whole)
-            known = Record.of(world.now, core.routes, core.formers)
+            core = sim.rng.choice(whole)
+            known = Record.of(sim.now, core.routes, core.formers)
             self.record = merged([self.record, known])
             self.record_era = self.era
             self._changed()
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/participants.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/participants.py
@@ -13,7 +13,7 @@
 from zinniahook_core.requests import Requests
 
 if TYPE_CHECKING:
-    from .worlds import World
+    from .simulation import Simulation
 
 __all__ = ["Agent", "Caller", "Copy", "Faults", "TwoChoices"]
 
@@ -78,7 +78,7 @@
 class TwoChoices:
     """A placement that relays now and then, whatever the load."""
 
-    def __init__(self, world: World, name: str, share: float) -> None:
+    def __init__(self, world: Simulation, name: str, share: float) -> None:
         self._world = world
         self._name = name
         self._share = share
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/worlds.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/simulation.py
@@ -47,24 +47,24 @@
 
 from .participants import Agent, Caller, Copy, Faults, TwoChoices
 
-__all__ = ["WARM_UP", "CoreFactory", "World"]
+__all__ = ["WARM_UP_SECONDS", "CoreFactory", "Simulation"]
 
 SERVICE = "tally"
 SLOTS = 4
-ANYWHERE = Address("127.0.0.1", 1)
-TICK = 0.1
-WARM_UP = 4000.0
+PLACEHOLDER_ADDRESS = Address("127.0.0.1", 1)
+TICK_SECONDS = 0.1
+WARM_UP_SECONDS = 4000.0
 """Traffic starts when every agent has seen one lifetime of a key."""
 
-FENCE_AFTER = 3.0
-MARK_DOWN_AFTER = 5.0
-CALLER_TIMEOUT = 3.0
-DEADLINE = 10.0
+FENCE_AFTER_SECONDS = 3.0
+MARK_DOWN_AFTER_SECONDS = 5.0
+CALLER_TIMEOUT_SECONDS = 3.0
+DEADLINE_SECONDS = 10.0
 ANSWER = b"ticket filed"
 CoreFactory = Callable[[str, Service, random.Random, Any], Requests]
 
 
-class World:
+class Simulation:
     """The fakes around the cores: clock, network, roster, targets, callers."""
 
     def __init__(
@@ -77,7 +77,7 @@
         self.service = Service(
             SERVICE,
             1,
-            ANYWHERE,
+            PLACEHOLDER_ADDRESS,
             classes_by_name={"ticket": RequestClass("ticket", "/tickets", queue=8)},
         )
         self.revision = 0
@@ -120,7 +120,7 @@
             self._deliver_roster(agent, Roster(SERVICE, self.revision, self._members()))
         self.set_member(agent, AgentState.STARTING)
         self.after(0.5, lambda: self._when_alive(agent, self._become_ready))
-        self.after(TICK * self.rng.random(), lambda: self._tick(agent))
+        self.after(TICK_SECONDS * self.rng.random(), lambda: self._tick(agent))
 
     def set_member(self, agent: Agent, state: AgentState | None) -> None:
         """Write the roster and push it to everybody, each after a while."""
@@ -129,9 +129,9 @@
         else:
             self.members_by_name[agent.name] = Member(
                 agent.name,
-                ANYWHERE,
-                ANYWHERE,
-                ANYWHERE,
+                PLACEHOLDER_ADDRESS,
+                PLACEHOLDER_ADDRESS,
+                PLACEHOLDER_ADDRESS,
                 "thies-1",
                 agent.incarnation,
                 state,
@@ -148,14 +148,14 @@
         del self.agents_by_name[agent.name]
         for copy in agent.copies_by_request.values():
             self._break_relay(copy)
-        self.after(MARK_DOWN_AFTER, lambda: self._mark_down(agent))
-        back = self.rng.uniform(1.0, 2 * MARK_DOWN_AFTER)
+        self.after(MARK_DOWN_AFTER_SECONDS, lambda: self._mark_down(agent))
+        back = self.rng.uniform(1.0, 2 * MARK_DOWN_AFTER_SECONDS)
         self.after(back, lambda: self.join(agent.name, agent.incarnation + 1))
 
     def pause(self, agent: Agent, seconds: float) -> None:
         """Stop an agent; what it is sent waits until it goes on."""
         agent.paused_until = self.now + seconds
-        self.after(MARK_DOWN_AFTER, lambda: self._mark_down_if_paused(agent))
+        self.after(MARK_DOWN_AFTER_SECONDS, lambda: self._mark_down_if_paused(agent))
 
     def leave(self, agent: Agent) -> None:
         """Drain an agent; another one joins in its place."""
@@ -172,7 +172,7 @@
         self.after(delay, lambda: self._deliver_roster(agent, roster))
 
     def _deliver_roster(self, agent: Agent, roster: Roster) -> None:
-        if self._held_back(agent, lambda: self._deliver_roster(agent, roster)):
+        if self._deferred_if_paused(agent, lambda: self._deliver_roster(agent, roster)):
             return
         if agent.roster is not None and agent.roster.revision >= roster.revision:
             return
@@ -192,7 +192,7 @@
             self.set_member(agent, AgentState.READY)
 
     def _when_alive(self, agent: Agent, action: Callable[[Agent], None]) -> None:
-        if agent.alive and not self._held_back(agent, lambda: action(agent)):
+        if agent.alive and not self._deferred_if_paused(agent, lambda: action(agent)):
             action(agent)
 
     def _mark_down(self, agent: Agent) -> None:
@@ -222,7 +222,7 @@
     def _announcer(self, state: AgentState) -> Callable[[Agent], None]:
         return lambda agent: self.set_member(agent, state)
 
-    def _held_back(self, agent: Agent, again: Callable[[], None]) -> bool:
+    def _deferred_if_paused(self, agent: Agent, again: Callable[[], None]) -> bool:
         if not agent.alive:
             return True
         if self.now < agent.paused_until:
@@ -240,13 +240,13 @@
     def _wake(self, agent: Agent) -> None:
         gap = self.now - agent.seen_at
         agent.seen_at = self.now
-        if gap > FENCE_AFTER and agent.roster is not None:
+        if gap > FENCE_AFTER_SECONDS and agent.roster is not None:
             self._fence(agent)
 
     def _tick(self, agent: Agent) -> None:
         if not agent.alive:
             return
-        if self._held_back(agent, lambda: self._tick(agent)):
+        if self._deferred_if_paused(agent, lambda: self._tick(agent)):
             return
         self.handle(agent, Tick())
         if agent.leaving and agent.core.idle and not agent.fenced:
@@ -254,8 +254,11 @@
             self.agents_by_name.pop(agent.name, None)
             self.set_member(agent, None)
             return
-        idle = self.now < WARM_UP - 10
-        self.after(FENCE_AFTER * 0.9 if idle else TICK, lambda: self._tick(agent))
+        idle = self.now < WARM_UP_SECONDS - 10
+        self.after(
+            FENCE_AFTER_SECONDS * 0.9 if idle else TICK_SECONDS,
+            lambda: self._tick(agent),
+        )
 
     def _execute(self, agent: Agent, effects: list[Any]) -> None:
         for effect in effects:
@@ -275,7 +278,9 @@
 
     def _receive(self, name: str, event: PeerDatagram) -> None:
         agent = self.agents_by_name.get(name)
-        if agent is None or self._held_back(agent, lambda: self._receive(name, event)):
+        if agent is None or self._deferred_if_paused(
+            agent, lambda: self._receive(name, event)
+        ):
             return
         self.handle(agent, event)
 
@@ -300,7 +305,7 @@
 
     def _target_ends(self, agent: Agent, incarnation: int, request: int) -> None:
         again = lambda: self._target_ends(agent, incarnation, request)  # noqa: E731
-        if self._held_back(agent, again) or agent.incarnation != incarnation:
+        if self._deferred_if_paused(agent, again) or agent.incarnation != incarnation:
             return
         done = Outcome(OutcomeKind.DONE, Code.OK)
         self.handle(agent, RequestFinished(request, done, True, ANSWER))
@@ -354,7 +359,7 @@
 
     def _relay_broke(self, origin: tuple[Agent, int]) -> None:
         agent, request = origin
-        if self._held_back(agent, lambda: self._relay_broke(origin)):
+        if self._deferred_if_paused(agent, lambda: self._relay_broke(origin)):
             return
         lost = Outcome(OutcomeKind.UNKNOWN, Code.ANSWER_LOST)
         self.handle(agent, RequestFinished(request, lost, True))
@@ -367,7 +372,7 @@
             self.after(0.5, lambda: self._cancel(peer, number))
 
     def _cancel(self, agent: Agent, request: int) -> None:
-        if not self._held_back(agent, lambda: self._cancel(agent, request)):
+        if not self._deferred_if_paused(agent, lambda: self._cancel(agent, request)):
             self.handle(agent, RequestCancelled(request))
 
     def _cancel_request(self, agent: Agent, effect: CancelRequest) -> None:
@@ -382,7 +387,7 @@
         self.after(0.002, lambda: self._cancelled(agent, effect.request))
 
     def _cancelled(self, agent: Agent, request: int) -> None:
-        if self._held_back(agent, lambda: self._cancelled(agent, request)):
+        if self._deferred_if_paused(agent, lambda: self._cancelled(agent, request)):
             return
         cancelled = Outcome(OutcomeKind.CANCELLED_AFTER, Code.CANCELLED_AFTER)
         self.handle(agent, RequestFinished(request, cancelled, True))
@@ -403,7 +408,7 @@
             late = self.rng.uniform(0.0, self.faults.latest_copy)
             copy = Copy(caller, attempt, first=False)
             self.after(late, lambda: self._send_copy(copy))
-        self.after(CALLER_TIMEOUT, lambda: self._time_out(caller, attempt))
+        self.after(CALLER_TIMEOUT_SECONDS, lambda: self._time_out(caller, attempt))
 
     def _send_copy(self, copy: Copy) -> None:
         agents = [agent for agent in self.agents_by_name.values() if agent.roster]
@@ -415,7 +420,7 @@
         if not agent.alive:
             self._break_relay(copy)
             return
-        if self._held_back(agent, lambda: self._arrive(agent, number, copy)):
+        if self._deferred_if_paused(agent, lambda: self._arrive(agent, number, copy)):
             return
         self._wake(agent)
         agent.copies_by_request[number] = copy
@@ -426,7 +431,7 @@
             False,
             copy.caller.key,
             copy.attempt,
-            self.now + DEADLINE,
+            self.now + DEADLINE_SECONDS,
             relayed_by,
         )
         if agent.fenced:
@@ -461,7 +466,9 @@
 
     def _relay_answered(self, origin: tuple[Agent, int], outcome: Outcome) -> None:
         agent, request = origin
-        if self._held_back(agent, lambda: self._relay_answered(origin, outcome)):
+        if self._deferred_if_paused(
+            agent, lambda: self._relay_answered(origin, outcome)
+        ):
             return
         if request not in agent.copies_by_request:
             return
@@ -471,17 +478,17 @@
             self._done(agent, request)
 
 
-def _ignore(world: World, agent: Agent, effect: Any) -> None:
+def _ignore(sim: Simulation, agent: Agent, effect: Any) -> None:
     """Execute nothing: the effect has no meaning in this measurement."""
 
 
-_EXECUTORS_BY_EFFECT: dict[type, Callable[[World, Agent, Any], None]] = {
-    SendPeer: World._send,
-    Run: World._run,
-    FinishRequest: World._finish,
-    Replay: World._replay,
-    JoinRequest: World._join,
-    Relay: World._relay,
-    CancelRequest: World._cancel_request,
-    Count: World._count,
+_EXECUTORS_BY_EFFECT: dict[type, Callable[[Simulation, Agent, Any], None]] = {
+    SendPeer: Simulation._send,
+    Run: Simulation._run,
+    FinishRequest: Simulation._finish,
+    Replay: Simulation._replay,
+    JoinRequest: Simulation._join,
+    Relay: Simulation._relay,
+    CancelRequest: Simulation._cancel_request,
+    Count: Simulation._count,
 }
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/soak/judges.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/soak/judges.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from ..strays import strayed
+from ..misrouting import misrouted_flows
 
 __all__ = ["Judge", "Touch"]
 
@@ -137,4 +137,4 @@
             if flow in holders_by_flow
             and self.is_untouched(at, address, holders_by_flow[flow])
         ]
-        return strayed(now, set(holders_by_flow), foreign, self.owned)
+        return misrouted_flows(now, set(holders_by_flow), foreign, self.owned)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/splitcosts.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/splitcosts.py
@@ -14,17 +14,17 @@
 from zinniahook_core.packets import Route, Routes, ServiceShare
 from zinniahook_core.packets.tunnel import Kind
 
-from .packetends import flow_key
-from .packetworlds import SERVICE_PORT, PacketWorld
+from .packetendpoints import flow_key
+from .packetsimulation import SERVICE_PORT, PacketSimulation
 from .scenarios import Figure, scenario
 
 __all__: list[str] = []
 
-DARK = 1.0
+OUTAGE_SECONDS = 1.0
 PACKET_KINDS = (Kind.FORWARD, Kind.RETURN, Kind.DENIAL, Kind.OWNER, Kind.RELAY)
 
 
-class _SplitWorld(PacketWorld):
+class _SplitSimulation(PacketSimulation):
     """A world whose one route leads three flows of four to the first service."""
 
     def __init__(self, seed: int, services: dict[str, int], entries: int) -> None:
@@ -54,7 +54,7 @@
         for agent in self.agents_by_address.values():
             agent.core = None
             agent.target.alive = False
-        self.run(DARK)
+        self.run(OUTAGE_SECONDS)
         for address in self.entries_by_address:
             self.start_entry(address)
         for agent in self.agents_by_address.values():
@@ -82,21 +82,21 @@
 
 def _after_loss(size: int, flows_each: int, seconds: float) -> list[Figure]:
     services = {"floor": size - size // 4, "docs": size // 4}
-    world = _SplitWorld(1, services, entries=max(3, size // 4))
-    flows = [world.open_flow() for _ in range(size * flows_each)]
-    world.run(2.0)
+    sim = _SplitSimulation(1, services, entries=max(3, size // 4))
+    flows = [sim.open_flow() for _ in range(size * flows_each)]
+    sim.run(2.0)
     for flow in flows:
-        world.ask(flow)
-    world.lose_power()
-    world.sent.clear()
-    world.client_packets = 0
-    searches = world.log.counts["search"]
+        sim.ask(flow)
+    sim.lose_power()
+    sim.sent.clear()
+    sim.client_packets = 0
+    searches = sim.log.counts["search"]
     began = time.process_time()
-    world.run(seconds)
+    sim.run(seconds)
     spent = time.process_time() - began
-    datagrams = sum(world.sent[kind] for kind in PACKET_KINDS)
+    datagrams = sum(sim.sent[kind] for kind in PACKET_KINDS)
     ended = sum(flow.state == "reset" for flow in flows)
-    begun = world.log.counts["search"] - searches
+    begun = sim.log.counts["search"] - searches
     return [
         Figure(
             f"datagrams a flow, {size} agents",
--- a/packages/zinniahook-testkit/tests/queueing_fakes.py
+++ b/packages/zinniahook-testkit/tests/queueing_fakes.py
@@ -16,9 +16,9 @@
 )
 from zinniahook_core.packets.queueing import EXTRA_REQUESTS
 from zinniahook_core.packets.tunnel import Head, Kind, Mark, tag
-from zinniahook_testkit.packetends import PlainCodec, flow_key
+from zinniahook_testkit.packetendpoints import PlainCodec, flow_key
 from zinniahook_testkit.packetparts import RecordingLog
-from zinniahook_testkit.packetworlds import route_address
+from zinniahook_testkit.packetsimulation import route_address
 
 SERVICE = "tally"
 ENTRY = "10.1.0.1"
@@ -32,13 +32,13 @@
 """The client's numbers wrap while it sends its first requests."""
 
 
-class Desk:
+class AgentHarness:
     """One agent; its target is what the tests say that it does."""
 
     def __init__(self, wanted=None, goal=GOAL, slots=1):
         self.now = 100.0
         self.codec, self.log = PlainCodec(), RecordingLog()
-        self.given, self.to_clients = [], []
+        self.delivered, self.to_clients = [], []
         target = Target(SERVICE, 1.0)
         features = Features(request_order=wanted)
         rng = random.Random(1)
@@ -54,10 +54,10 @@
         self.core.configure(self.now, Routes(1, by_address, 60.0, b""))
         self.numbers = itertools.count(1)
         self.slots = slots
-        self.sent, self.told = {}, {}
+        self.sent, self.target_sent = {}, {}
         self.wait(2.0)
 
-    def beat(self, **changes):
+    def send_heartbeat(self, **changes):
         beat = Heartbeat("t-1", SERVICE, self.slots, False, 0.0, next(self.numbers), 1)
         self.core.heartbeat(self.now, beat._replace(**changes))
 
@@ -68,7 +68,7 @@
             self.core.freshness.confirmed(self.now)
             self.core.evacuate(self.now, 1, frozenset())
             if beats:
-                self.beat()
+                self.send_heartbeat()
             self.core.tick(self.now)
 
     def to_peer(self, address, data):
@@ -78,7 +78,7 @@
         self.to_clients.append((flow, self.codec.from_target(raw)))
 
     def to_target(self, raw):
-        self.given.append(raw)
+        self.delivered.append(raw)
 
     def lookup(self, service):
         pass
@@ -96,18 +96,18 @@
 
     def target(self, flow, flags, data=b""):
         """Let the target send a packet."""
-        sequence = FIRST + self.told[flow]
+        sequence = FIRST + self.target_sent[flow]
         raw = self.codec.write(flow, flags, sequence, self.sent[flow], data)
-        self.told[flow] += len(data)
+        self.target_sent[flow] += len(data)
         self.core.from_target(self.now, raw)
 
     def open(self, port, route=FEED):
         """Open a flow, and let its first request be answered."""
         flow = flow_key("100.64.0.1", port, f"198.18.0.{route}", 8443)
-        self.told[flow], self.sent[flow] = 0, CLIENT_FIRST + 1
+        self.target_sent[flow], self.sent[flow] = 0, CLIENT_FIRST + 1
         self.client(flow, Flag.OPENING, CLIENT_FIRST, 0)
         self.target(flow, Flag.OPENING | Flag.ACKNOWLEDGES)
-        self.told[flow] = 1
+        self.target_sent[flow] = 1
         self.ask(flow, b"first")
         self.answer(flow)
         return flow
@@ -121,7 +121,7 @@
     def piece(self, flow, offset, data, flags=Flag.ACKNOWLEDGES):
         """Let a client send data that begins at an offset of what is next."""
         sequence = self.sent[flow] + offset
-        return self.client(flow, flags, sequence, FIRST + self.told[flow], data)
+        return self.client(flow, flags, sequence, FIRST + self.target_sent[flow], data)
 
     def answer(self, flow):
         self.target(flow, Flag.ACKNOWLEDGES, b"answer")
--- a/packages/zinniahook-testkit/tests/request_loads.py
+++ b/packages/zinniahook-testkit/tests/request_loads.py
@@ -24,20 +24,20 @@
     Urgency,
 )
 from zinniahook_core.packets.tunnel import Head, Kind, tag
-from zinniahook_testkit.packetends import PlainCodec, flow_key
+from zinniahook_testkit.packetendpoints import PlainCodec, flow_key
 from zinniahook_testkit.packetparts import RecordingLog
-from zinniahook_testkit.packetworlds import route_address
+from zinniahook_testkit.packetsimulation import route_address
 
 SERVICE = "tally"
 DELAY = 0.002
 REPEATS = (0.2, 0.6, 1.4, 3.0)
-OPEN_TIMEOUT = 1.4
+OPEN_TIMEOUT_SECONDS = 1.4
 TRIES = 3
-TICK = 0.05
-LOOK = 0.005
+TICK_SECONDS = 0.05
+CHECK_SECONDS = 0.005
 
 
-class KindOfRequest(NamedTuple):
+class RequestKind(NamedTuple):
     """What requests of one route are like."""
 
     name: str
@@ -48,12 +48,12 @@
     patience: float
 
 
-FEED = KindOfRequest("feed", 0.78, 0.047, 1.0, Urgency(2, 0.4), 5.0)
-EDIT = KindOfRequest("edit", 0.22, 0.061, 2.0, Urgency(1, 0.4), 6.0)
+FEED = RequestKind("feed", 0.78, 0.047, 1.0, Urgency(2, 0.4), 5.0)
+EDIT = RequestKind("edit", 0.22, 0.061, 2.0, Urgency(1, 0.4), 6.0)
 KINDS = (FEED, EDIT)
 
 
-class Side:
+class Node:
     """A target and its agent; also the agent's links."""
 
     def __init__(self, load, number, slots, features):
@@ -61,7 +61,7 @@
         self.address = f"10.0.0.{number + 1}"
         self.alive, self.slow = True, 1.0
         self.working, self.queue, self.idle_for = 0, [], 0
-        self.beats, self.starts = 0, 1
+        self.heartbeats, self.starts = 0, 1
         rng = random.Random(load.rng.random())
         target = Target(SERVICE, 1.0)
         self.core = Agent(
@@ -86,10 +86,10 @@
         self.core.evacuate(now, 1, frozenset())
         self.core.tick(now)
 
-    def beat(self):
+    def send_heartbeat(self):
         if self.alive:
-            self.beats += 1
-            name, number = f"{self.address}-{self.starts}", self.beats
+            self.heartbeats += 1
+            name, number = f"{self.address}-{self.starts}", self.heartbeats
             beat = Heartbeat(name, SERVICE, self.slots, False, 0.0, number, self.starts)
             self.core.heartbeat(self.load.now, beat)
 
@@ -133,7 +133,7 @@
         self.by_flow[packet.flow] = end
         if self.working < self.slots:
             self.work(packet)
-        elif len(self.queue) < self.load.queue_most:
+        elif len(self.queue) < self.load.queue_limit:
             self.queue.append(packet)
         else:
             self.load.rejected += 1
@@ -169,20 +169,20 @@
         self.by_flow = {}
 
     def start(self):
-        self.alive, self.beats = True, 0
+        self.alive, self.heartbeats = True, 0
         self.starts += 1
-        self.beat()
+        self.send_heartbeat()
 
-    def look(self):
+    def check_held(self):
         """Note whether a request waits here although a slot is free."""
         longest = self.core.queue.longest(self.load.now)
         self.load.longest_hold = max(self.load.longest_hold, longest)
         free = self.alive and self.slots > self.working + len(self.queue)
         self.idle_for = self.idle_for + 1 if free and len(self.core.queue) else 0
-        self.load.held_in_vain += self.idle_for > 1
+        self.load.needlessly_held += self.idle_for > 1
 
     @property
-    def load_told(self):
+    def reported_load(self):
         return self.core.flows.busy + self.core.membership.waiting
 
 
@@ -203,7 +203,7 @@
         self.tries += 1
         idle = load.idle_by_kind[self.kind.name]
         if reuse and idle:
-            self.side, self.flow, self.sent, self.got = idle.pop(
+            self.node, self.flow, self.sent, self.got = idle.pop(
                 load.rng.randrange(len(idle))
             )
             load.caller_by_flow[self.flow] = self
@@ -213,13 +213,13 @@
         self.flow = flow_key("100.64.0.1", next(load.ports), f"198.18.0.{number}", 8443)
         load.caller_by_flow[self.flow] = self
         self.sent, self.got = 1, 0
-        running = [side for side in load.sides if side.alive] or load.sides
+        running = [node for node in load.nodes if node.alive] or load.nodes
         pair = load.rng.sample(running, min(2, len(running)))
-        self.side = min(pair, key=lambda side: side.load_told)
+        self.node = min(pair, key=lambda node: node.reported_load)
         self.opened = False
         self.open(self.tries, 0)
         tries = self.tries
-        load.at(OPEN_TIMEOUT, lambda: self.give_up(tries))
+        load.at(OPEN_TIMEOUT_SECONDS, lambda: self.give_up(tries))
 
     def give_up(self, tries):
         if tries == self.tries and not self.opened:
@@ -242,10 +242,10 @@
             self.load.at(wait, lambda: sent == self.sent and self.ask(tries, copy + 1))
 
     def send(self, flags, sequence, acknowledged, data=b""):
-        load, side = self.load, self.side
+        load, node = self.load, self.node
         raw = load.codec.write(self.flow, flags, sequence, acknowledged, data)
         load.sent_by_raw[raw] += 1
-        load.at(DELAY, lambda: load.arrive(side, raw))
+        load.at(DELAY, lambda: load.arrive(node, raw))
 
     def answered(self, packet):
         return 1001 + self.got
@@ -267,7 +267,7 @@
                 self.load.at(0.01, self.begin)
                 return
             self.done = self.load.now
-            row = (self.side, self.flow, self.sent, self.got)
+            row = (self.node, self.flow, self.sent, self.got)
             self.load.idle_by_kind[self.kind.name].append(row)
 
     @property
@@ -285,11 +285,11 @@
 class Load:
     """Callers and targets on one clock."""
 
-    def __init__(self, seed, wanted, sides=6, slots=3, queue_most=12, reuse=0.7):
+    def __init__(self, seed, wanted, nodes=6, slots=3, queue_limit=12, reuse=0.7):
         self.now, self.rng = 100.0, random.Random(seed)
-        self.reuse, self.queue_most = reuse, queue_most
+        self.reuse, self.queue_limit = reuse, queue_limit
         self.codec, self.log = PlainCodec(), RecordingLog()
-        self.rejected = self.held_in_vain = self.misdelivered = 0
+        self.rejected = self.needlessly_held = self.misdelivered = 0
         self.longest_hold = 0.0
         self.sent_by_raw, self.numbers_by_flow = collections.Counter(), {}
         self.ports = itertools.count(1024)
@@ -303,12 +303,12 @@
         }
         self.routes = Routes(1, by_address, 60.0, b"")
         features = Features(request_order=wanted)
-        self.sides = [Side(self, n, slots, features) for n in range(sides)]
-        self.capacity = sides * slots / sum(kind.share * kind.work for kind in KINDS)
-        for side in self.sides:
-            self.every(TICK, side.tick)
-            self.every(1.0, side.beat)
-            self.every(LOOK, side.look)
+        self.nodes = [Node(self, n, slots, features) for n in range(nodes)]
+        self.capacity = nodes * slots / sum(kind.share * kind.work for kind in KINDS)
+        for node in self.nodes:
+            self.every(TICK_SECONDS, node.tick)
+            self.every(1.0, node.send_heartbeat)
+            self.every(CHECK_SECONDS, node.check_held)
         self.run(2.0)
 
     def at(self, delay, call):
@@ -330,13 +330,13 @@
         self.misdelivered += self.sent_by_raw[raw] < 0 or early
         self.numbers_by_flow[packet.flow] = packet.sequence
 
-    def arrive(self, side, raw):
+    def arrive(self, node, raw):
         packet = self.codec.from_client(raw)
         head = Head(Kind.FORWARD, service=tag(SERVICE), entry="10.1.0.1")
         if packet.is_opening:
-            side.core.openings.take(self.now, side.address, head, packet)
+            node.core.openings.take(self.now, node.address, head, packet)
         else:
-            side.core._forwarded(self.now, "10.1.0.1", head, raw)
+            node.core._forwarded(self.now, "10.1.0.1", head, raw)
 
     def run(self, seconds):
         until = self.now + seconds
@@ -345,7 +345,7 @@
             call()
         self.now = until
 
-    def play(self, seconds, rate):
+    def run_load(self, seconds, rate):
         """Let callers come, ``rate(second)`` of the targets' capacity."""
         start, until = self.now, self.now + seconds
         while self.now < until:
@@ -375,33 +375,33 @@
 
 
 def swing(load):
-    load.play(17.0, wave)
+    load.run_load(17.0, wave)
 
 
-def burst_day(load):
-    load.play(10.0, burst)
+def burst_run(load):
+    load.run_load(10.0, burst)
 
 
 def half_lost(load):
-    load.play(3.0, wave)
-    half = load.sides[::2]
-    for side in half:
-        side.crash()
-    load.play(4.5, lambda at: wave(at + 3))
-    for side in half:
-        side.start()
-    load.play(4.0, lambda at: wave(at + 7.5))
+    load.run_load(3.0, wave)
+    half = load.nodes[::2]
+    for node in half:
+        node.crash()
+    load.run_load(4.5, lambda at: wave(at + 3))
+    for node in half:
+        node.start()
+    load.run_load(4.0, lambda at: wave(at + 7.5))
 
 
 def power_lost(load):
-    load.play(2.0, wave)
-    for side in load.sides:
-        side.crash()
-    load.play(0.7, lambda at: 0.7)
-    for side in load.sides:
-        side.slow = 1.6
-        side.start()
-    load.play(2.0, lambda at: 0.7)
-    for side in load.sides:
-        side.slow = 1.0
-    load.play(5.0, lambda at: 0.7)
+    load.run_load(2.0, wave)
+    for node in load.nodes:
+        node.crash()
+    load.run_load(0.7, lambda at: 0.7)
+    for node in load.nodes:
+        node.slow = 1.6
+        node.start()
+    load.run_load(2.0, lambda at: 0.7)
+    for node in load.nodes:
+        node.slow = 1.0
+    load.run_load(5.0, lambda at: 0.7)
--- a/packages/zinniahook-testkit/tests/test_packet_cold.py
+++ b/packages/zinniahook-testkit/tests/test_packet_cold.py
@@ -6,9 +6,9 @@
 """
 
 import pytest
-from packet_stories import SEEDS
+from packet_helpers import SEEDS
 from zinniahook_core.packets import ColdLimit
-from zinniahook_testkit.packetworlds import DATA_CENTRES, PacketWorld
+from zinniahook_testkit.packetsimulation import DATA_CENTRES, PacketSimulation
 
 LIMIT = ColdLimit(1.5, 5)
 RATE = 4.0
@@ -19,20 +19,20 @@
 EVACUATED = DATA_CENTRES[0]
 
 
-def cold_world(seed):
-    world = PacketWorld(seed, {"tally": 24}, cold_limit=LIMIT)
-    world.set_cold_rate("tally", RATE)
-    world.run(1.5)
-    return world
+def cold_simulation(seed):
+    sim = PacketSimulation(seed, {"tally": 24}, cold_limit=LIMIT)
+    sim.set_cold_rate("tally", RATE)
+    sim.run(1.5)
+    return sim
 
 
-def loaded(world, seconds):
+def loaded(sim, seconds):
     """Let clients open flows; return them."""
     flows = []
     for _ in range(round(seconds / STEP)):
-        flows += [world.open_flow() for _ in range(round(OPENINGS * STEP))]
-        world.run(STEP)
-    world.run(1.6)
+        flows += [sim.open_flow() for _ in range(round(OPENINGS * STEP))]
+        sim.run(STEP)
+    sim.run(1.6)
     return flows
 
 
@@ -44,9 +44,9 @@
     )
 
 
-def chill(world, agents):
+def chill(sim, agents):
     for agent in agents:
-        agent.warm_at = world.now + COLD
+        agent.warm_at = sim.now + COLD
 
 
 class TestDataCentreTakenBack:
@@ -59,17 +59,17 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_no_second_is_over_the_limit(self, seed):
-        world = cold_world(seed)
-        world.evacuate(EVACUATED)
-        loaded(world, 1.0)
-        there = [a for a in world.agents_by_address.values() if a.centre == EVACUATED]
-        chill(world, there)
-        since = world.now
-        world.evacuate()
-        flows = loaded(world, 4.0)
+        sim = cold_simulation(seed)
+        sim.evacuate(EVACUATED)
+        loaded(sim, 1.0)
+        there = [a for a in sim.agents_by_address.values() if a.centre == EVACUATED]
+        chill(sim, there)
+        since = sim.now
+        sim.evacuate()
+        flows = loaded(sim, 4.0)
         assert max(most_in_a_second(agent, since) for agent in there) <= MOST
         assert sum(flow.state == "open" for flow in flows) >= 0.99 * len(flows)
-        assert world.findings() == []
+        assert sim.findings() == []
 
 
 class TestAllTargetsCold:
@@ -81,14 +81,14 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_no_second_is_over_the_limit(self, seed):
-        world = cold_world(seed)
-        since = world.now
-        for agent in world.agents_by_address.values():
-            world.start_target(agent)
-            world.start_agent(agent)
-        chill(world, world.agents_by_address.values())
-        flows = loaded(world, 4.0)
-        agents = world.agents_by_address.values()
+        sim = cold_simulation(seed)
+        since = sim.now
+        for agent in sim.agents_by_address.values():
+            sim.start_target(agent)
+            sim.start_agent(agent)
+        chill(sim, sim.agents_by_address.values())
+        flows = loaded(sim, 4.0)
+        agents = sim.agents_by_address.values()
         assert max(most_in_a_second(agent, since) for agent in agents) <= MOST
         served = sum(flow.state == "open" for flow in flows)
         assert served >= 0.8 * len(flows)
@@ -97,12 +97,12 @@
 class TestAgentThatStartsBesideAColdTarget:
     @pytest.mark.parametrize("seed", SEEDS)
     def test_what_the_former_process_let_pass_counts(self, seed):
-        world = cold_world(seed)
-        agent = next(iter(world.agents_by_address.values()))
-        chill(world, [agent])
-        world.run(1.5)
-        since = world.now
+        sim = cold_simulation(seed)
+        agent = next(iter(sim.agents_by_address.values()))
+        chill(sim, [agent])
+        sim.run(1.5)
+        since = sim.now
         for _ in range(4):
-            loaded(world, 0.4)
-            world.start_agent(agent)
+            loaded(sim, 0.4)
+            sim.start_agent(agent)
         assert most_in_a_second(agent, since) <= MOST
--- a/packages/zinniahook-testkit/tests/test_packet_compiled.py
+++ b/packages/zinniahook-testkit/tests/test_packet_compiled.py
@@ -10,21 +10,21 @@
 COMPILED = pathlib.Path(__file__).parents[3] / "target" / "core" / "src"
 SEEDS = range(1, 7)
 
-STORY = """
+SCRIPT = """
 import sys
 from zinniahook_core.packets import agent
-from zinniahook_testkit.packetworlds import PacketWorld
-world = PacketWorld(int(sys.argv[1]), {"tally": 12, "ledger": 5}, loss=0.02)
-flows = [world.open_flow() for _ in range(40)]
-world.run(1.0)
-for each in list(world.agents_by_address.values())[::2]:
-    world.start_agent(each)
+from zinniahook_testkit.packetsimulation import PacketSimulation
+sim = PacketSimulation(int(sys.argv[1]), {"tally": 12, "ledger": 5}, loss=0.02)
+flows = [sim.open_flow() for _ in range(40)]
+sim.run(1.0)
+for each in list(sim.agents_by_address.values())[::2]:
+    sim.start_agent(each)
 for flow in flows:
-    world.ask(flow)
-world.run(3.0)
+    sim.ask(flow)
+sim.run(3.0)
 print(agent.__file__, file=sys.stderr)
-print(world.findings())
-print([(name, str(fields)) for name, fields in world.log.lines])
+print(sim.findings())
+print([(name, str(fields)) for name, fields in sim.log.lines])
 """
 
 
@@ -49,7 +49,7 @@
     def _run(self, seed, variables):
         environment = {**os.environ, "PYTHONPATH": "", "PYTHONHASHSEED": "1"}
         done = subprocess.run(
-            [sys.executable, "-c", STORY, str(seed)],
+            [sys.executable, "-c", SCRIPT, str(seed)],
             env={**environment, **variables},
             capture_output=True,
             check=True,
--- a/packages/zinniahook-testkit/tests/test_packet_evacuations.py
+++ b/packages/zinniahook-testkit/tests/test_packet_evacuations.py
@@ -5,26 +5,26 @@
 """
 
 import pytest
-from packet_stories import SEEDS, asked, opened
-from zinniahook_testkit.packetworlds import DATA_CENTRES, PacketWorld
+from packet_helpers import SEEDS, count_new_answers, open_flows
+from zinniahook_testkit.packetsimulation import DATA_CENTRES, PacketSimulation
 
 AGENTS = {"tally": 18}
-IN_FORCE = 1.0
+IN_FORCE_SECONDS = 1.0
 """Seconds until an order must be in force: a fifth of what operators are told,
 as nothing fails here."""
 
 EVACUATED, OTHER, THIRD = DATA_CENTRES[0], DATA_CENTRES[1], DATA_CENTRES[2]
-SERVED = 0.1
+OPENING_SECONDS = 0.1
 """Seconds for an opening where targets are free: a client repeats it after 0.2."""
 
 
-def there(world, centre=EVACUATED):
-    return [a for a in world.agents_by_address.values() if a.centre == centre]
+def there(sim, centre=EVACUATED):
+    return [a for a in sim.agents_by_address.values() if a.centre == centre]
 
 
-def late(world, since):
+def late(sim, since):
     """Return the openings that evacuated targets took after a moment."""
-    return [row for row in world.evacuated_openings if row[0] >= since]
+    return [row for row in sim.evacuated_openings if row[0] >= since]
 
 
 class TestEvacuatedDataCentre:
@@ -35,76 +35,76 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_nothing_new_goes_there(self, seed):
-        world = PacketWorld(seed, AGENTS, loss=0.01)
-        world.evacuate(EVACUATED)
-        world.run(IN_FORCE)
-        since = world.now
+        sim = PacketSimulation(seed, AGENTS, loss=0.01)
+        sim.evacuate(EVACUATED)
+        sim.run(IN_FORCE_SECONDS)
+        since = sim.now
         for _ in range(10):
-            opened(world, 30, 0.7)
-        assert late(world, since) == []
-        assert world.findings() == []
+            open_flows(sim, 30, 0.7)
+        assert late(sim, since) == []
+        assert sim.findings() == []
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_nobody_notices_on_open_flows(self, seed):
-        world = PacketWorld(seed, AGENTS)
-        flows = opened(world)
-        world.evacuate(EVACUATED)
+        sim = PacketSimulation(seed, AGENTS)
+        flows = open_flows(sim)
+        sim.evacuate(EVACUATED)
         for _ in range(4):
-            assert asked(world, flows) == [1] * len(flows)
-        assert world.findings() == []
+            assert count_new_answers(sim, flows) == [1] * len(flows)
+        assert sim.findings() == []
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_openings_need_no_second_try(self, seed):
-        world = PacketWorld(seed, AGENTS)
-        world.evacuate(EVACUATED)
-        world.run(IN_FORCE)
+        sim = PacketSimulation(seed, AGENTS)
+        sim.evacuate(EVACUATED)
+        sim.run(IN_FORCE_SECONDS)
         for _ in range(5):
-            opened(world, 20, SERVED)
+            open_flows(sim, 20, OPENING_SECONDS)
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_one_reader_of_the_store_is_enough(self, seed):
-        world = PacketWorld(seed, AGENTS, loss=0.02)
-        world.store_readers = {next(iter(world.entries_by_address))}
-        world.evacuate(EVACUATED)
-        world.run(IN_FORCE)
-        since = world.now
-        opened(world, 60, 1.5)
-        assert late(world, since) == []
+        sim = PacketSimulation(seed, AGENTS, loss=0.02)
+        sim.store_readers = {next(iter(sim.entries_by_address))}
+        sim.evacuate(EVACUATED)
+        sim.run(IN_FORCE_SECONDS)
+        since = sim.now
+        open_flows(sim, 60, 1.5)
+        assert late(sim, since) == []
 
     def test_of_three_two_may_be_evacuated(self):
-        world = PacketWorld(1, AGENTS)
-        world.evacuate(EVACUATED, OTHER)
-        world.run(IN_FORCE)
-        since = world.now
-        opened(world, 20, 0.5)
-        assert late(world, since) == []
+        sim = PacketSimulation(1, AGENTS)
+        sim.evacuate(EVACUATED, OTHER)
+        sim.run(IN_FORCE_SECONDS)
+        since = sim.now
+        open_flows(sim, 20, 0.5)
+        assert late(sim, since) == []
 
 
 class TestEvacuationTakenBack:
     @pytest.mark.parametrize("seed", SEEDS)
     def test_its_targets_are_used_again(self, seed):
-        world = PacketWorld(seed, AGENTS)
-        world.evacuate(EVACUATED)
-        world.run(3.0)
-        world.evacuate()
-        world.run(IN_FORCE)
-        before = {a.address: len(a.target.openings) for a in there(world)}
+        sim = PacketSimulation(seed, AGENTS)
+        sim.evacuate(EVACUATED)
+        sim.run(3.0)
+        sim.evacuate()
+        sim.run(IN_FORCE_SECONDS)
+        before = {a.address: len(a.target.openings) for a in there(sim)}
         for _ in range(6):
-            opened(world, 30, 0.7)
-        used = [len(a.target.openings) - before[a.address] for a in there(world)]
+            open_flows(sim, 30, 0.7)
+        used = [len(a.target.openings) - before[a.address] for a in there(sim)]
         assert min(used) > 0
-        assert world.findings() == []
+        assert sim.findings() == []
 
     def test_given_again_within_a_second(self):
-        world = PacketWorld(2, AGENTS)
-        world.store_readers = set(list(world.entries_by_address)[:2])
+        sim = PacketSimulation(2, AGENTS)
+        sim.store_readers = set(list(sim.entries_by_address)[:2])
         for centres in ((EVACUATED,), (), (EVACUATED,), (), (EVACUATED,)):
-            world.evacuate(*centres)
-            world.run(0.2)
-        world.run(IN_FORCE)
-        since = world.now
-        opened(world, 60, 1.0)
-        assert late(world, since) == []
+            sim.evacuate(*centres)
+            sim.run(0.2)
+        sim.run(IN_FORCE_SECONDS)
+        since = sim.now
+        open_flows(sim, 60, 1.0)
+        assert late(sim, since) == []
 
 
 class TestOpeningsThatWait:
@@ -115,16 +115,16 @@
     """
 
     def test_are_handed_on_at_once(self):
-        world = PacketWorld(3, AGENTS)
-        for agent in there(world):
+        sim = PacketSimulation(3, AGENTS)
+        for agent in there(sim):
             agent.target.work = 30.0
         for _ in range(400):
-            world.open_flow()
-        world.run(0.2)
-        assert sum(len(a.core.openings.waiting) for a in there(world)) > 0
-        world.evacuate(EVACUATED)
-        world.run(0.3)
-        assert [len(a.core.openings.waiting) for a in there(world)] == [0] * 6
+            sim.open_flow()
+        sim.run(0.2)
+        assert sum(len(a.core.openings.waiting) for a in there(sim)) > 0
+        sim.evacuate(EVACUATED)
+        sim.run(0.3)
+        assert [len(a.core.openings.waiting) for a in there(sim)] == [0] * 6
 
 
 class TestAgentThatStartsInAnEvacuatedDataCentre:
@@ -137,43 +137,43 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_takes_nothing_before_it_knows(self, seed):
-        world = PacketWorld(seed, AGENTS, loss=0.05)
-        world.evacuate(EVACUATED)
-        world.run(IN_FORCE)
-        world.store_readers = {next(iter(world.entries_by_address))}
-        since = world.now
-        for agent in there(world):
-            world.start_agent(agent, configured=False)
+        sim = PacketSimulation(seed, AGENTS, loss=0.05)
+        sim.evacuate(EVACUATED)
+        sim.run(IN_FORCE_SECONDS)
+        sim.store_readers = {next(iter(sim.entries_by_address))}
+        since = sim.now
+        for agent in there(sim):
+            sim.start_agent(agent, configured=False)
         for _ in range(20):
             for _ in range(6):
-                world.open_flow()
-            world.run(0.05)
-        world.run(1.5)
-        assert late(world, since) == []
+                sim.open_flow()
+            sim.run(0.05)
+        sim.run(1.5)
+        assert late(sim, since) == []
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_nor_after_a_loss_of_all_power(self, seed):
-        world = PacketWorld(seed, AGENTS)
-        world.evacuate(EVACUATED)
-        world.run(IN_FORCE)
-        readers = set(list(world.entries_by_address)[:1])
-        for agent in world.agents_by_address.values():
+        sim = PacketSimulation(seed, AGENTS)
+        sim.evacuate(EVACUATED)
+        sim.run(IN_FORCE_SECONDS)
+        readers = set(list(sim.entries_by_address)[:1])
+        for agent in sim.agents_by_address.values():
             agent.core = None
             agent.target.alive = False
-        world.run(0.5)
-        world.store_readers = readers
-        since = world.now
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        for agent in world.agents_by_address.values():
-            world.start_target(agent)
-            world.start_agent(agent, configured=False)
+        sim.run(0.5)
+        sim.store_readers = readers
+        since = sim.now
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        for agent in sim.agents_by_address.values():
+            sim.start_target(agent)
+            sim.start_agent(agent, configured=False)
         flows = []
         for _ in range(20):
-            flows += [world.open_flow() for _ in range(4)]
-            world.run(0.05)
-        world.run(1.5)
-        assert late(world, since) == []
+            flows += [sim.open_flow() for _ in range(4)]
+            sim.run(0.05)
+        sim.run(1.5)
+        assert late(sim, since) == []
         assert sum(flow.state == "open" for flow in flows) >= 0.9 * len(flows)
 
 
@@ -186,22 +186,22 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_opens_nothing_by_old_orders(self, seed):
-        world = PacketWorld(seed, AGENTS)
-        world.store_readers = {next(iter(world.entries_by_address))}
-        asleep = {agent.address: agent.core for agent in there(world)}
-        for agent in there(world):
+        sim = PacketSimulation(seed, AGENTS)
+        sim.store_readers = {next(iter(sim.entries_by_address))}
+        asleep = {agent.address: agent.core for agent in there(sim)}
+        for agent in there(sim):
             agent.core = None
-        world.evacuate(EVACUATED)
-        world.run(3.0)
-        since = world.now
-        for agent in there(world):
+        sim.evacuate(EVACUATED)
+        sim.run(3.0)
+        since = sim.now
+        for agent in there(sim):
             agent.core = asleep[agent.address]
         for _ in range(10):
             for _ in range(10):
-                world.open_flow()
-            world.run(0.1)
-        assert late(world, since) == []
-        others = there(world, OTHER) + there(world, THIRD)
+                sim.open_flow()
+            sim.run(0.1)
+        assert late(sim, since) == []
+        others = there(sim, OTHER) + there(sim, THIRD)
         assert all(a.core.evacuations.names == {EVACUATED} for a in others)
 
 
@@ -214,26 +214,26 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_openings_are_reset_at_once(self, seed):
-        world = PacketWorld(seed, AGENTS)
-        world.evacuate(*DATA_CENTRES)
-        world.run(IN_FORCE)
-        flows = [world.open_flow() for _ in range(30)]
-        world.run(SERVED)
+        sim = PacketSimulation(seed, AGENTS)
+        sim.evacuate(*DATA_CENTRES)
+        sim.run(IN_FORCE_SECONDS)
+        flows = [sim.open_flow() for _ in range(30)]
+        sim.run(OPENING_SECONDS)
         assert {flow.state for flow in flows} == {"reset"}
-        assert late(world, world.now - SERVED) == []
-        assert world.findings() == []
+        assert late(sim, sim.now - OPENING_SECONDS) == []
+        assert sim.findings() == []
 
     def test_a_copy_of_an_open_flow_is_not(self):
-        world = PacketWorld(1, AGENTS)
-        flows = opened(world)
-        world.evacuate(*DATA_CENTRES)
-        world.run(IN_FORCE)
+        sim = PacketSimulation(1, AGENTS)
+        flows = open_flows(sim)
+        sim.evacuate(*DATA_CENTRES)
+        sim.run(IN_FORCE_SECONDS)
         for flow in flows:
             flow.copies = 1
-            world.from_client(flow.open(world.now))
-        world.run(0.5)
+            sim.from_client(flow.open(sim.now))
+        sim.run(0.5)
         assert {flow.state for flow in flows} == {"open"}
-        assert world.findings() == []
+        assert sim.findings() == []
 
 
 class TestMistypedDataCentre:
@@ -245,14 +245,14 @@
 
     @pytest.mark.parametrize("known", [DATA_CENTRES, ()])
     def test_its_name_is_told(self, known):
-        world = PacketWorld(0, AGENTS)
-        for agent in world.agents_by_address.values():
+        sim = PacketSimulation(0, AGENTS)
+        for agent in sim.agents_by_address.values():
             agent.core.data_centres = frozenset(known)
-        world.evacuate(EVACUATED, "nowhere")
-        world.run(IN_FORCE)
+        sim.evacuate(EVACUATED, "nowhere")
+        sim.run(IN_FORCE_SECONDS)
         told = {
             tuple(fields["unknown"])
-            for name, fields in world.log.lines
+            for name, fields in sim.log.lines
             if name == "evacuations.installed" and fields["centres"]
         }
         assert (("nowhere",) in told) == bool(known)
--- a/packages/zinniahook-testkit/tests/test_packet_incarnations.py
+++ b/packages/zinniahook-testkit/tests/test_packet_incarnations.py
@@ -2,7 +2,7 @@
 
 import pytest
 from zinniahook_core.packets import Heartbeat, State, Target
-from zinniahook_testkit.packetworlds import PacketWorld
+from zinniahook_testkit.packetsimulation import PacketSimulation
 
 INTERVAL = 1.0
 BORN = 1_790_000_000_000
@@ -102,17 +102,17 @@
     """
 
     def test_their_clients_are_told_by_the_first_heartbeat(self, seed):
-        world = PacketWorld(seed)
-        flows = [world.open_flow() for _ in range(30)]
-        world.run(2.0)
-        agent = next(iter(world.agents_by_address.values()))
+        sim = PacketSimulation(seed)
+        flows = [sim.open_flow() for _ in range(30)]
+        sim.run(2.0)
+        agent = next(iter(sim.agents_by_address.values()))
         name, lost = agent.target.name, set(agent.target.by_flow)
         lost &= {flow.key for flow in flows if flow.state == "open"}
-        world.start_target(agent)
+        sim.start_target(agent)
         agent.target.name = name
-        world.beat(agent)
-        world.run(0.1)
+        sim.send_heartbeat(agent)
+        sim.run(0.1)
         assert lost
         reset = {flow.key for flow in flows if flow.state == "reset"}
         assert reset == lost
-        assert world.findings() == []
+        assert sim.findings() == []
--- a/packages/zinniahook-testkit/tests/test_packet_machine.py
+++ b/packages/zinniahook-testkit/tests/test_packet_machine.py
@@ -9,7 +9,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from zinniahook_testkit.packetworlds import PacketWorld
+from zinniahook_testkit.packetsimulation import PacketSimulation
 
 INDEX = st.integers(0, 100)
 MOMENT = st.sampled_from([0.0, 0.02, 0.05, 0.1, 0.3, 0.7])
@@ -17,76 +17,76 @@
 """Seconds that a process, a target or a link is away. An outage of over 4 s may
 cost flows, as nobody can tell then whether they still live."""
 
-CALM = 6.0
-AGENTS_MOST = 9
-READY_LEAST = 3
+SETTLE_SECONDS = 6.0
+MAX_AGENTS = 9
+MIN_READY = 3
 
 
 class PacketMachine(RuleBasedStateMachine):
     @initialize(seed=st.integers(0, 10_000), loss=st.sampled_from([0.0, 0.0, 0.02]))
     def begin(self, seed, loss):
-        self.world = PacketWorld(seed, loss=loss)
-        self.flows = [self.world.open_flow() for _ in range(30)]
-        self.world.run(0.5)
+        self.sim = PacketSimulation(seed, loss=loss)
+        self.flows = [self.sim.open_flow() for _ in range(30)]
+        self.sim.run(0.5)
 
     def agent(self, index):
-        agents = list(self.world.agents_by_address.values())
+        agents = list(self.sim.agents_by_address.values())
         return agents[index % len(agents)]
 
     def entry(self, index):
-        entries = list(self.world.entries_by_address)
+        entries = list(self.sim.entries_by_address)
         return entries[index % len(entries)]
 
     @rule(count=st.integers(1, 20))
     def open_flows(self, count):
-        self.flows += [self.world.open_flow() for _ in range(count)]
+        self.flows += [self.sim.open_flow() for _ in range(count)]
 
     @rule(seconds=st.sampled_from([0.02, 0.2, 1.0, 3.0]))
     def ask(self, seconds):
         """Let clients use their flows, whatever troubles there are."""
         for flow in self.flows:
-            self.world.ask(flow)
-        self.world.run(seconds)
+            self.sim.ask(flow)
+        self.sim.run(seconds)
 
     @rule(index=INDEX, pause=OUTAGE)
     def restart_an_agent(self, index, pause):
         agent = self.agent(index)
         agent.core = None
-        self.world.at(pause, lambda: self.world.start_agent(agent))
+        self.sim.at(pause, lambda: self.sim.start_agent(agent))
 
     @rule(index=INDEX)
     def restart_an_entry(self, index):
-        self.world.start_entry(self.entry(index))
+        self.sim.start_entry(self.entry(index))
 
     @rule(index=INDEX, pause=OUTAGE)
     def crash_a_target(self, index, pause):
         agent = self.agent(index)
         agent.target.alive = False
-        self.world.at(pause, lambda: self.world.start_target(agent))
+        self.sim.at(pause, lambda: self.sim.start_target(agent))
 
     @rule(moment=MOMENT)
     def restart_every_process(self, moment):
-        for agent in self.world.agents_by_address.values():
+        for agent in self.sim.agents_by_address.values():
             agent.core = None
-        self.world.run(moment)
-        for address in self.world.entries_by_address:
-            self.world.start_entry(address)
-        self.world.run(moment)
-        for agent in self.world.agents_by_address.values():
-            self.world.start_agent(agent)
+        self.sim.run(moment)
+        for address in self.sim.entries_by_address:
+            self.sim.start_entry(address)
+        self.sim.run(moment)
+        for agent in self.sim.agents_by_address.values():
+            self.sim.start_agent(agent)
 
     @rule(moment=MOMENT)
     def lose_power(self, moment):
-        for agent in self.world.agents_by_address.values():
+        for agent in self.sim.agents_by_address.values():
             agent.core = None
             agent.target.alive = False
-        self.world.run(1.0)
-        for address in self.world.entries_by_address:
-            self.world.start_entry(address)
-        for agent in self.world.agents_by_address.values():
-            self.world.start_target(agent)
-            self.world.start_agent(agent)
-            self.world.run(moment / 10)
+        self.sim.run(1.0)
+        for address in self.sim.entries_by_address:
+            self.sim.start_entry(address)
+        for agent in self.sim.agents_by_address.values():
+            self.sim.start_target(agent)
+            self.sim.start_agent(agent)
+            self.sim.run(moment / 10)
 
     @rule(one=INDEX, other=INDEX, pause=OUTAGE)
     def cut_two_agents(self, one, other, pause):
@@ -98,38 +98,38 @@
 
     def cut(self, one, other, pause):
         cut = frozenset((one, other))
-        self.world.cut.add(cut)
-        self.world.at(pause, lambda: self.world.cut.discard(cut))
+        self.sim.cut.add(cut)
+        self.sim.at(pause, lambda: self.sim.cut.discard(cut))
 
     @rule()
     def add_an_agent(self):
-        if len(self.world.agents_by_address) < AGENTS_MOST:
-            self.world.add_agent("tally")
+        if len(self.sim.agents_by_address) < MAX_AGENTS:
+            self.sim.add_agent("tally")
 
     @rule(index=INDEX)
     def drain_a_target(self, index):
-        agents = self.world.agents_by_address.values()
+        agents = self.sim.agents_by_address.values()
         ready = [agent for agent in agents if not agent.target.leaving]
-        if len(ready) > READY_LEAST:
+        if len(ready) > MIN_READY:
             ready[index % len(ready)].target.leaving = True
 
     @invariant()
     def nothing_is_broken(self):
-        if hasattr(self, "world"):
-            assert self.world.findings() == []
+        if hasattr(self, "sim"):
+            assert self.sim.findings() == []
 
     def teardown(self):
-        if not hasattr(self, "world"):
+        if not hasattr(self, "sim"):
             return
-        world = self.world
-        world.run(CALM)
-        held = [flow for flow in self.flows if world.is_held(flow)]
+        sim = self.sim
+        sim.run(SETTLE_SECONDS)
+        held = [flow for flow in self.flows if sim.is_held(flow)]
         held = [flow for flow in held if flow.state == "open"]
         before = [len(flow.answers) for flow in held]
         for flow in held:
-            world.ask(flow)
-        fresh = [world.open_flow() for _ in range(10)]
-        world.run(CALM)
+            sim.ask(flow)
+        fresh = [sim.open_flow() for _ in range(10)]
+        sim.run(SETTLE_SECONDS)
         unanswered = [
             flow.key.hex()
             for flow, had in zip(held, before, strict=True)
@@ -137,7 +137,7 @@
         ]
         assert unanswered == []
         assert {flow.state for flow in fresh} == {"open"}
-        assert world.findings() == []
+        assert sim.findings() == []
 
 
 TestAnyTroubles = PacketMachine.TestCase
--- a/packages/zinniahook-testkit/tests/test_packet_overload.py
+++ b/packages/zinniahook-testkit/tests/test_packet_overload.py
@@ -23,8 +23,8 @@
 from zinniahook_core.packets.backlog import Backlog
 from zinniahook_core.packets.node import HOP_LIMIT
 from zinniahook_core.packets.tunnel import Head, Kind, tag
-from zinniahook_testkit.packetends import flow_key
-from zinniahook_testkit.packetworlds import SERVICE_PORT, PacketWorld
+from zinniahook_testkit.packetendpoints import flow_key
+from zinniahook_testkit.packetsimulation import SERVICE_PORT, PacketSimulation
 
 WORK = 0.1
 RATE = 170
@@ -39,21 +39,21 @@
 class Caller:
     """One request and its tries."""
 
-    def __init__(self, world, route=1):
-        self.begun = world.now
+    def __init__(self, sim, route=1):
+        self.begun = sim.now
         self.route = route
         self.tries = 1
-        self.flow = world.open_flow(route)
+        self.flow = sim.open_flow(route)
         self.done = None
 
-    def poll(self, world):
-        if self.done is not None or world.now - self.begun > DEADLINE:
+    def poll(self, sim):
+        if self.done is not None or sim.now - self.begun > DEADLINE:
             return
         if self.flow.answers:
-            self.done = world.now
+            self.done = sim.now
         elif self.flow.state in ("timeout", "reset") and self.tries < TRIES:
             self.tries += 1
-            self.flow = world.open_flow(self.route)
+            self.flow = sim.open_flow(self.route)
 
     def in_time(self):
         return self.done is not None and self.done - self.begun <= GOAL
@@ -65,42 +65,42 @@
     The first counts those that began in the 2 s after the return, the second
     all from the outage on.
     """
-    fresh, owed = outage(PacketWorld(seed), lambda: 1)
+    fresh, owed = outage(PacketSimulation(seed), lambda: 1)
     return (
         sum(c.in_time() for c in fresh) / len(fresh),
         sum(c.done is not None for c in owed) / len(owed),
     )
 
 
-def outage(world, draw_route):
+def outage(sim, draw_route):
     """Play an outage; return the callers of the 2 s after it, and of all of it."""
-    agents = list(world.agents_by_address.values())
+    agents = list(sim.agents_by_address.values())
     callers = []
 
-    def play(seconds):
+    def run_load(seconds):
         owed = 0.0
-        until = world.now + seconds
-        while world.now < until:
+        until = sim.now + seconds
+        while sim.now < until:
             owed += RATE * STEP
             while owed >= 1:
                 owed -= 1
-                callers.append(Caller(world, draw_route()))
-            world.run(STEP)
+                callers.append(Caller(sim, draw_route()))
+            sim.run(STEP)
             for caller in callers:
-                caller.poll(world)
+                caller.poll(sim)
 
     for agent in agents:
         agent.target.work = WORK
-    play(0.5)
-    start = world.now
+    run_load(0.5)
+    start = sim.now
     for agent in agents:
         agent.target.alive = False
-    play(OUTAGE)
-    back = world.now
+    run_load(OUTAGE)
+    back = sim.now
     for agent in agents:
-        world.start_target(agent)
+        sim.start_target(agent)
         agent.target.work = WORK
-    play(5.0)
+    run_load(5.0)
     fresh = [c for c in callers if back <= c.begun < back + 2.0]
     owed = [c for c in callers if start <= c.begun < back + 2.0]
     return fresh, owed
@@ -111,14 +111,14 @@
 
     One caller in five is a bid, which is worth two feeds.
     """
-    world = PacketWorld(seed, {"floor": 6})
+    sim = PacketSimulation(seed, {"floor": 6})
     routes = [Route("feed", FLOOR, Urgency(priorities[0], goal))]
     routes.append(Route("bid", FLOOR, Urgency(priorities[1], goal)))
     for number, route in enumerate(routes, 1):
-        world.set_route(number, route)
-    world.run(0.5)
+        sim.set_route(number, route)
+    sim.run(0.5)
     draw = random.Random(seed)
-    fresh, _ = outage(world, lambda: 2 if draw.random() < 0.2 else 1)
+    fresh, _ = outage(sim, lambda: 2 if draw.random() < 0.2 else 1)
     shares = []
     for number in (1, 2):
         some = [caller for caller in fresh if caller.route == number]
@@ -211,12 +211,12 @@
     """
 
     def test_it_waits_on(self):
-        world = PacketWorld(1)
-        agent = next(iter(world.agents_by_address.values())).core
+        sim = PacketSimulation(1)
+        agent = next(iter(sim.agents_by_address.values())).core
         key = flow_key("100.64.0.9", 7, "198.18.0.1", SERVICE_PORT)
-        raw = world.codec.write(key, Flag.OPENING, 5, 0)
+        raw = sim.codec.write(key, Flag.OPENING, 5, 0)
         head = Head(Kind.FORWARD, hops=HOP_LIMIT, service=tag("tally"))
-        packet = world.codec.from_client(raw)
-        agent.openings.waiting.add(world.now, "", head, packet, Urgency())
-        agent.openings._move(world.now)
+        packet = sim.codec.from_client(raw)
+        agent.openings.waiting.add(sim.now, "", head, packet, Urgency())
+        agent.openings._move(sim.now)
         assert len(agent.openings.waiting) == 1
--- a/packages/zinniahook-testkit/tests/test_packet_queueing.py
+++ b/packages/zinniahook-testkit/tests/test_packet_queueing.py
@@ -11,7 +11,7 @@
     FIRST,
     GOAL,
     SERVICE,
-    Desk,
+    AgentHarness,
 )
 from zinniahook_core.packets import (
     Flag,
@@ -24,170 +24,173 @@
 )
 from zinniahook_core.packets.scheduling import GUARANTEED_SLOT_INTERVAL, Rank, Scheduler
 from zinniahook_core.packets.tunnel import Head, Kind, tag
-from zinniahook_testkit.packetends import flow_key
+from zinniahook_testkit.packetendpoints import flow_key
 
 
 class TestWhatWaits:
     """What begins a request waits while the slots are taken; nothing else does."""
 
     def test_a_request_waits_until_a_slot_is_free(self):
-        desk = Desk()
-        flow = desk.open(1)
-        working = desk.busy()
-        raw = desk.ask(flow)
-        assert raw not in desk.given and desk.held == 1
-        desk.answer(working[0])
-        assert desk.given[-1] == raw and desk.held == 0
+        harness = AgentHarness()
+        flow = harness.open(1)
+        working = harness.busy()
+        raw = harness.ask(flow)
+        assert raw not in harness.delivered and harness.held == 1
+        harness.answer(working[0])
+        assert harness.delivered[-1] == raw and harness.held == 0
 
     def test_none_waits_while_slots_are_free(self):
-        desk = Desk()
-        flow = desk.open(1)
-        desk.busy(BUSY - 1)
-        assert desk.ask(flow) in desk.given
+        harness = AgentHarness()
+        flow = harness.open(1)
+        harness.busy(BUSY - 1)
+        assert harness.ask(flow) in harness.delivered
 
     def test_none_waits_if_the_settings_say_so(self):
-        desk = Desk(wanted=False)
-        flow = desk.open(1)
-        desk.busy()
-        assert desk.ask(flow) in desk.given
+        harness = AgentHarness(wanted=False)
+        flow = harness.open(1)
+        harness.busy()
+        assert harness.ask(flow) in harness.delivered
 
     def test_none_waits_where_nothing_competes(self):
-        desk = Desk(goal=float("inf"))
-        flow = desk.open(1)
-        desk.busy()
-        assert desk.ask(flow) in desk.given
+        harness = AgentHarness(goal=float("inf"))
+        flow = harness.open(1)
+        harness.busy()
+        assert harness.ask(flow) in harness.delivered
 
     def test_acknowledgements_go_on(self):
-        desk = Desk()
-        flow = desk.open(1)
-        desk.busy()
-        desk.ask(flow)
-        assert desk.piece(flow, 0, b"") in desk.given
-        assert desk.held == 1
+        harness = AgentHarness()
+        flow = harness.open(1)
+        harness.busy()
+        harness.ask(flow)
+        assert harness.piece(flow, 0, b"") in harness.delivered
+        assert harness.held == 1
 
     def test_data_of_a_request_that_has_begun_goes_on(self):
-        desk = Desk()
-        flow = desk.open(1)
-        desk.ask(flow, b"head")
-        desk.busy(BUSY - 1)
-        assert desk.ask(flow, b"body") in desk.given
+        harness = AgentHarness()
+        flow = harness.open(1)
+        harness.ask(flow, b"head")
+        harness.busy(BUSY - 1)
+        assert harness.ask(flow, b"body") in harness.delivered
 
     def test_the_first_request_of_a_flow_goes_on(self):
         """Its opening has waited for a slot."""
-        desk = Desk()
-        flow = desk.open(1)
+        harness = AgentHarness()
+        flow = harness.open(1)
         key = flow_key("100.64.0.1", 2, f"198.18.0.{FEED}", 8443)
-        desk.told[key], desk.sent[key] = 0, 8
-        desk.client(key, Flag.OPENING, 7, 0)
-        desk.target(key, Flag.OPENING | Flag.ACKNOWLEDGES)
-        desk.told[key] = 1
-        desk.busy()
-        assert desk.ask(key) in desk.given
-        assert desk.ask(flow) not in desk.given
+        harness.target_sent[key], harness.sent[key] = 0, 8
+        harness.client(key, Flag.OPENING, 7, 0)
+        harness.target(key, Flag.OPENING | Flag.ACKNOWLEDGES)
+        harness.target_sent[key] = 1
+        harness.busy()
+        assert harness.ask(key) in harness.delivered
+        assert harness.ask(flow) not in harness.delivered
 
     def test_repeated_data_of_an_answered_request_is_no_new_work(self):
         """Symptom: a slot seems taken for 3 s though nobody works. Sequence: the
         acknowledgement of a request gets lost, and its client repeats it after
         the answer. Cause: it passes for another request."""
-        desk = Desk()
-        flow = desk.open(1)
-        raw = desk.ask(flow)
-        desk.answer(flow)
-        desk.core._forwarded(
-            desk.now, ENTRY, Head(Kind.FORWARD, service=tag(SERVICE), entry=ENTRY), raw
+        harness = AgentHarness()
+        flow = harness.open(1)
+        raw = harness.ask(flow)
+        harness.answer(flow)
+        harness.core._forwarded(
+            harness.now,
+            ENTRY,
+            Head(Kind.FORWARD, service=tag(SERVICE), entry=ENTRY),
+            raw,
         )
-        assert desk.given[-2:] == [raw, raw]
-        assert desk.core.flows.busy == 0
+        assert harness.delivered[-2:] == [raw, raw]
+        assert harness.core.flows.busy == 0
 
     def test_none_waits_near_the_end_of_an_idle_flow(self):
         """Symptom: a request ends its flow. Sequence: a flow is idle for nearly its
         idle timeout, its next request waits. Cause: meanwhile the target closes
         the flow as idle."""
-        desk = Desk()
-        flow = desk.open(1)
-        desk.wait(40.0)
-        desk.busy()
-        assert desk.ask(flow) in desk.given
+        harness = AgentHarness()
+        flow = harness.open(1)
+        harness.wait(40.0)
+        harness.busy()
+        assert harness.ask(flow) in harness.delivered
 
 
 class TestPacketsOfOneRequest:
     """They reach the target unchanged, in their order, each once."""
 
     def test_three_out_of_order(self):
-        desk = Desk()
-        flow = desk.open(1)
-        working = desk.busy()
-        second = desk.piece(flow, 10, b"b" * 10)
-        first = desk.piece(flow, 0, b"a" * 10)
-        third = desk.piece(flow, 20, b"c" * 10)
-        desk.answer(working[0])
-        assert desk.given[-3:] == [first, second, third]
+        harness = AgentHarness()
+        flow = harness.open(1)
+        working = harness.busy()
+        second = harness.piece(flow, 10, b"b" * 10)
+        first = harness.piece(flow, 0, b"a" * 10)
+        third = harness.piece(flow, 20, b"c" * 10)
+        harness.answer(working[0])
+        assert harness.delivered[-3:] == [first, second, third]
 
     def test_a_slot_isnt_kept_for_one_whose_first_packet_is_lost(self):
-        desk = Desk()
-        flow, other = desk.open(1), desk.open(2)
-        working = desk.busy()
-        second = desk.piece(flow, 10, b"b" * 10)
-        raw = desk.ask(other)
-        desk.answer(working[0])
-        assert desk.given[-1] == raw
-        desk.answer(working[1])
-        assert desk.held == 1
-        first = desk.piece(flow, 0, b"a" * 10)
-        assert desk.given[-2:] == [first, second]
+        harness = AgentHarness()
+        flow, other = harness.open(1), harness.open(2)
+        working = harness.busy()
+        second = harness.piece(flow, 10, b"b" * 10)
+        raw = harness.ask(other)
+        harness.answer(working[0])
+        assert harness.delivered[-1] == raw
+        harness.answer(working[1])
+        assert harness.held == 1
+        first = harness.piece(flow, 0, b"a" * 10)
+        assert harness.delivered[-2:] == [first, second]
 
     def test_a_copy_of_one_that_waits_makes_no_second_run(self):
         """Symptom: a request reaches the target twice. Sequence: its client repeats
         it after 0.2 s, while its first packet waits. Cause: both are queued."""
-        desk = Desk()
-        flow = desk.open(1)
-        working = desk.busy()
-        raw = desk.piece(flow, 0, b"request")
-        given = len(desk.given)
-        desk.wait(0.2)
-        desk.piece(flow, 0, b"request")
-        assert len(desk.given) == given and desk.held == 1
-        desk.answer(working[0])
-        assert desk.given[given:] == [raw]
-        assert desk.log.counts["packets.repeated_while_held"] == 1
+        harness = AgentHarness()
+        flow = harness.open(1)
+        working = harness.busy()
+        raw = harness.piece(flow, 0, b"request")
+        given = len(harness.delivered)
+        harness.wait(0.2)
+        harness.piece(flow, 0, b"request")
+        assert len(harness.delivered) == given and harness.held == 1
+        harness.answer(working[0])
+        assert harness.delivered[given:] == [raw]
+        assert harness.log.counts["packets.repeated_while_held"] == 1
 
     def test_pipelined_requests_keep_their_order(self):
-        desk = Desk()
-        flow = desk.open(1)
-        working = desk.busy()
-        one = desk.piece(flow, 0, b"first...")
-        other = desk.piece(flow, 8, b"second")
-        desk.answer(working[0])
-        assert desk.given[-2:] == [one, other]
+        harness = AgentHarness()
+        flow = harness.open(1)
+        working = harness.busy()
+        one = harness.piece(flow, 0, b"first...")
+        other = harness.piece(flow, 8, b"second")
+        harness.answer(working[0])
+        assert harness.delivered[-2:] == [one, other]
 
     def test_no_more_wait_than_are_in_flight(self):
-        desk = Desk()
-        flow = desk.open(1)
-        desk.busy()
-        raws = [desk.piece(flow, 5 * n, b"piece") for n in range(MAX_HELD_PACKETS)]
-        assert desk.given[-MAX_HELD_PACKETS:] == raws and desk.held == 0
+        harness = AgentHarness()
+        flow = harness.open(1)
+        harness.busy()
+        raws = [harness.piece(flow, 5 * n, b"piece") for n in range(MAX_HELD_PACKETS)]
+        assert harness.delivered[-MAX_HELD_PACKETS:] == raws and harness.held == 0
 
     @pytest.mark.parametrize("seed", range(20))
     def test_whatever_the_network_does(self, seed):
         """Loses, doubles, delays packets: what clients repeat arrives, all bytes in
         order of their numbers if the network kept it, and no byte is new."""
-        desk, rng = Desk(), random.Random(seed)
-        flows = [desk.open(n, rng.choice((FEED, EDIT))) for n in range(1, 8)]
+        harness, rng = AgentHarness(), random.Random(seed)
+        flows = [harness.open(n, rng.choice((FEED, EDIT))) for n in range(1, 8)]
         sent, working = {flow: {} for flow in flows}, []
-        given = len(desk.given)
+        given = len(harness.delivered)
         for _ in range(120):
             flow = rng.choice(flows)
             if rng.random() < 0.3 and working:
-                desk.answer(working.pop(0))
+                harness.answer(working.pop(0))
             for offset in rng.sample((0, 4, 8), rng.choice((1, 2, 3))):
                 if rng.random() < 0.9:
-                    raw = desk.piece(flow, offset, bytes([offset]) * 4)
+                    raw = harness.piece(flow, offset, bytes([offset]) * 4)
                     sent[flow][raw] = sent[flow].get(raw, 0) + 1
             if rng.random() < 0.5:
-                desk.wait(0.05)
-        desk.wait(2 * MAX_HOLD_SECONDS)
-        assert desk.held == 0
-        arrived = [desk.codec.from_client(raw) for raw in desk.given[given:]]
+                harness.wait(0.05)
+        harness.wait(2 * MAX_HOLD_SECONDS)
+        assert harness.held == 0
+        arrived = [harness.codec.from_client(raw) for raw in harness.delivered[given:]]
         for flow in flows:
             raws = [packet.raw for packet in arrived if packet.flow == flow]
             assert set(raws) == set(sent[flow])
@@ -198,168 +201,168 @@
     """A request that waits ends no flow, and no end of a flow is held up."""
 
     def test_a_client_that_resets_is_not_served(self):
-        desk = Desk()
-        flow = desk.open(1)
-        working = desk.busy()
-        raw = desk.ask(flow)
-        reset = desk.piece(flow, 0, b"", Flag.RESET)
-        desk.answer(working[0])
-        desk.wait(2.0)
-        assert reset in desk.given and raw not in desk.given
+        harness = AgentHarness()
+        flow = harness.open(1)
+        working = harness.busy()
+        raw = harness.ask(flow)
+        reset = harness.piece(flow, 0, b"", Flag.RESET)
+        harness.answer(working[0])
+        harness.wait(2.0)
+        assert reset in harness.delivered and raw not in harness.delivered
 
     def test_a_closing_follows_what_came_before_it(self):
         """Symptom: a target answers data with a reset. Sequence: a client asks and
         closes its side, the closing goes on at once. Cause: the target takes the
         flow for closed before it has the request."""
-        desk = Desk()
-        flow = desk.open(1)
-        desk.busy()
-        raw = desk.ask(flow)
-        closing = desk.piece(flow, 0, b"", Flag.CLOSING | Flag.ACKNOWLEDGES)
-        assert desk.given[-2:] == [raw, closing]
+        harness = AgentHarness()
+        flow = harness.open(1)
+        harness.busy()
+        raw = harness.ask(flow)
+        closing = harness.piece(flow, 0, b"", Flag.CLOSING | Flag.ACKNOWLEDGES)
+        assert harness.delivered[-2:] == [raw, closing]
 
     def test_a_target_that_closes_gets_what_waits(self):
-        desk = Desk()
-        flow = desk.open(1)
-        desk.busy()
-        raw = desk.ask(flow)
-        desk.target(flow, Flag.CLOSING | Flag.ACKNOWLEDGES)
-        assert desk.given[-1] == raw and desk.held == 0
+        harness = AgentHarness()
+        flow = harness.open(1)
+        harness.busy()
+        raw = harness.ask(flow)
+        harness.target(flow, Flag.CLOSING | Flag.ACKNOWLEDGES)
+        assert harness.delivered[-1] == raw and harness.held == 0
 
     def test_a_port_that_is_used_again(self):
         """Symptom: a packet of a former flow reaches the next one. Sequence: a
         client gives up while its request waits, and opens a flow from the same
         port. Cause: what waits is known by the flow's key alone."""
-        desk = Desk()
-        flow = desk.open(1)
-        working = desk.busy()
-        raw = desk.ask(flow)
-        desk.core.flows.drop(flow)
-        desk.answer(working[0])
-        desk.wait(0.1)
-        assert raw not in desk.given and desk.held == 0
+        harness = AgentHarness()
+        flow = harness.open(1)
+        working = harness.busy()
+        raw = harness.ask(flow)
+        harness.core.flows.drop(flow)
+        harness.answer(working[0])
+        harness.wait(0.1)
+        assert raw not in harness.delivered and harness.held == 0
 
     def test_the_next_flow_of_a_port_has_its_own_request(self):
         """Symptom: a request is never delivered. Sequence: as before, and the next
         flow's request comes while the former one's is still there. Cause: it joins
         what is forgotten with the former flow."""
-        desk = Desk()
-        flow = desk.open(1)
-        desk.busy()
-        former = desk.ask(flow)
-        desk.core.flows.add(Flow(flow, FlowState.OPEN, desk.now, ENTRY))
-        raw = desk.ask(flow)
-        desk.wait(2.0)
-        assert raw in desk.given and former not in desk.given
+        harness = AgentHarness()
+        flow = harness.open(1)
+        harness.busy()
+        former = harness.ask(flow)
+        harness.core.flows.add(Flow(flow, FlowState.OPEN, harness.now, ENTRY))
+        raw = harness.ask(flow)
+        harness.wait(2.0)
+        assert raw in harness.delivered and former not in harness.delivered
 
     def test_a_repeated_answer_frees_no_slot(self):
         """Symptom: a target gets more than it can work on. Sequence: a request waits
         that acknowledges the last answer, so the target repeats that answer, just
         as the request has been given. Cause: it passes for the next answer."""
-        desk = Desk()
-        flow = desk.open(1)
-        working = desk.busy()
-        desk.ask(flow)
-        desk.answer(working[0])
-        busy = desk.core.flows.busy
-        desk.told[flow] -= len(b"answer")
-        desk.answer(flow)
-        assert desk.core.flows.busy == busy
-        desk.answer(flow)
-        assert desk.core.flows.busy == busy - 1
+        harness = AgentHarness()
+        flow = harness.open(1)
+        working = harness.busy()
+        harness.ask(flow)
+        harness.answer(working[0])
+        busy = harness.core.flows.busy
+        harness.target_sent[flow] -= len(b"answer")
+        harness.answer(flow)
+        assert harness.core.flows.busy == busy
+        harness.answer(flow)
+        assert harness.core.flows.busy == busy - 1
 
 
 class TestBounds:
     """No request waits for long, and not many do."""
 
     def test_it_is_let_through_after_the_longest_hold(self):
-        desk = Desk()
-        flow = desk.open(1)
-        working = desk.busy()
-        raw = desk.ask(flow)
+        harness = AgentHarness()
+        flow = harness.open(1)
+        working = harness.busy()
+        raw = harness.ask(flow)
         for _ in range(round(MAX_HOLD_SECONDS / 0.2) - 1):
-            desk.wait(0.2)
+            harness.wait(0.2)
             for other in working:
-                desk.piece(other, 0, b"")
-                desk.target(other, Flag.ACKNOWLEDGES)
-        assert desk.held == 1
-        desk.wait(0.25)
-        assert desk.given[-1] == raw
-        assert desk.log.counts["requests.let_through_overdue"] == 1
+                harness.piece(other, 0, b"")
+                harness.target(other, Flag.ACKNOWLEDGES)
+        assert harness.held == 1
+        harness.wait(0.25)
+        assert harness.delivered[-1] == raw
+        assert harness.log.counts["requests.let_through_overdue"] == 1
 
     def test_a_short_goal_shortens_it(self):
-        desk = Desk(goal=0.1)
-        flow = desk.open(1)
-        desk.busy()
-        raw = desk.ask(flow)
-        desk.wait(0.35)
-        assert desk.given[-1] == raw
+        harness = AgentHarness(goal=0.1)
+        flow = harness.open(1)
+        harness.busy()
+        raw = harness.ask(flow)
+        harness.wait(0.35)
+        assert harness.delivered[-1] == raw
 
     def test_too_many_let_the_oldest_through(self):
-        desk = Desk()
-        flows = [desk.open(n) for n in range(1, MAX_HELD_REQUESTS + 2)]
-        desk.busy()
-        raws = [desk.ask(flow) for flow in flows]
-        assert desk.held == MAX_HELD_REQUESTS
-        assert desk.given[-1] == raws[0]
+        harness = AgentHarness()
+        flows = [harness.open(n) for n in range(1, MAX_HELD_REQUESTS + 2)]
+        harness.busy()
+        raws = [harness.ask(flow) for flow in flows]
+        assert harness.held == MAX_HELD_REQUESTS
+        assert harness.delivered[-1] == raws[0]
 
     def test_a_target_isnt_taken_for_dead(self):
         """Symptom: all flows of a target are reset. Sequence: requests and their
         copies wait for 0.6 s and longer, nothing is acknowledged. Cause: packets
         count as given though the target hasn't got them."""
-        desk = Desk()
-        flows = [desk.open(n) for n in range(1, 9)]
-        working = desk.busy()
+        harness = AgentHarness()
+        flows = [harness.open(n) for n in range(1, 9)]
+        working = harness.busy()
         for flow in working:
-            desk.target(flow, Flag.ACKNOWLEDGES)
+            harness.target(flow, Flag.ACKNOWLEDGES)
         for _ in range(3):
             for flow in flows:
-                desk.piece(flow, 0, b"request")
-            desk.wait(0.3, beats=False)
-        assert not desk.core.target.is_dead(desk.now)
-        assert not desk.reset
+                harness.piece(flow, 0, b"request")
+            harness.wait(0.3, beats=False)
+        assert not harness.core.target.is_dead(harness.now)
+        assert not harness.reset
 
 
 class TestOrder:
     """Who gets the next slot."""
 
     def test_urgent_ones_first_and_then_the_oldest(self):
-        desk = Desk()
-        flows = [desk.open(1), desk.open(2), desk.open(3, EDIT)]
-        working = desk.busy()
+        harness = AgentHarness()
+        flows = [harness.open(1), harness.open(2), harness.open(3, EDIT)]
+        working = harness.busy()
         raws = []
         for flow in flows:
-            raws.append(desk.ask(flow))
-            desk.now += 0.01
+            raws.append(harness.ask(flow))
+            harness.now += 0.01
         for flow in working:
-            desk.answer(flow)
-        assert desk.given[-3:] == [raws[2], raws[0], raws[1]]
+            harness.answer(flow)
+        assert harness.delivered[-3:] == [raws[2], raws[0], raws[1]]
 
     def test_one_that_is_late_takes_what_nobody_else_wants(self):
-        desk = Desk()
-        late, early = desk.open(1, EDIT), desk.open(2)
-        working = desk.busy()
-        desk.core.target.answer_time = 0.05
-        raws = [desk.ask(late)]
-        desk.wait(GOAL + 0.05)
-        raws.append(desk.ask(early))
+        harness = AgentHarness()
+        late, early = harness.open(1, EDIT), harness.open(2)
+        working = harness.busy()
+        harness.core.target.answer_time = 0.05
+        raws = [harness.ask(late)]
+        harness.wait(GOAL + 0.05)
+        raws.append(harness.ask(early))
         for flow in working[:2]:
-            desk.answer(flow)
-        assert desk.given[-2:] == [raws[1], raws[0]]
+            harness.answer(flow)
+        assert harness.delivered[-2:] == [raws[1], raws[0]]
 
     def test_requests_of_open_flows_before_openings(self):
         """An opening may go to another target; a request of an open flow can't."""
-        desk = Desk()
-        flow = desk.open(1)
-        working = desk.busy()
-        raw = desk.ask(flow)
+        harness = AgentHarness()
+        flow = harness.open(1)
+        working = harness.busy()
+        raw = harness.ask(flow)
         key = flow_key("100.64.0.1", 2, f"198.18.0.{EDIT}", 8443)
-        opening = desk.client(key, Flag.OPENING, 7, 0)
-        desk.answer(working[0])
-        assert desk.given[-1] == raw
+        opening = harness.client(key, Flag.OPENING, 7, 0)
+        harness.answer(working[0])
+        assert harness.delivered[-1] == raw
         for each in (*working[1:], flow):
-            desk.answer(each)
-        assert desk.given[-1] == opening
+            harness.answer(each)
+        assert harness.delivered[-1] == opening
 
     def test_a_flood_of_urgent_ones_leaves_the_others_a_share(self):
         """Symptom: a kind gets nothing for as long as a more urgent one keeps all
@@ -388,12 +391,14 @@
     @pytest.mark.parametrize("wanted", [True, False])
     def test_counts_a_copy_of_an_answered_request_as_no_work(self, wanted):
         """Guards against slots that are taken by copies of answered requests."""
-        desk = Desk(wanted=wanted)
-        desk.open(1)
+        harness = AgentHarness(wanted=wanted)
+        harness.open(1)
         flow = flow_key("100.64.0.1", 2, f"198.18.0.{FEED}", 8443)
-        desk.told[flow], desk.sent[flow] = 1, 100
-        desk.answer(flow)
-        desk.client(flow, Flag.ACKNOWLEDGES, 93, FIRST + desk.told[flow], b"request")
-        assert desk.core.flows.busy == 0
-        desk.ask(flow)
-        assert desk.core.flows.busy == 1
+        harness.target_sent[flow], harness.sent[flow] = 1, 100
+        harness.answer(flow)
+        harness.client(
+            flow, Flag.ACKNOWLEDGES, 93, FIRST + harness.target_sent[flow], b"request"
+        )
+        assert harness.core.flows.busy == 0
+        harness.ask(flow)
+        assert harness.core.flows.busy == 1
--- a/packages/zinniahook-testkit/tests/test_packet_request_loads.py
+++ b/packages/zinniahook-testkit/tests/test_packet_request_loads.py
@@ -14,9 +14,9 @@
 from zinniahook_core.packets.queueing import MAX_HOLD_SECONDS
 
 SEEDS = range(6)
-DAYS = {
+SCENARIOS = {
     "swing": request_loads.swing,
-    "burst": request_loads.burst_day,
+    "burst": request_loads.burst_run,
     "half_lost": request_loads.half_lost,
     "power_lost": request_loads.power_lost,
 }
@@ -25,21 +25,21 @@
 
 
 @cache
-def played(day, wanted, seed, sides=6):
-    load = Load(seed, wanted, sides)
-    DAYS[day](load)
+def run_scenario(scenario, wanted, seed, nodes=6):
+    load = Load(seed, wanted, nodes)
+    SCENARIOS[scenario](load)
     load.run(SETTLING)
     return load
 
 
-def mean_shares(day, wanted, sides=6):
+def mean_shares(scenario, wanted, nodes=6):
     """Return the mean shares of worth in time: of all, of feeds, of edits."""
-    shares = [played(day, wanted, seed, sides).shares() for seed in SEEDS]
+    shares = [run_scenario(scenario, wanted, seed, nodes).shares() for seed in SEEDS]
     return [statistics.mean(column) for column in zip(*shares, strict=True)]
 
 
-def total(day, wanted, count, sides=6):
-    return sum(count(played(day, wanted, seed, sides)) for seed in SEEDS)
+def total(scenario, wanted, count, nodes=6):
+    return sum(count(run_scenario(scenario, wanted, seed, nodes)) for seed in SEEDS)
 
 
 def refused(load):
@@ -54,19 +54,19 @@
     """Symptom: answers are later on a day on which nothing is wrong. Cause: requests
     wait at the agent though their target could work on them."""
 
-    @pytest.mark.parametrize("sides", [6, 1])
-    def test_nobody_is_served_worse(self, sides):
-        before = mean_shares("swing", False, sides)
-        after = mean_shares("swing", True, sides)
+    @pytest.mark.parametrize("nodes", [6, 1])
+    def test_nobody_is_served_worse(self, nodes):
+        before = mean_shares("swing", False, nodes)
+        after = mean_shares("swing", True, nodes)
         assert all(new >= old - 0.004 for old, new in zip(before, after, strict=True))
 
-    @pytest.mark.parametrize("day", DAYS)
-    @pytest.mark.parametrize("sides", [6, 1])
-    def test_none_waits_while_a_slot_is_free(self, day, sides):
-        assert total(day, True, lambda load: load.held_in_vain, sides) == 0
+    @pytest.mark.parametrize("scenario", SCENARIOS)
+    @pytest.mark.parametrize("nodes", [6, 1])
+    def test_none_waits_while_a_slot_is_free(self, scenario, nodes):
+        assert total(scenario, True, lambda load: load.needlessly_held, nodes) == 0
 
     def test_off_holds_nothing(self):
-        counts = played("burst", False, 0).log.counts
+        counts = run_scenario("burst", False, 0).log.counts
         assert not counts["request.held"] and not counts["held_seconds"]
 
 
@@ -76,27 +76,27 @@
     open flow goes straight to its target, which refuses what its queue can't take.
     """
 
-    @pytest.mark.parametrize("day", ["burst", "half_lost"])
-    def test_targets_refuse_next_to_nothing(self, day):
-        before, after = total(day, False, refused), total(day, True, refused)
+    @pytest.mark.parametrize("scenario", ["burst", "half_lost"])
+    def test_targets_refuse_next_to_nothing(self, scenario):
+        before, after = total(scenario, False, refused), total(scenario, True, refused)
         assert before >= 50
         assert after <= before / 20
 
-    @pytest.mark.parametrize("day", ["burst", "half_lost"])
-    def test_fewer_callers_go_without_an_answer(self, day):
-        assert total(day, True, failed) < total(day, False, failed)
+    @pytest.mark.parametrize("scenario", ["burst", "half_lost"])
+    def test_fewer_callers_go_without_an_answer(self, scenario):
+        assert total(scenario, True, failed) < total(scenario, False, failed)
 
-    @pytest.mark.parametrize("day", DAYS)
-    def test_no_kind_pays_for_another(self, day):
-        before, after = mean_shares(day, False), mean_shares(day, True)
+    @pytest.mark.parametrize("scenario", SCENARIOS)
+    def test_no_kind_pays_for_another(self, scenario):
+        before, after = mean_shares(scenario, False), mean_shares(scenario, True)
         assert all(new >= old - 0.015 for old, new in zip(before, after, strict=True))
 
-    @pytest.mark.parametrize("day", DAYS)
+    @pytest.mark.parametrize("scenario", SCENARIOS)
     @pytest.mark.parametrize("kind", [FEED, EDIT])
-    def test_no_kind_starves(self, day, kind):
+    def test_no_kind_starves(self, scenario, kind):
         """Each request of an open flow that lives is given in `MAX_HOLD_SECONDS`."""
         for seed in SEEDS:
-            load = played(day, True, seed)
+            load = run_scenario(scenario, True, seed)
             assert load.longest_hold <= MAX_HOLD_SECONDS + request_loads.TICK + 0.01
             served = [c for c in load.callers if c.kind is kind and c.done]
             assert len(served) >= 0.8 * sum(c.kind is kind for c in load.callers)
@@ -105,8 +105,8 @@
 class TestPackets:
     """Targets get each packet as a client wrote it, no more often, in order."""
 
-    @pytest.mark.parametrize("day", DAYS)
+    @pytest.mark.parametrize("scenario", SCENARIOS)
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_none_is_lost_doubled_or_reordered(self, day, seed):
-        load = played(day, True, seed)
+    def test_none_is_lost_doubled_or_reordered(self, scenario, seed):
+        load = run_scenario(scenario, True, seed)
         assert load.misdelivered == 0
--- a/packages/zinniahook-testkit/tests/test_packet_restarts.py
+++ b/packages/zinniahook-testkit/tests/test_packet_restarts.py
@@ -1,9 +1,9 @@
 """The packet service in a simulated world: restarts and losses of power."""
 
 import pytest
-from packet_stories import SEEDS, asked, opened
+from packet_helpers import SEEDS, count_new_answers, open_flows
 from zinniahook_core.packets.tunnel import Head, Kind, Mark, encode, tag
-from zinniahook_testkit.packetworlds import PacketWorld
+from zinniahook_testkit.packetsimulation import PacketSimulation
 
 
 class TestRestartedAgents:
@@ -17,16 +17,16 @@
     @pytest.mark.parametrize("seed", SEEDS)
     @pytest.mark.parametrize("killed", [1, 3, 6])
     def test_flows_go_on(self, seed, killed):
-        world = PacketWorld(seed)
-        flows = opened(world)
-        agents = list(world.agents_by_address.values())[:killed]
+        sim = PacketSimulation(seed)
+        flows = open_flows(sim)
+        agents = list(sim.agents_by_address.values())[:killed]
         for agent in agents:
             agent.core = None
-        world.run(1.0)
+        sim.run(1.0)
         for agent in agents:
-            world.start_agent(agent)
-        assert asked(world, flows, 2.5) == [1] * len(flows)
-        assert world.findings() == []
+            sim.start_agent(agent)
+        assert count_new_answers(sim, flows, 2.5) == [1] * len(flows)
+        assert sim.findings() == []
 
 
 class TestRestartedEntries:
@@ -38,12 +38,12 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_flows_go_on(self, seed):
-        world = PacketWorld(seed)
-        flows = opened(world)
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        assert asked(world, flows) == [1] * len(flows)
-        assert world.findings() == []
+        sim = PacketSimulation(seed)
+        flows = open_flows(sim)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        assert count_new_answers(sim, flows) == [1] * len(flows)
+        assert sim.findings() == []
 
 
 class TestAllRestarted:
@@ -61,18 +61,18 @@
         It isn't the flow's home as long as others have seen their targets
         before; its search went on, and other targets got the packet.
         """
-        world = PacketWorld(seed, loss=loss)
-        begun = [world.open_flow() for _ in range(60)]
-        world.run(2.5)
+        sim = PacketSimulation(seed, loss=loss)
+        begun = [sim.open_flow() for _ in range(60)]
+        sim.run(2.5)
         # With a loss of 0.05 an opening and both copies may get lost.
         flows = [flow for flow in begun if flow.state == "open"]
         assert len(flows) >= 58
-        for agent in world.agents_by_address.values():
-            world.start_agent(agent)
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        assert asked(world, flows, 3.0) == [1] * len(flows)
-        assert world.findings() == []
+        for agent in sim.agents_by_address.values():
+            sim.start_agent(agent)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        assert count_new_answers(sim, flows, 3.0) == [1] * len(flows)
+        assert sim.findings() == []
 
 
 class TestUnconfiguredAgents:
@@ -85,13 +85,13 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_flows_go_on(self, seed):
-        world = PacketWorld(seed)
-        flows = opened(world)
-        for agent in world.agents_by_address.values():
-            world.start_agent(agent, configured=False)
-        assert asked(world, flows, 3.0) == [1] * len(flows)
-        assert world.log.counts["reset.no_route"] == 0
-        assert world.findings() == []
+        sim = PacketSimulation(seed)
+        flows = open_flows(sim)
+        for agent in sim.agents_by_address.values():
+            sim.start_agent(agent, configured=False)
+        assert count_new_answers(sim, flows, 3.0) == [1] * len(flows)
+        assert sim.log.counts["reset.no_route"] == 0
+        assert sim.findings() == []
 
 
 class TestRestartBeforeHeartbeats:
@@ -105,33 +105,33 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_targets_that_answer_take_openings(self, seed):
-        world = PacketWorld(seed)
-        for agent in world.agents_by_address.values():
-            world.start_agent(agent)
-        first, *others = world.agents_by_address.values()
-        world.hold_beats(1.0)
-        world.run(0.1)
-        world.beat(first)
+        sim = PacketSimulation(seed)
+        for agent in sim.agents_by_address.values():
+            sim.start_agent(agent)
+        first, *others = sim.agents_by_address.values()
+        sim.suspend_heartbeats(1.0)
+        sim.run(0.1)
+        sim.send_heartbeat(first)
         flows = []
         for _ in range(60):
-            flows.append(world.open_flow())
-            world.run(0.004)
-        world.run(0.2)
+            flows.append(sim.open_flow())
+            sim.run(0.004)
+        sim.run(0.2)
         # Of 60 with seeds 0 to 5: 32 to 36 if only ready agents take any, else
         # 54 to 60.
         assert sum(len(flow.answers) for flow in flows) >= 50
         assert sum(bool(agent.target.openings) for agent in others) >= 3
-        assert world.findings() == []
+        assert sim.findings() == []
 
     def test_slots_are_those_of_the_peers(self):
-        world = PacketWorld(1)
-        for agent in world.agents_by_address.values():
-            world.start_agent(agent)
-        first, *others = world.agents_by_address.values()
-        world.hold_beats(1.0)
-        world.run(0.1)
-        world.beat(first)
-        world.run(0.3)
+        sim = PacketSimulation(1)
+        for agent in sim.agents_by_address.values():
+            sim.start_agent(agent)
+        first, *others = sim.agents_by_address.values()
+        sim.suspend_heartbeats(1.0)
+        sim.run(0.1)
+        sim.send_heartbeat(first)
+        sim.run(0.3)
         assert {agent.core.membership.slots for agent in others} == {4}
 
 
@@ -145,44 +145,44 @@
     """
 
     @staticmethod
-    def world_with_empty_agent(seed):
-        world = PacketWorld(seed)
-        empty = next(iter(world.agents_by_address.values()))
-        for agent in world.agents_by_address.values():
-            world.start_target(agent)
-            world.start_agent(agent)
-        for address in world.entries_by_address:
-            world.start_entry(address)
+    def simulation_with_empty_agent(seed):
+        sim = PacketSimulation(seed)
+        empty = next(iter(sim.agents_by_address.values()))
+        for agent in sim.agents_by_address.values():
+            sim.start_target(agent)
+            sim.start_agent(agent)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
         empty.target.full = True
         empty.target.silent = True
-        world.run(1.3)
-        return world, empty
+        sim.run(1.3)
+        return sim, empty
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_gets_few_openings_under_load(self, seed):
-        world, _ = self.world_with_empty_agent(seed)
+        sim, _ = self.simulation_with_empty_agent(seed)
         flows = []
         for _ in range(200):
-            flows.append(world.open_flow())
-            world.run(0.002)
-        world.run(0.5)
+            flows.append(sim.open_flow())
+            sim.run(0.002)
+        sim.run(0.5)
         # 4 to 11 with seeds 0 to 5; 58 to 77 if each home tries again and again.
-        assert world.log.counts["returned"] <= 2 * len(world.agents_by_address)
-        assert world.findings() == []
+        assert sim.log.counts["returned"] <= 2 * len(sim.agents_by_address)
+        assert sim.findings() == []
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_its_end_delays_no_opening(self, seed):
-        world, empty = self.world_with_empty_agent(seed)
-        opened(world, 20)
+        sim, empty = self.simulation_with_empty_agent(seed)
+        open_flows(sim, 20)
         empty.core = None
         flows = []
         for _ in range(50):
-            flows.append(world.open_flow())
-            world.run(0.02)
-        world.run(0.15)
+            flows.append(sim.open_flow())
+            sim.run(0.02)
+        sim.run(0.15)
         assert {flow.state for flow in flows} == {"open"}
         assert {flow.copies for flow in flows} == {0}
-        assert world.findings() == []
+        assert sim.findings() == []
 
 
 class TestLostFlowsAfterPowerLoss:
@@ -196,26 +196,26 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_are_reset_once_nobody_can_hold_them(self, seed):
-        world = PacketWorld(seed)
-        flows = opened(world)
-        gone, *others = world.agents_by_address.values()
+        sim = PacketSimulation(seed)
+        flows = open_flows(sim)
+        gone, *others = sim.agents_by_address.values()
         gone.target.alive = False
         gone.target = None
-        world.start_agent(gone)
+        sim.start_agent(gone)
         for agent in others:
-            world.start_target(agent)
-            world.start_agent(agent)
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        world.run(0.4)
+            sim.start_target(agent)
+            sim.start_agent(agent)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        sim.run(0.4)
         gone.core = None
-        world.run(0.3)
+        sim.run(0.3)
         for flow in flows:
-            world.ask(flow)
+            sim.ask(flow)
         # They repeat their packets 0.2, 0.6 and 1.4 s later.
-        world.run(1.2)
+        sim.run(1.2)
         assert {flow.state for flow in flows} == {"reset"}
-        assert world.findings() == []
+        assert sim.findings() == []
 
 
 class TestEntriesBeforeAgents:
@@ -227,32 +227,32 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_openings_wait_for_the_agents(self, seed):
-        world = PacketWorld(seed)
-        agents = world.agents_by_address.values()
+        sim = PacketSimulation(seed)
+        agents = sim.agents_by_address.values()
         for agent in agents:
             agent.core = None
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        flows = [world.open_flow() for _ in range(12)]
-        world.run(0.08)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        flows = [sim.open_flow() for _ in range(12)]
+        sim.run(0.08)
         for agent in agents:
-            world.start_agent(agent)
-        world.run(0.1)
+            sim.start_agent(agent)
+        sim.run(0.1)
         # One may wait for the first target that shows itself.
         at_once = [flow for flow in flows if flow.state == "open" and not flow.copies]
         assert len(at_once) >= len(flows) - 1
-        assert world.findings() == []
+        assert sim.findings() == []
 
     def test_nothing_is_held_for_agents_that_never_come(self):
-        world = PacketWorld(1)
-        for agent in world.agents_by_address.values():
+        sim = PacketSimulation(1)
+        for agent in sim.agents_by_address.values():
             agent.core = None
-        address = next(iter(world.entries_by_address))
-        world.start_entry(address)
-        entry = world.entries_by_address[address]
+        address = next(iter(sim.entries_by_address))
+        sim.start_entry(address)
+        entry = sim.entries_by_address[address]
         for _ in range(50):
-            world.open_flow()
-        world.run(3.0)
+            sim.open_flow()
+        sim.run(3.0)
         assert entry.held == 0
 
 
@@ -267,28 +267,28 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_the_own_trial_counts(self, seed):
-        world = PacketWorld(seed)
-        flows = opened(world)
+        sim = PacketSimulation(seed)
+        flows = open_flows(sim)
         flow, owner = next(
             (flow, agent)
             for flow in flows
-            for agent in world.agents_by_address.values()
+            for agent in sim.agents_by_address.values()
             if flow.key in agent.target.by_flow
-            and agent.core.roster.home(world.now, flow.key) == agent.address
+            and agent.core.roster.home(sim.now, flow.key) == agent.address
         )
-        peer = next(name for name in world.agents_by_address if name != owner.address)
-        for agent in world.agents_by_address.values():
-            world.start_agent(agent)
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        raw = flow.ask(world.now)
+        peer = next(name for name in sim.agents_by_address if name != owner.address)
+        for agent in sim.agents_by_address.values():
+            sim.start_agent(agent)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        raw = flow.ask(sim.now)
         head = Head(Kind.FORWARD, Mark.SEARCH, hops=1, service=tag("tally"))
-        owner.core.receive(world.now, peer, encode(head, raw))
-        world.from_client(raw)
-        world.run(1.0)
+        owner.core.receive(sim.now, peer, encode(head, raw))
+        sim.from_client(raw)
+        sim.run(1.0)
         assert flow.state == "open"
         assert len(flow.answers) == 2
-        assert world.findings() == []
+        assert sim.findings() == []
 
 
 class TestTargetThatResets:
@@ -301,19 +301,19 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_its_reset_is_a_denial(self, seed):
-        world = PacketWorld(seed)
-        flows = opened(world)
-        starting = world.add_agent("tally")
+        sim = PacketSimulation(seed)
+        flows = open_flows(sim)
+        starting = sim.add_agent("tally")
         starting.target.resets_unknown = True
         starting.target.silent = True
-        for agent in world.agents_by_address.values():
-            world.start_agent(agent)
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        assert asked(world, flows, 2.0) == [1] * len(flows)
+        for agent in sim.agents_by_address.values():
+            sim.start_agent(agent)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        assert count_new_answers(sim, flows, 2.0) == [1] * len(flows)
         assert starting.target.foreign
-        assert world.log.counts["trial.reset"]
-        assert world.findings() == []
+        assert sim.log.counts["trial.reset"]
+        assert sim.findings() == []
 
 
 class TestNewAgentThatIsAskedFirst:
@@ -326,18 +326,18 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_an_opening_is_placed_once(self, seed):
-        world = PacketWorld(seed)
-        new = world.add_agent("tally")
+        sim = PacketSimulation(seed)
+        new = sim.add_agent("tally")
         new.target.silent = True
-        for address in world.entries_by_address:
-            entry = world.entries_by_address[address]
-            entry.members(world.now, "tally", new.address, new.centre)
+        for address in sim.entries_by_address:
+            entry = sim.entries_by_address[address]
+            entry.members(sim.now, "tally", new.address, new.centre)
         for _ in range(30):
-            world.open_flow()
-            world.run(0.01)
-        world.run(0.3)
-        assert world.log.counts["held.released"] == 0
-        assert world.log.counts["flow.placed"] == 30
+            sim.open_flow()
+            sim.run(0.01)
+        sim.run(0.3)
+        assert sim.log.counts["held.released"] == 0
+        assert sim.log.counts["flow.placed"] == 30
 
 
 class TestRestartedAgentOfLeavingTarget:
@@ -349,21 +349,21 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_peers_remember(self, seed):
-        world = PacketWorld(seed)
-        opened(world)
-        leaving = next(iter(world.agents_by_address.values()))
+        sim = PacketSimulation(seed)
+        open_flows(sim)
+        leaving = next(iter(sim.agents_by_address.values()))
         leaving.target.leaving = True
-        world.run(1.5)
+        sim.run(1.5)
         before = len(leaving.target.openings)
         leaving.core = None
-        world.run(0.7)
-        world.hold_beats(1.0)
-        world.start_agent(leaving)
+        sim.run(0.7)
+        sim.suspend_heartbeats(1.0)
+        sim.start_agent(leaving)
         for _ in range(60):
-            world.open_flow()
-            world.run(0.01)
+            sim.open_flow()
+            sim.run(0.01)
         assert len(leaving.target.openings) == before
-        assert world.findings() == []
+        assert sim.findings() == []
 
 
 class TestCutBetweenHomeAndOwner:
@@ -376,17 +376,17 @@
 
     @pytest.mark.parametrize("seed", range(12))
     def test_flows_go_on(self, seed):
-        world = PacketWorld(seed)
-        flows = opened(world)
-        agents = world.agents_by_address.values()
+        sim = PacketSimulation(seed)
+        flows = open_flows(sim)
+        agents = sim.agents_by_address.values()
         for agent in agents:
-            world.start_agent(agent)
-        for address in world.entries_by_address:
-            world.start_entry(address)
+            sim.start_agent(agent)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
         first, second, *_ = agents
-        world.cut.add(frozenset((first.address, second.address)))
-        assert asked(world, flows, 2.5) == [1] * len(flows)
-        assert world.findings() == []
+        sim.cut.add(frozenset((first.address, second.address)))
+        assert count_new_answers(sim, flows, 2.5) == [1] * len(flows)
+        assert sim.findings() == []
 
 
 class TestFirstHeartbeatAfterRestart:
@@ -400,20 +400,20 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_flows_go_on(self, seed):
-        world = PacketWorld(seed)
-        agents = world.agents_by_address.values()
-        world.hold_beats(0.8)
+        sim = PacketSimulation(seed)
+        agents = sim.agents_by_address.values()
+        sim.suspend_heartbeats(0.8)
         for agent in agents:
-            world.start_target(agent)
-        flows = opened(world, seconds=0.3)
+            sim.start_target(agent)
+        flows = open_flows(sim, seconds=0.3)
         for agent in agents:
-            world.start_agent(agent)
+            sim.start_agent(agent)
         for agent in agents:
-            world.beat(agent)
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        assert asked(world, flows, 2.0) == [1] * len(flows)
-        assert world.findings() == []
+            sim.send_heartbeat(agent)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        assert count_new_answers(sim, flows, 2.0) == [1] * len(flows)
+        assert sim.findings() == []
 
 
 class TestTargetThatStartsDuringATrial:
@@ -427,23 +427,23 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_its_agent_claims_nothing(self, seed):
-        world = PacketWorld(seed)
-        flows = opened(world)
-        dead, *others = world.agents_by_address.values()
+        sim = PacketSimulation(seed)
+        flows = open_flows(sim)
+        dead, *others = sim.agents_by_address.values()
         lost = {flow.key for flow in flows if flow.key in dead.target.by_flow}
         living = [flow for flow in flows if flow.key not in lost]
         dead.target.alive = False
         for agent in [dead, *others]:
-            world.start_agent(agent)
-        for address in world.entries_by_address:
-            world.start_entry(address)
+            sim.start_agent(agent)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
         for flow in living:
-            world.ask(flow)
-        world.run(0.03)
-        world.start_target(dead)
-        world.beat(dead)
-        world.run(2.0)
+            sim.ask(flow)
+        sim.run(0.03)
+        sim.start_target(dead)
+        sim.send_heartbeat(dead)
+        sim.run(2.0)
         claimed = [key for key in dead.core.flows.by_key if key not in lost]
         held = [key for key in claimed if key not in dead.target.by_flow]
         assert held == []
-        assert world.findings() == []
+        assert sim.findings() == []
--- a/packages/zinniahook-testkit/tests/test_packet_restore_machine.py
+++ b/packages/zinniahook-testkit/tests/test_packet_restore_machine.py
@@ -8,12 +8,12 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import invariant, rule
-from test_packet_machine import CALM
+from test_packet_machine import SETTLE_SECONDS
 from test_packet_split_machine import SplitMachine
-from zinniahook_testkit.packetstores import OPERATOR_DELAY
-from zinniahook_testkit.packetworlds import DATA_CENTRES
+from zinniahook_testkit.packetsimulation import DATA_CENTRES
+from zinniahook_testkit.packetstores import OPERATOR_DELAY_SECONDS
 
-IN_FORCE = 5.0
+IN_FORCE_SECONDS = 5.0
 """Seconds that operators are told."""
 
 
@@ -24,34 +24,36 @@
 
     @rule(seconds=st.sampled_from([0.5, 2.0, 5.0]))
     def restore_the_store(self, seconds):
-        self.world.store.restore(seconds)
-        if self.world.evacuated:
+        self.sim.store.restore(seconds)
+        if self.sim.evacuated:
             # Nobody remembers an order if everything restarts before it is
             # written again.
-            self.ordered_at = max(self.ordered_at, self.world.now + OPERATOR_DELAY)
+            self.ordered_at = max(
+                self.ordered_at, self.sim.now + OPERATOR_DELAY_SECONDS
+            )
 
     @rule(centre=st.sampled_from(DATA_CENTRES))
     def evacuate(self, centre):
-        if self.world.evacuated != {centre}:
-            self.world.evacuate(centre)
-            self.ordered_at = self.world.now
+        if self.sim.evacuated != {centre}:
+            self.sim.evacuate(centre)
+            self.ordered_at = self.sim.now
 
     @rule()
     def take_the_order_back(self):
-        self.world.evacuate()
+        self.sim.evacuate()
         self.ordered_at = float("inf")
 
     @invariant()
     def orders_are_in_force(self):
-        if hasattr(self, "world"):
-            openings = self.world.evacuated_openings
-            since = self.ordered_at + IN_FORCE
+        if hasattr(self, "sim"):
+            openings = self.sim.evacuated_openings
+            since = self.ordered_at + IN_FORCE_SECONDS
             assert [row for row in openings if row[0] >= since] == []
 
     def teardown(self):
-        if hasattr(self, "world"):
+        if hasattr(self, "sim"):
             self.take_the_order_back()
-            self.world.run(2 * OPERATOR_DELAY)
+            self.sim.run(2 * OPERATOR_DELAY_SECONDS)
         super().teardown()
 
 
@@ -74,7 +76,7 @@
 
     def test_owners_are_reached_though_everything_runs_for_a_moment(self):
         """Guards against strays in the moments between restarts of everything."""
-        strays = []
+        misrouted = []
         for seed in (7172, 7186, 7189, 7196, 7197):
             machine = RestoreMachine()
             machine.begin(seed=seed, loss=0.0)
@@ -93,6 +95,6 @@
             machine.ask(seconds=0.02)
             machine.restart_every_process(moment=0.7)
             machine.restart_every_process(moment=0.7)
-            machine.world.run(CALM)
-            strays += machine.world.findings()
-        assert strays == []
+            machine.sim.run(SETTLE_SECONDS)
+            misrouted += machine.sim.findings()
+        assert misrouted == []
--- a/packages/zinniahook-testkit/tests/test_packet_restores.py
+++ b/packages/zinniahook-testkit/tests/test_packet_restores.py
@@ -5,36 +5,36 @@
 """
 
 import pytest
-from packet_stories import SEEDS, asked, opened
-from zinniahook_testkit.packetstores import OPERATOR_DELAY, RENEW_LAST
-from zinniahook_testkit.packetworlds import DATA_CENTRES, PacketWorld
+from packet_helpers import SEEDS, count_new_answers, open_flows
+from zinniahook_testkit.packetsimulation import DATA_CENTRES, PacketSimulation
+from zinniahook_testkit.packetstores import MAX_RENEW_SECONDS, OPERATOR_DELAY_SECONDS
 
 AGENTS = {"tally": 18}
-IN_FORCE = 1.0
+IN_FORCE_SECONDS = 1.0
 """Seconds until an order must be in force: a fifth of what operators are told,
 as nothing fails here."""
 
-LOST = 4.0
+COPY_AGE_SECONDS = 4.0
 """Seconds that the copy is old."""
 
 EVACUATED, OTHER = DATA_CENTRES[:2]
 SPLIT_ROUTE = 3
 
 
-def late(world, since):
+def late(sim, since):
     """Return the openings that evacuated targets took after a moment."""
-    return [row for row in world.evacuated_openings if row[0] >= since]
+    return [row for row in sim.evacuated_openings if row[0] >= since]
 
 
-def restart_everything(world):
+def restart_everything(sim):
     """Kill every process of the service at once; targets live on."""
-    for agent in world.agents_by_address.values():
+    for agent in sim.agents_by_address.values():
         agent.core = None
-    world.run(0.1)
-    for address in world.entries_by_address:
-        world.start_entry(address)
-    for agent in world.agents_by_address.values():
-        world.start_agent(agent)
+    sim.run(0.1)
+    for address in sim.entries_by_address:
+        sim.start_entry(address)
+    for agent in sim.agents_by_address.values():
+        sim.start_agent(agent)
 
 
 class TestOrders:
@@ -44,97 +44,97 @@
         order of two seconds ago is lost; a second later it is written again. Cause:
         daemons believe the copy.
         """
-        world = PacketWorld(seed, AGENTS)
-        world.run(LOST)
-        world.evacuate(EVACUATED)
-        world.run(2.0)
-        since = world.now
-        world.store.restore(LOST)
-        assert not world.store.evacuated
+        sim = PacketSimulation(seed, AGENTS)
+        sim.run(COPY_AGE_SECONDS)
+        sim.evacuate(EVACUATED)
+        sim.run(2.0)
+        since = sim.now
+        sim.store.restore(COPY_AGE_SECONDS)
+        assert not sim.store.evacuated
         for _ in range(10):
-            opened(world, 30, 0.7)
-        assert late(world, since) == []
-        assert world.findings() == []
+            open_flows(sim, 30, 0.7)
+        assert late(sim, since) == []
+        assert sim.findings() == []
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_one_after_the_restore_is_in_force_at_once(self, seed):
         """Symptom: an order has no effect for minutes. Sequence: its revision is
         below those before the restore. Cause: revisions alone order what is read.
         """
-        world = PacketWorld(seed, AGENTS, loss=0.01)
+        sim = PacketSimulation(seed, AGENTS, loss=0.01)
         for _ in range(40):
-            world.evacuate()
-        world.run(LOST)
-        world.store.restore(LOST + 1.0)
-        before = world.store.revision
-        world.run(OPERATOR_DELAY + 0.1)
-        world.evacuate(EVACUATED)
-        assert before < world.store.revision < 40
-        world.run(IN_FORCE)
-        since = world.now
+            sim.evacuate()
+        sim.run(COPY_AGE_SECONDS)
+        sim.store.restore(COPY_AGE_SECONDS + 1.0)
+        before = sim.store.revision
+        sim.run(OPERATOR_DELAY_SECONDS + 0.1)
+        sim.evacuate(EVACUATED)
+        assert before < sim.store.revision < 40
+        sim.run(IN_FORCE_SECONDS)
+        since = sim.now
         for _ in range(5):
-            opened(world, 30, 0.7)
-        assert late(world, since) == []
+            open_flows(sim, 30, 0.7)
+        assert late(sim, since) == []
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_one_is_heard_of_by_daemons_cut_off_from_the_store(self, seed):
-        world = PacketWorld(seed, AGENTS, loss=0.02)
-        world.run(LOST)
-        entries = list(world.entries_by_address)
-        agents = list(world.agents_by_address)
-        world.store_readers = {entries[0], *agents[::3], *agents[1::3]}
-        world.store.restore(LOST)
-        world.run(OPERATOR_DELAY)
-        world.evacuate(EVACUATED)
-        world.run(IN_FORCE)
-        since = world.now
-        opened(world, 60, 1.5)
-        assert late(world, since) == []
-        assert {core.evacuations.era for core in world.cores()} == {1}
+        sim = PacketSimulation(seed, AGENTS, loss=0.02)
+        sim.run(COPY_AGE_SECONDS)
+        entries = list(sim.entries_by_address)
+        agents = list(sim.agents_by_address)
+        sim.store_readers = {entries[0], *agents[::3], *agents[1::3]}
+        sim.store.restore(COPY_AGE_SECONDS)
+        sim.run(OPERATOR_DELAY_SECONDS)
+        sim.evacuate(EVACUATED)
+        sim.run(IN_FORCE_SECONDS)
+        since = sim.now
+        open_flows(sim, 60, 1.5)
+        assert late(sim, since) == []
+        assert {core.evacuations.era for core in sim.cores()} == {1}
 
     def test_one_that_was_taken_back_ends_when_that_is_written_again(self):
-        world = PacketWorld(1, AGENTS)
-        world.evacuate(EVACUATED)
-        world.run(LOST)
-        world.evacuate()
-        world.run(1.0)
-        world.store.restore(2.0)
-        assert world.store.evacuated == {EVACUATED}
-        world.run(OPERATOR_DELAY + IN_FORCE)
-        assert all(not core.evacuations.names for core in world.cores())
+        sim = PacketSimulation(1, AGENTS)
+        sim.evacuate(EVACUATED)
+        sim.run(COPY_AGE_SECONDS)
+        sim.evacuate()
+        sim.run(1.0)
+        sim.store.restore(2.0)
+        assert sim.store.evacuated == {EVACUATED}
+        sim.run(OPERATOR_DELAY_SECONDS + IN_FORCE_SECONDS)
+        assert all(not core.evacuations.names for core in sim.cores())
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_a_sleeper_of_the_former_era_brings_nothing_back(self, seed):
-        world = PacketWorld(seed, AGENTS)
-        world.evacuate(EVACUATED)
-        world.run(IN_FORCE)
-        sleeper = next(iter(world.agents_by_address.values()))
+        sim = PacketSimulation(seed, AGENTS)
+        sim.evacuate(EVACUATED)
+        sim.run(IN_FORCE_SECONDS)
+        sleeper = next(iter(sim.agents_by_address.values()))
         asleep, sleeper.core = sleeper.core, None
-        world.evacuate()
-        world.run(LOST)
-        world.store.restore(1.0)
-        world.run(2.0)
-        world.store_readers = {next(iter(world.entries_by_address))}
+        sim.evacuate()
+        sim.run(COPY_AGE_SECONDS)
+        sim.store.restore(1.0)
+        sim.run(2.0)
+        sim.store_readers = {next(iter(sim.entries_by_address))}
         sleeper.core = asleep
-        world.run(IN_FORCE)
-        assert all(core.evacuations.era == 1 for core in world.cores())
-        others = [core for core in world.cores() if core is not asleep]
+        sim.run(IN_FORCE_SECONDS)
+        assert all(core.evacuations.era == 1 for core in sim.cores())
+        others = [core for core in sim.cores() if core is not asleep]
         assert all(not core.evacuations.names for core in others)
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_two_restores_within_a_second(self, seed):
-        world = PacketWorld(seed, AGENTS)
-        world.run(LOST)
-        world.evacuate(EVACUATED)
-        world.run(IN_FORCE)
-        since = world.now
-        world.store.restore(LOST)
-        opened(world, 20, 0.5)
-        world.store.restore(LOST)
+        sim = PacketSimulation(seed, AGENTS)
+        sim.run(COPY_AGE_SECONDS)
+        sim.evacuate(EVACUATED)
+        sim.run(IN_FORCE_SECONDS)
+        since = sim.now
+        sim.store.restore(COPY_AGE_SECONDS)
+        open_flows(sim, 20, 0.5)
+        sim.store.restore(COPY_AGE_SECONDS)
         for _ in range(5):
-            opened(world, 20, 0.5)
-        assert late(world, since) == []
-        assert {core.evacuations.era for core in world.cores()} == {2}
+            open_flows(sim, 20, 0.5)
+        assert late(sim, since) == []
+        assert {core.evacuations.era for core in sim.cores()} == {2}
 
 
 class TestAgentsOfTheLostSeconds:
@@ -146,20 +146,20 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_are_found_after_a_restart_of_everything(self, seed):
-        world = PacketWorld(seed, {"tally": 6})
-        world.run(LOST)
-        joined = [world.add_agent("tally") for _ in range(3)]
-        world.run(2.0)
-        flows = opened(world, 60)
-        world.store.restore(LOST)
-        listed = {address for _, address, _ in world.announced}
+        sim = PacketSimulation(seed, {"tally": 6})
+        sim.run(COPY_AGE_SECONDS)
+        joined = [sim.add_agent("tally") for _ in range(3)]
+        sim.run(2.0)
+        flows = open_flows(sim, 60)
+        sim.store.restore(COPY_AGE_SECONDS)
+        listed = {address for _, address, _ in sim.announced}
         assert listed.isdisjoint(agent.address for agent in joined)
-        world.run(RENEW_LAST)
-        restart_everything(world)
-        world.run(2.0)
-        assert len(world.announced) == 9
-        assert asked(world, flows, 2.0) == [1] * len(flows)
-        assert world.findings() == []
+        sim.run(MAX_RENEW_SECONDS)
+        restart_everything(sim)
+        sim.run(2.0)
+        assert len(sim.announced) == 9
+        assert count_new_answers(sim, flows, 2.0) == [1] * len(flows)
+        assert sim.findings() == []
 
 
 class TestFormerServiceOfTheLostSeconds:
@@ -173,20 +173,20 @@
     @pytest.mark.parametrize("seed", SEEDS)
     @pytest.mark.parametrize("pause", [0.2, 5.0])
     def test_keeps_its_flows(self, seed, pause):
-        world = PacketWorld(seed, {"tally": 6, "ledger": 4})
-        world.run(LOST)
-        world.set_shares(SPLIT_ROUTE, {"tally": 1.0})
-        world.run(0.5)
-        flows = [world.open_flow(SPLIT_ROUTE) for _ in range(20)]
-        world.run(1.0)
-        world.set_shares(SPLIT_ROUTE, {"ledger": 1.0})
-        world.run(1.0)
-        world.store.restore(LOST)
-        world.run(pause)
-        restart_everything(world)
+        sim = PacketSimulation(seed, {"tally": 6, "ledger": 4})
+        sim.run(COPY_AGE_SECONDS)
+        sim.set_shares(SPLIT_ROUTE, {"tally": 1.0})
+        sim.run(0.5)
+        flows = [sim.open_flow(SPLIT_ROUTE) for _ in range(20)]
+        sim.run(1.0)
+        sim.set_shares(SPLIT_ROUTE, {"ledger": 1.0})
+        sim.run(1.0)
+        sim.store.restore(COPY_AGE_SECONDS)
+        sim.run(pause)
+        restart_everything(sim)
         for _ in range(4):
             for flow in flows:
-                world.ask(flow)
-            world.run(1.5)
+                sim.ask(flow)
+            sim.run(1.5)
         assert {flow.state for flow in flows} == {"open"}
-        assert world.resets == []
+        assert sim.resets == []
--- a/packages/zinniahook-testkit/tests/test_packet_room.py
+++ b/packages/zinniahook-testkit/tests/test_packet_room.py
@@ -13,7 +13,7 @@
 from zinniahook_core.packets.allocation import Count, TrafficClass, encode_counts
 from zinniahook_core.packets.sections import Section
 from zinniahook_core.packets.tunnel import Status, zone_tag
-from zinniahook_testkit.packetworlds import DATA_CENTRES, PacketWorld
+from zinniahook_testkit.packetsimulation import DATA_CENTRES, PacketSimulation
 
 FLOOR = (ServiceShare("floor", 1.0),)
 WORK = 0.1
@@ -34,27 +34,27 @@
 class Caller:
     """One request and its tries."""
 
-    def __init__(self, world, centre, route):
-        self.begun = self.idle_since = world.now
+    def __init__(self, sim, centre, route):
+        self.begun = self.idle_since = sim.now
         self.centre = centre
         self.route = route
         self.tries = 0
         self.done = None
-        self.open(world)
+        self.open(sim)
 
-    def open(self, world):
+    def open(self, sim):
         self.tries += 1
-        self.flow = world.open_at(self.centre, self.route)
+        self.flow = sim.open_at(self.centre, self.route)
 
-    def poll(self, world):
-        if self.done is not None or world.now - self.begun > DEADLINE:
+    def poll(self, sim):
+        if self.done is not None or sim.now - self.begun > DEADLINE:
             return
         if self.flow.answers:
-            self.done = world.now - self.begun
+            self.done = sim.now - self.begun
         elif self.flow.state not in ("timeout", "reset"):
-            self.idle_since = world.now
-        elif self.tries < TRIES and world.now - self.idle_since >= PAUSE:
-            self.open(world)
+            self.idle_since = sim.now
+        elif self.tries < TRIES and sim.now - self.idle_since >= PAUSE:
+            self.open(sim)
 
     @property
     def worth(self):
@@ -64,7 +64,7 @@
         return 1.0 if self.done <= GOAL else 0.3
 
 
-class RoomWorld(PacketWorld):
+class CapacitySimulation(PacketSimulation):
     """A world in which clients keep to the entries of their data centre.
 
     ``wrong`` counts the resets that were sent while an agent had a free slot.
@@ -115,7 +115,7 @@
             )
         super().send_client(sender, flow, raw)
 
-    def play(self, seconds):
+    def run_load(self, seconds):
         owed = dict.fromkeys(DATA_CENTRES, 0.0)
         until = self.now + seconds
         while self.now < until:
@@ -130,76 +130,76 @@
                 caller.poll(self)
 
 
-def burst(world):
-    world.rates["a"] *= 3.1
-    world.play(3.0)
-    world.rates["a"] = RATE
+def burst(sim):
+    sim.rates["a"] *= 3.1
+    sim.run_load(3.0)
+    sim.rates["a"] = RATE
 
 
-def all_doubled(world):
-    world.rates = dict.fromkeys(DATA_CENTRES, 1.8 * RATE)
-    world.play(3.0)
-    world.rates = dict.fromkeys(DATA_CENTRES, RATE)
+def all_doubled(sim):
+    sim.rates = dict.fromkeys(DATA_CENTRES, 1.8 * RATE)
+    sim.run_load(3.0)
+    sim.rates = dict.fromkeys(DATA_CENTRES, RATE)
 
 
-def half_lost(world):
-    for agent in world.agents[::2]:
+def half_lost(sim):
+    for agent in sim.agents[::2]:
         agent.target.alive = False
-    world.play(3.0)
-    for agent in world.agents[::2]:
-        world.start_target(agent)
-    world.slow_down()
+    sim.run_load(3.0)
+    for agent in sim.agents[::2]:
+        sim.start_target(agent)
+    sim.slow_down()
 
 
-def third_cut_off(world):
-    cut = [agent.address for agent in world.agents[:2]]
-    everyone = [*world.agents_by_address, *world.entries_by_address]
-    world.cut = {frozenset((a, b)) for a in cut for b in everyone if a != b}
-    world.rates = dict.fromkeys(DATA_CENTRES, 1.5 * RATE)
-    world.play(3.0)
-    world.cut = set()
-    world.rates = dict.fromkeys(DATA_CENTRES, RATE)
+def third_cut_off(sim):
+    cut = [agent.address for agent in sim.agents[:2]]
+    everyone = [*sim.agents_by_address, *sim.entries_by_address]
+    sim.cut = {frozenset((a, b)) for a in cut for b in everyone if a != b}
+    sim.rates = dict.fromkeys(DATA_CENTRES, 1.5 * RATE)
+    sim.run_load(3.0)
+    sim.cut = set()
+    sim.rates = dict.fromkeys(DATA_CENTRES, RATE)
 
 
-def restarted(world):
-    world.rates = dict.fromkeys(DATA_CENTRES, 2.0 * RATE)
-    world.play(1.5)
-    for agent in world.agents:
-        world.start_agent(agent)
-    world.play(1.5)
-    world.rates = dict.fromkeys(DATA_CENTRES, RATE)
+def restarted(sim):
+    sim.rates = dict.fromkeys(DATA_CENTRES, 2.0 * RATE)
+    sim.run_load(1.5)
+    for agent in sim.agents:
+        sim.start_agent(agent)
+    sim.run_load(1.5)
+    sim.rates = dict.fromkeys(DATA_CENTRES, RATE)
 
 
-def edits_doubled(world):
-    world.edits = 2 * EDITS
-    world.rates = dict.fromkeys(DATA_CENTRES, 1.5 * RATE)
-    world.play(3.0)
-    world.edits = EDITS
-    world.rates = dict.fromkeys(DATA_CENTRES, RATE)
+def edits_doubled(sim):
+    sim.edits = 2 * EDITS
+    sim.rates = dict.fromkeys(DATA_CENTRES, 1.5 * RATE)
+    sim.run_load(3.0)
+    sim.edits = EDITS
+    sim.rates = dict.fromkeys(DATA_CENTRES, RATE)
 
 
-def stays_overloaded(world):
-    world.rates = dict.fromkeys(DATA_CENTRES, 2.0 * RATE)
-    world.play(9.0)
-    world.rates = dict.fromkeys(DATA_CENTRES, RATE)
+def stays_overloaded(sim):
+    sim.rates = dict.fromkeys(DATA_CENTRES, 2.0 * RATE)
+    sim.run_load(9.0)
+    sim.rates = dict.fromkeys(DATA_CENTRES, RATE)
 
 
 SHORT = (burst, all_doubled, edits_doubled, half_lost, third_cut_off)
 
 
-def played(seed, scene, features):
-    world = RoomWorld(seed, features)
-    world.play(0.5)
-    scene(world)
-    world.play(4.0)
-    return world
+def run_scenario(seed, scenario, features):
+    sim = CapacitySimulation(seed, features)
+    sim.run_load(0.5)
+    scenario(sim)
+    sim.run_load(4.0)
+    return sim
 
 
-def shares(world):
+def shares(sim):
     """Return what callers got of what they wanted, by kind and by data centre."""
     by_cell = {}
-    for caller in world.callers:
-        if world.now - caller.begun < 1.0:
+    for caller in sim.callers:
+        if sim.now - caller.begun < 1.0:
             continue
         for cell in (caller.route, caller.centre, "all"):
             by_cell.setdefault(cell, []).append(caller.worth)
@@ -214,11 +214,11 @@
     isn't over. Cause: a rejection was true at its moment, and still cost an answer.
     """
 
-    @pytest.mark.parametrize("scene", SHORT)
-    def test_nothing_is_rejected(self, scene):
-        world = played(0, scene, ON)
-        assert world.log.counts["opening.rejected"] == 0
-        assert min(shares(world).values()) > 0.5
+    @pytest.mark.parametrize("scenario", SHORT)
+    def test_nothing_is_rejected(self, scenario):
+        sim = run_scenario(0, scenario, ON)
+        assert sim.log.counts["opening.rejected"] == 0
+        assert min(shares(sim).values()) > 0.5
 
 
 class TestLongOverload:
@@ -232,49 +232,49 @@
 
     @pytest.mark.parametrize("seed", range(2))
     def test_callers_get_more_and_nobody_starves(self, seed):
-        plain = played(seed, stays_overloaded, OFF)
-        world = played(seed, stays_overloaded, ON)
-        before, after = shares(plain), shares(world)
-        assert world.log.counts["opening.rejected"] > 100
+        plain = run_scenario(seed, stays_overloaded, OFF)
+        sim = run_scenario(seed, stays_overloaded, ON)
+        before, after = shares(plain), shares(sim)
+        assert sim.log.counts["opening.rejected"] > 100
         assert plain.log.counts["opening.rejected"] == 0
         assert after["all"] > before["all"] - 0.005
         assert after[2] > 0.95
         assert min(after.values()) > min(before.values()) - 0.01
 
     def test_only_while_no_slot_is_free_and_once_an_agent(self):
-        world = played(2, stays_overloaded, ON)
-        assert world.wrong == 0
-        assert world.log.counts["room.overloaded"] > 0
-        assert world.log.counts["room.overloaded"] <= 2 * len(world.agents)
-        assert world.log.counts["room.relieved"] == world.log.counts["room.overloaded"]
+        sim = run_scenario(2, stays_overloaded, ON)
+        assert sim.wrong == 0
+        assert sim.log.counts["room.overloaded"] > 0
+        assert sim.log.counts["room.overloaded"] <= 2 * len(sim.agents)
+        assert sim.log.counts["room.relieved"] == sim.log.counts["room.overloaded"]
 
     def test_restarts_in_the_middle_end_it(self):
         """An agent that has just started rejects nothing until it is sure again."""
-        world = played(0, restarted, ON)
-        assert world.log.counts["opening.rejected"] == 0
+        sim = run_scenario(0, restarted, ON)
+        assert sim.log.counts["opening.rejected"] == 0
 
 
 class TestOpenFlows:
     """No flow that is open is ever ended for want of room."""
 
     def test_none_is_reset(self):
-        world = played(1, stays_overloaded, ON)
-        assert world.resets == []
-        assert world.findings() == []
+        sim = run_scenario(1, stays_overloaded, ON)
+        assert sim.resets == []
+        assert sim.findings() == []
 
 
 class TestSwitches:
     """Off means as before: no bytes, no other choice."""
 
     def sections(self, features):
-        world = RoomWorld(0, features)
-        for agent in world.agents:
+        sim = CapacitySimulation(0, features)
+        for agent in sim.agents:
             agent.target.alive = False
-        world.rates = dict.fromkeys(DATA_CENTRES, RATE)
-        world.play(1.0)
-        world.slow_down()
+        sim.rates = dict.fromkeys(DATA_CENTRES, RATE)
+        sim.run_load(1.0)
+        sim.slow_down()
         told = set()
-        for agent in world.agents:
+        for agent in sim.agents:
             for member in agent.core.roster.by_address.values():
                 told |= set(member.sections)
         return told
@@ -293,17 +293,17 @@
     """What becomes of the copies of an opening that was rejected."""
 
     @pytest.fixture
-    def world(self):
+    def sim(self):
         """Return a world in which every home takes all others for full."""
-        world = RoomWorld(3, ON)
-        names = list(world.agents_by_address)
-        world.cut = {frozenset((a, b)) for a in names for b in names if a != b}
+        sim = CapacitySimulation(3, ON)
+        names = list(sim.agents_by_address)
+        sim.cut = {frozenset((a, b)) for a in names for b in names if a != b}
         waiting = {TrafficClass(zone_tag("a"), 2): Count(4.0, 200)}
         sections = {Section.DEMAND: encode_counts(waiting)}
-        for agent in world.agents:
+        for agent in sim.agents:
             agent.core.membership.leaving = True
-        world.run(0.3)
-        for agent in world.agents:
+        sim.run(0.3)
+        for agent in sim.agents:
             agent.core.home.room.since = 0.0
             for member in agent.core.roster.by_address.values():
                 if member.address == agent.address:
@@ -313,48 +313,48 @@
                 told = Status(
                     member.incarnation, State.READY, 4, 9.0, 0, 0.0, 9.0, sections
                 )
-                member.update(told, world.now + 1.5)
-        world.run(0.25)
-        return world
+                member.update(told, sim.now + 1.5)
+        sim.run(0.25)
+        return sim
 
-    def relieve(self, world):
-        world.cut = set()
-        for agent in world.agents:
+    def relieve(self, sim):
+        sim.cut = set()
+        for agent in sim.agents:
             agent.core.membership.leaving = False
 
-    def test_the_first_one_is_reset_before_the_client_sends_a_copy(self, world):
-        flow = world.open_at("a", 1)
-        world.run(0.19)
+    def test_the_first_one_is_reset_before_the_client_sends_a_copy(self, sim):
+        flow = sim.open_at("a", 1)
+        sim.run(0.19)
         assert flow.state == "reset"
-        assert not any(agent.target.openings for agent in world.agents)
+        assert not any(agent.target.openings for agent in sim.agents)
 
-    def test_a_client_that_got_no_reset_is_served(self, world, monkeypatch):
+    def test_a_client_that_got_no_reset_is_served(self, sim, monkeypatch):
         """Symptom: a client is never served though others are.
 
         Sequence: its reset gets lost, it sends copies. Cause: they were taken for
         copies of an opening that has ended.
         """
-        send = world.send_client
+        send = sim.send_client
         lost = lambda sender, flow, raw: (  # noqa: E731
             None if raw[12] & Flag.RESET else send(sender, flow, raw)
         )
-        monkeypatch.setattr(world, "send_client", lost)
-        flow = world.open_at("a", 1)
-        world.run(0.19)
-        assert world.log.counts["opening.rejected"] == 1
-        self.relieve(world)
-        world.run(0.3)
+        monkeypatch.setattr(sim, "send_client", lost)
+        flow = sim.open_at("a", 1)
+        sim.run(0.19)
+        assert sim.log.counts["opening.rejected"] == 1
+        self.relieve(sim)
+        sim.run(0.3)
         assert flow.state == "open"
-        world.run(0.5)
+        sim.run(0.5)
         assert flow.answers
 
-    def test_one_that_the_network_doubled_changes_nothing(self, world):
-        flow = world.open_at("a", 1)
-        again = world.codec.write(flow.key, Flag.OPENING, flow.first, 0)
-        world.run(0.01)
-        world.from_client(again)
-        world.run(0.15)
-        world.from_client(again)
-        world.run(1.0)
+    def test_one_that_the_network_doubled_changes_nothing(self, sim):
+        flow = sim.open_at("a", 1)
+        again = sim.codec.write(flow.key, Flag.OPENING, flow.first, 0)
+        sim.run(0.01)
+        sim.from_client(again)
+        sim.run(0.15)
+        sim.from_client(again)
+        sim.run(1.0)
         assert flow.state == "reset"
-        assert not any(agent.target.openings for agent in world.agents)
+        assert not any(agent.target.openings for agent in sim.agents)
--- a/packages/zinniahook-testkit/tests/test_packet_scale.py
+++ b/packages/zinniahook-testkit/tests/test_packet_scale.py
@@ -9,14 +9,14 @@
 from zinniahook_core.packets.candidates import CANDIDATES, WIDE_FACTOR, ZONE_CANDIDATES
 from zinniahook_core.packets.flows import Flow, FlowState
 from zinniahook_core.packets.tunnel import Kind, Mark
-from zinniahook_testkit.packetworlds import PacketWorld
+from zinniahook_testkit.packetsimulation import PacketSimulation
 
 SMALL = 10
 LARGE = 120
-CALM = 2.0
+SETTLE_SECONDS = 2.0
 
 
-class CountingWorld(PacketWorld):
+class CountingSimulation(PacketSimulation):
     """Counts the datagrams between daemons and their bytes, by kind."""
 
     def __init__(self, seed, agents, entries=3, loss=0.0):
@@ -44,17 +44,17 @@
             self.start_entry(address)
 
 
-def opened(world, count):
-    flows = [world.open_flow() for _ in range(count)]
-    world.run(1.0)
+def open_flows(sim, count):
+    flows = [sim.open_flow() for _ in range(count)]
+    sim.run(1.0)
     assert {flow.state for flow in flows} == {"open"}
     return flows
 
 
-def gone(world):
+def gone(sim):
     return [
         name
-        for event, fields in world.log.lines
+        for event, fields in sim.log.lines
         if event == "roster"
         for name in fields["gone"]
     ]
@@ -70,24 +70,24 @@
     """
 
     @pytest.mark.parametrize("loss", [0.0, 0.03])
-    def test_nobody_passes_for_gone(self, loss):
-        world = CountingWorld(1, 80, loss=loss)
-        world.run(CALM)
-        world.log.lines.clear()
+    def test_no_agent_is_considered_gone(self, loss):
+        sim = CountingSimulation(1, 80, loss=loss)
+        sim.run(SETTLE_SECONDS)
+        sim.log.lines.clear()
         for _ in range(40):
-            world.open_flow()
-            world.run(0.1)
-        assert gone(world) == []
+            sim.open_flow()
+            sim.run(0.1)
+        assert gone(sim) == []
 
     def test_a_daemon_sends_as_much_as_in_a_small_one(self):
         rates = {}
         for agents in (SMALL, LARGE):
-            world = CountingWorld(2, agents)
-            world.run(CALM)
-            world.sent.clear()
-            world.bytes.clear()
-            world.run(CALM)
-            rates[agents] = world.bytes[Kind.STATUS] / agents
+            sim = CountingSimulation(2, agents)
+            sim.run(SETTLE_SECONDS)
+            sim.sent.clear()
+            sim.bytes.clear()
+            sim.run(SETTLE_SECONDS)
+            rates[agents] = sim.bytes[Kind.STATUS] / agents
         assert rates[LARGE] <= 1.5 * rates[SMALL]
 
 
@@ -100,21 +100,21 @@
     """
 
     def test_costs_a_few_datagrams_a_daemon(self):
-        world = CountingWorld(3, LARGE, entries=20)
-        world.run(CALM)
-        world.sent.clear()
-        world.bytes.clear()
-        world.set_shares(1, {"tally": 1.0, "other": 0.0})
-        world.run(0.5)
+        sim = CountingSimulation(3, LARGE, entries=20)
+        sim.run(SETTLE_SECONDS)
+        sim.sent.clear()
+        sim.bytes.clear()
+        sim.set_shares(1, {"tally": 1.0, "other": 0.0})
+        sim.run(0.5)
         daemons = LARGE + 20
-        assert world.sent[Kind.HELLO] <= 12 * daemons
-        assert world.bytes[Kind.ROSTER] / daemons < 1000
-        versions = {agent.core.routes.version for agent in agents(world)}
+        assert sim.sent[Kind.HELLO] <= 12 * daemons
+        assert sim.bytes[Kind.ROSTER] / daemons < 1000
+        versions = {agent.core.routes.version for agent in agents(sim)}
         assert versions == {2}
 
 
-def agents(world):
-    return list(world.agents_by_address.values())
+def agents(sim):
+    return list(sim.agents_by_address.values())
 
 
 class TestLostFlows:
@@ -128,16 +128,16 @@
     def test_are_searched_for_among_a_few(self):
         asked, zones = {}, 3
         for size in (SMALL, LARGE):
-            world = CountingWorld(4, size)
-            flows = opened(world, 60)
-            world.lose_power()
-            world.run(0.5)
-            world.searched = 0
+            sim = CountingSimulation(4, size)
+            flows = open_flows(sim, 60)
+            sim.lose_power()
+            sim.run(0.5)
+            sim.searched = 0
             for flow in flows:
-                world.ask(flow)
-            world.run(1.5)
+                sim.ask(flow)
+            sim.run(1.5)
             assert {flow.state for flow in flows} == {"reset"}
-            asked[size] = world.searched / len(flows)
+            asked[size] = sim.searched / len(flows)
         # Eight and four at first; the wider circle of a service that has grown
         # agent by agent grows with the logarithm of their number.
         assert (
@@ -156,62 +156,62 @@
 
     @pytest.mark.parametrize("seed", range(4))
     def test_are_found_after_half_have_joined(self, seed):
-        world = CountingWorld(seed, 40)
-        flows = opened(world, 40)
+        sim = CountingSimulation(seed, 40)
+        flows = open_flows(sim, 40)
         for _ in range(20):
-            world.add_agent("tally")
-        world.run(1.0)
-        self._restart_and_use(world, flows)
+            sim.add_agent("tally")
+        sim.run(1.0)
+        self._restart_and_use(sim, flows)
 
     @pytest.mark.parametrize("seed", range(4))
     def test_are_found_after_half_were_away(self, seed):
-        world = CountingWorld(seed, 40)
-        away = agents(world)[::2]
+        sim = CountingSimulation(seed, 40)
+        away = agents(sim)[::2]
         for agent in away:
             agent.core = None
-        world.run(0.5)
-        flows = [world.open_flow() for _ in range(40)]
-        world.run(2.0)
+        sim.run(0.5)
+        flows = [sim.open_flow() for _ in range(40)]
+        sim.run(2.0)
         flows = [flow for flow in flows if flow.state == "open"]
         assert len(flows) > 20
-        self._restart_and_use(world, flows)
+        self._restart_and_use(sim, flows)
 
     @pytest.mark.parametrize("seed", range(4))
     def test_are_found_after_a_service_has_grown_manyfold(self, seed):
-        world = CountingWorld(seed, 3)
-        flows = opened(world, 20)
+        sim = CountingSimulation(seed, 3)
+        flows = open_flows(sim, 20)
         for _ in range(47):
-            world.add_agent("tally")
-            world.run(0.02)
-        world.run(1.0)
+            sim.add_agent("tally")
+            sim.run(0.02)
+        sim.run(1.0)
         for flow in flows:
-            world.ask(flow)
-        world.run(1.0)
+            sim.ask(flow)
+        sim.run(1.0)
         assert {len(flow.answers) for flow in flows} == {2}
-        assert world.findings() == []
+        assert sim.findings() == []
 
     @pytest.mark.parametrize("seed", range(4))
     def test_are_found_after_growth_and_a_restart_of_everything(self, seed):
-        world = CountingWorld(seed, 6)
-        flows = opened(world, 20)
+        sim = CountingSimulation(seed, 6)
+        flows = open_flows(sim, 20)
         for _ in range(54):
-            world.add_agent("tally")
-            world.run(0.02)
-        world.run(1.0)
-        self._restart_and_use(world, flows)
-
-    def _restart_and_use(self, world, flows):
-        world.restart_agents()
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        world.run(0.3)
+            sim.add_agent("tally")
+            sim.run(0.02)
+        sim.run(1.0)
+        self._restart_and_use(sim, flows)
+
+    def _restart_and_use(self, sim, flows):
+        sim.restart_agents()
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        sim.run(0.3)
         before = [len(flow.answers) for flow in flows]
         for flow in flows:
-            world.ask(flow)
-        world.run(3.0)
+            sim.ask(flow)
+        sim.run(3.0)
         answered = [len(f.answers) > had for f, had in zip(flows, before, strict=True)]
         assert all(answered)
-        assert world.findings() == []
+        assert sim.findings() == []
 
 
 class TestDrainedNeighbourhood:
@@ -222,15 +222,15 @@
     """
 
     def test_others_open_the_flow(self):
-        world = CountingWorld(5, 60)
-        for agent in agents(world)[:52]:
+        sim = CountingSimulation(5, 60)
+        for agent in agents(sim)[:52]:
             agent.target.leaving = True
-        world.run(2.5)
-        flows = [world.open_flow() for _ in range(60)]
-        world.run(1.4)
+        sim.run(2.5)
+        flows = [sim.open_flow() for _ in range(60)]
+        sim.run(1.4)
         served = [flow for flow in flows if flow.state == "open"]
         assert len(served) >= 58
-        assert world.late_openings == []
+        assert sim.late_openings == []
 
 
 class TestDeadAgent:
@@ -241,13 +241,13 @@
     """
 
     def test_is_avoided_at_once(self):
-        world = CountingWorld(6, LARGE)
-        world.run(CALM)
-        for agent in agents(world)[: LARGE // 4]:
+        sim = CountingSimulation(6, LARGE)
+        sim.run(SETTLE_SECONDS)
+        for agent in agents(sim)[: LARGE // 4]:
             agent.core = None
-        world.run(1.2)
-        flows = [world.open_flow() for _ in range(60)]
-        world.run(1.0)
+        sim.run(1.2)
+        flows = [sim.open_flow() for _ in range(60)]
+        sim.run(1.0)
         assert sum(flow.state == "open" for flow in flows) >= 57
 
 
@@ -260,13 +260,13 @@
     """
 
     def test_few_requests_wait(self):
-        world = CountingWorld(7, 32, entries=6)
+        sim = CountingSimulation(7, 32, entries=6)
         rate = 0.6 * 32 * 4 / 0.06
         flows = []
         for _ in range(20):
-            flows += [world.open_flow() for _ in range(round(rate * 0.05))]
-            world.run(0.05)
-        world.run(1.0)
+            flows += [sim.open_flow() for _ in range(round(rate * 0.05))]
+            sim.run(0.05)
+        sim.run(1.0)
         late = [f for f in flows if not f.answers or f.answers[0] > 0.15]
         assert len(late) / len(flows) < 0.02
 
@@ -278,18 +278,18 @@
     the order of a set of strings, which is another one in each process.
     """
 
-    STORY = """
-from zinniahook_testkit.packetworlds import PacketWorld
-world = PacketWorld(1, {"tally": 24}, loss=0.02)
-flows = [world.open_flow() for _ in range(40)]
-world.run(1.0)
-for agent in world.agents_by_address.values():
-    world.start_agent(agent)
+    SCRIPT = """
+from zinniahook_testkit.packetsimulation import PacketSimulation
+sim = PacketSimulation(1, {"tally": 24}, loss=0.02)
+flows = [sim.open_flow() for _ in range(40)]
+sim.run(1.0)
+for agent in sim.agents_by_address.values():
+    sim.start_agent(agent)
 for flow in flows:
-    world.ask(flow)
-world.run(2.0)
-print(hash(tuple(map(len, (world.log.lines, world.foreign, world.owned)))))
-print([(name, str(fields)) for name, fields in world.log.lines])
+    sim.ask(flow)
+sim.run(2.0)
+print(hash(tuple(map(len, (sim.log.lines, sim.foreign, sim.owned)))))
+print([(name, str(fields)) for name, fields in sim.log.lines])
 """
 
     def test_does_not_depend_on_the_process(self):
@@ -298,7 +298,7 @@
 
     def _run(self, seed):
         environment = {**os.environ, "PYTHONHASHSEED": seed}
-        command = [sys.executable, "-c", self.STORY]
+        command = [sys.executable, "-c", self.SCRIPT]
         return subprocess.run(
             command, env=environment, capture_output=True, check=True
         ).stdout
@@ -313,17 +313,17 @@
     """
 
     def test_resets_no_flow(self):
-        world = PacketWorld(50)
-        flows = [world.open_flow() for _ in range(30)]
-        world.run(0.52)
-        restarted, away = agents(world)[0], agents(world)[4]
+        sim = PacketSimulation(50)
+        flows = [sim.open_flow() for _ in range(30)]
+        sim.run(0.52)
+        restarted, away = agents(sim)[0], agents(sim)[4]
         restarted.core = away.core = None
-        world.at(0.1, lambda: world.start_agent(restarted))
-        world.at(2.5, lambda: world.start_agent(away))
+        sim.at(0.1, lambda: sim.start_agent(restarted))
+        sim.at(2.5, lambda: sim.start_agent(away))
         for flow in flows:
-            world.ask(flow)
-        world.run(6.0)
-        assert world.findings() == []
+            sim.ask(flow)
+        sim.run(6.0)
+        assert sim.findings() == []
 
 
 class TestFlowsClaimedByMistake:
@@ -337,17 +337,17 @@
     """
 
     def test_are_given_up_with_the_first_packet_returned(self):
-        world = CountingWorld(8, 6)
-        flow = opened(world, 1)[0]
-        claims = [a for a in agents(world) if flow.key not in a.target.by_flow]
+        sim = CountingSimulation(8, 6)
+        flow = open_flows(sim, 1)[0]
+        claims = [a for a in agents(sim) if flow.key not in a.target.by_flow]
         claiming = claims[0].core
-        claiming.trials.succeeded(world.now, _claimed(claiming, flow, world.now))
-        world.run(0.1)
-        world.foreign.clear()
-        world.ask(flow)
-        world.run(3.0)
+        claiming.trials.succeeded(sim.now, _claimed(claiming, flow, sim.now))
+        sim.run(0.1)
+        sim.foreign.clear()
+        sim.ask(flow)
+        sim.run(3.0)
         assert len(flow.answers) == 2
-        assert len(world.foreign) <= 1
+        assert len(sim.foreign) <= 1
 
 
 def _claimed(core, flow, now):
