--- a/packages/zinniahook-testkit/tests/test_packet_searches.py
+++ b/packages/zinniahook-testkit/tests/test_packet_searches.py
@@ -3,35 +3,35 @@
 import random
 
 import pytest
-from packet_stories import asked, opened
-from test_packet_machine import CALM, PacketMachine
+from packet_helpers import count_new_answers, open_flows
+from test_packet_machine import SETTLE_SECONDS, PacketMachine
 from test_packet_restore_machine import RestoreMachine
 from test_packet_split_machine import SPLIT_ROUTE, SplitMachine
 from zinniahook_core.packets import tunnel
-from zinniahook_testkit.packetworlds import PacketWorld
+from zinniahook_testkit.packetsimulation import PacketSimulation
 
 SEEDS = range(8)
-AWAY = 2.5
+AWAY_SECONDS = 2.5
 """Seconds for which an agent is away."""
 
 
-def restarted_world(seed, loss):
+def restarted_simulation(seed, loss):
     """Return a world whose processes restart twice, and its flows."""
-    world = PacketWorld(seed, {"tally": 6, "ledger": 4}, loss=loss)
-    world.set_shares(SPLIT_ROUTE, {"tally": 1.0, "ledger": 1.0})
-    world.run(0.5)
-    flows = [world.open_flow(SPLIT_ROUTE) for _ in range(20)]
-    world.run(1.0)
+    sim = PacketSimulation(seed, {"tally": 6, "ledger": 4}, loss=loss)
+    sim.set_shares(SPLIT_ROUTE, {"tally": 1.0, "ledger": 1.0})
+    sim.run(0.5)
+    flows = [sim.open_flow(SPLIT_ROUTE) for _ in range(20)]
+    sim.run(1.0)
     for pause in (0.1, 0.0):
-        for agent in world.agents_by_address.values():
+        for agent in sim.agents_by_address.values():
             agent.core = None
-        world.run(pause)
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        for agent in world.agents_by_address.values():
-            world.start_agent(agent)
-        world.run(0.1)
-    return world, flows
+        sim.run(pause)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        for agent in sim.agents_by_address.values():
+            sim.start_agent(agent)
+        sim.run(0.1)
+    return sim, flows
 
 
 def restart_twice(machine, seed):
@@ -53,26 +53,26 @@
         machine = SplitMachine()
         machine.begin(seed=seed, loss=loss)
         machine.restart_every_process(moment=0.05)
-        machine.restart_an_agent(index=33, pause=AWAY)
+        machine.restart_an_agent(index=33, pause=AWAY_SECONDS)
         machine.ask(seconds=1.0)
         machine.restart_every_process(moment=0.0)
         machine.restart_an_agent(index=71, pause=1.0)
         machine.ask(seconds=0.2)
-        machine.restart_an_agent(index=94, pause=AWAY)
+        machine.restart_an_agent(index=94, pause=AWAY_SECONDS)
         machine.nothing_is_broken()
         machine.teardown()
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_reach_an_owner_that_its_home_is_cut_off_from(self, seed):
         """Guards against searching elsewhere for an owner that an entry has learned."""
-        world, flows = restarted_world(seed, 0.0)
-        agents = list(world.agents_by_address)
+        sim, flows = restarted_simulation(seed, 0.0)
+        agents = list(sim.agents_by_address)
         for one, other in zip(agents[:3], agents[3:6], strict=True):
-            world.cut.add(frozenset((one, other)))
+            sim.cut.add(frozenset((one, other)))
         for flow in flows:
-            world.ask(flow)
-        world.run(6.0)
-        assert world.findings() == []
+            sim.ask(flow)
+        sim.run(6.0)
+        assert sim.findings() == []
 
     def test_end_once_the_packet_is_answered(self):
         """Guards against a search for a packet whose client has its answer."""
@@ -94,7 +94,7 @@
 
     def test_reach_an_owner_whose_agent_runs_for_a_moment(self):
         """Guards against a search that waits for the repeat of a lost question."""
-        strays = []
+        misrouted = []
         for seed in range(31010, 31026):
             machine = SplitMachine()
             machine.begin(seed=seed, loss=0.02)
@@ -103,14 +103,14 @@
             machine.cut_an_entry_from_an_agent(one=15, other=35, pause=0.5)
             machine.add_an_agent()
             machine.ask(seconds=0.02)
-            machine.restart_an_agent(index=90, pause=AWAY)
-            machine.world.run(CALM)
-            strays += machine.world.findings()
-        assert strays == []
+            machine.restart_an_agent(index=90, pause=AWAY_SECONDS)
+            machine.sim.run(SETTLE_SECONDS)
+            misrouted += machine.sim.findings()
+        assert misrouted == []
 
     def test_reach_such_an_owner_though_two_datagrams_are_lost(self):
         """Guards against strays where a question and its early repeat get lost."""
-        strays = []
+        misrouted = []
         for seed in (110010, 110085, 110109, 110127, 110132):
             machine = SplitMachine()
             machine.begin(seed=seed, loss=0.02)
@@ -119,21 +119,21 @@
             machine.cut_an_entry_from_an_agent(one=15, other=35, pause=0.5)
             machine.add_an_agent()
             machine.ask(seconds=0.02)
-            machine.restart_an_agent(index=90, pause=AWAY)
-            machine.world.run(CALM)
-            strays += machine.world.findings()
-        assert strays == []
+            machine.restart_an_agent(index=90, pause=AWAY_SECONDS)
+            machine.sim.run(SETTLE_SECONDS)
+            misrouted += machine.sim.findings()
+        assert misrouted == []
 
 
 class TestSearchesOfPlainRoutes:
     def test_find_flows_after_one_agent_was_restarted(self):
         """Guards against a pause of searches that no other service takes over."""
-        world = PacketWorld(1, {"tally": 6})
-        flows = opened(world, 20)
-        for agent in world.agents_by_address.values():
-            world.start_agent(agent)
-        world.run(0.2)
-        assert asked(world, flows, 3.0) == [1] * 20
+        sim = PacketSimulation(1, {"tally": 6})
+        flows = open_flows(sim, 20)
+        for agent in sim.agents_by_address.values():
+            sim.start_agent(agent)
+        sim.run(0.2)
+        assert count_new_answers(sim, flows, 3.0) == [1] * 20
 
 
 def cut_and_restart(machine, seed, loss):
@@ -145,7 +145,7 @@
     machine.ask(seconds=0.2)
     for _ in range(6):
         one, other = rng.randrange(100), rng.randrange(100)
-        machine.cut_two_agents(one=one, other=other, pause=AWAY)
+        machine.cut_two_agents(one=one, other=other, pause=AWAY_SECONDS)
     machine.restart_every_process(moment=0.05)
     machine.ask(seconds=0.2)
     machine.teardown()
@@ -169,10 +169,10 @@
         machine.evacuate("b")
         for _ in range(3):
             machine.add_an_agent()
-        machine.crash_a_target(index=0, pause=AWAY)
+        machine.crash_a_target(index=0, pause=AWAY_SECONDS)
         machine.cut_an_entry_from_an_agent(one=0, other=3, pause=0.5)
         machine.restart_an_entry(index=1)
-        machine.cut_two_agents(one=1, other=5, pause=AWAY)
+        machine.cut_two_agents(one=1, other=5, pause=AWAY_SECONDS)
         machine.restart_an_entry(index=2)
         machine.cut_two_agents(one=2, other=7, pause=1.0)
         machine.drain_a_target(index=6)
@@ -198,28 +198,28 @@
 
     def test_get_what_an_entry_keeps(self):
         """Guards against dropping a packet whose owner a home names and can't reach."""
-        world = PacketWorld(1, {"tally": 4, "ledger": 4})
-        world.set_shares(SPLIT_ROUTE, {"tally": 1.0, "ledger": 1.0})
-        world.run(0.5)
-        flow = world.open_flow(SPLIT_ROUTE)
-        world.run(1.0)
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        agents = list(world.agents_by_address.values())
+        sim = PacketSimulation(1, {"tally": 4, "ledger": 4})
+        sim.set_shares(SPLIT_ROUTE, {"tally": 1.0, "ledger": 1.0})
+        sim.run(0.5)
+        flow = sim.open_flow(SPLIT_ROUTE)
+        sim.run(1.0)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        agents = list(sim.agents_by_address.values())
         owner = next(agent for agent in agents if agent.core.flows.get(flow.key))
         home = next(agent for agent in agents if agent is not owner)
         for agent in agents:
             if agent is not owner:
                 agent.core = None
-        world.run(0.1)
+        sim.run(0.1)
         answers = len(flow.answers)
-        world.ask(flow)
-        world.run(0.01)
-        for entry in world.entries_by_address.values():
+        sim.ask(flow)
+        sim.run(0.01)
+        for entry in sim.entries_by_address.values():
             told = tunnel.Head(tunnel.Kind.OWNER, service=tunnel.tag(owner.service))
             body = tunnel.encode_owner(owner.address, [flow.key])
-            entry.receive(world.now, home.address, tunnel.encode(told, body))
-        world.run(0.1)
+            entry.receive(sim.now, home.address, tunnel.encode(told, body))
+        sim.run(0.1)
         assert len(flow.answers) == answers + 1
 
     def test_get_it_though_they_were_asked(self):
@@ -235,24 +235,24 @@
     @pytest.mark.parametrize("seed", SEEDS)
     def test_reset_no_flow_of_an_agent_that_only_peers_have_heard(self, seed):
         """Guards against taking an agent for gone that others heard a moment ago."""
-        world = PacketWorld(seed, {"tally": 6})
-        flows = opened(world, 150, 3.0)
-        away, *others = world.agents_by_address.values()
+        sim = PacketSimulation(seed, {"tally": 6})
+        flows = open_flows(sim, 150, 3.0)
+        away, *others = sim.agents_by_address.values()
         away.core = None
         for agent in others:
-            world.start_agent(agent)
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        link = frozenset((world.add_agent("tally").address, away.address))
-        world.run(0.01)
-        world.cut.add(link)
-        world.start_agent(away)
-        world.run(0.02)
-        world.cut.discard(link)
+            sim.start_agent(agent)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        link = frozenset((sim.add_agent("tally").address, away.address))
+        sim.run(0.01)
+        sim.cut.add(link)
+        sim.start_agent(away)
+        sim.run(0.02)
+        sim.cut.discard(link)
         away.core = None
-        world.at(AWAY, lambda: world.start_agent(away))
-        world.run(1.3)
+        sim.at(AWAY_SECONDS, lambda: sim.start_agent(away))
+        sim.run(1.3)
         for flow in flows:
-            world.ask(flow)
-        world.run(6.0)
-        assert world.findings() == []
+            sim.ask(flow)
+        sim.run(6.0)
+        assert sim.findings() == []
--- a/packages/zinniahook-testkit/tests/test_packet_slow_openings.py
+++ b/packages/zinniahook-testkit/tests/test_packet_slow_openings.py
@@ -3,8 +3,8 @@
 import pytest
 from zinniahook_core.packets import Flag
 from zinniahook_core.packets.tunnel import Head, Kind, Mark, tag
-from zinniahook_testkit.packetends import flow_key
-from zinniahook_testkit.packetworlds import PacketWorld
+from zinniahook_testkit.packetendpoints import flow_key
+from zinniahook_testkit.packetsimulation import PacketSimulation
 
 FLOW = flow_key("100.64.0.1", 1024, "198.18.0.1", 8443)
 CLIENT_FIRST, TARGET_FIRST = 7000, 90_000
@@ -41,18 +41,18 @@
     """
 
     @pytest.fixture
-    def world(self):
-        return PacketWorld(0, {"tally": 1}, entries=1)
+    def sim(self):
+        return PacketSimulation(0, {"tally": 1}, entries=1)
 
     @pytest.fixture
-    def agent(self, world):
-        (agent,) = world.agents_by_address.values()
+    def agent(self, sim):
+        (agent,) = sim.agents_by_address.values()
         agent.core.links = agent.core.trials._links = Recorded()
         return agent.core
 
-    def forward(self, world, agent, flags, sequence, acknowledged, data=b"", marks=0):
-        raw = world.codec.write(FLOW, flags, sequence, acknowledged, data)
-        (entry,) = world.entries_by_address
+    def forward(self, sim, agent, flags, sequence, acknowledged, data=b"", marks=0):
+        raw = sim.codec.write(FLOW, flags, sequence, acknowledged, data)
+        (entry,) = sim.entries_by_address
         head = Head(
             Kind.FORWARD,
             marks=marks,
@@ -60,53 +60,53 @@
             service=tag("tally"),
             version=agent.routes.version,
         )
-        agent.handle(world.now, entry, head, raw)
+        agent.handle(sim.now, entry, head, raw)
         return raw
 
-    def answer(self, world, agent):
+    def answer(self, sim, agent):
         flags = Flag.OPENING | Flag.ACKNOWLEDGES
-        raw = world.codec.write(FLOW, flags, TARGET_FIRST, CLIENT_FIRST + 1)
-        agent.from_target(world.now, raw)
+        raw = sim.codec.write(FLOW, flags, TARGET_FIRST, CLIENT_FIRST + 1)
+        agent.from_target(sim.now, raw)
 
-    def ask(self, world, agent):
+    def ask(self, sim, agent):
         sequence, acknowledged = CLIENT_FIRST + 1, TARGET_FIRST + 1
         return self.forward(
-            world, agent, Flag.ACKNOWLEDGES, sequence, acknowledged, b"GET"
+            sim, agent, Flag.ACKNOWLEDGES, sequence, acknowledged, b"GET"
         )
 
-    def open_late(self, world, agent):
+    def open_late(self, sim, agent):
         """Let the target answer an opening that its agent has taken back."""
         opening = Flag.OPENING, CLIENT_FIRST, 0
-        self.forward(world, agent, *opening, marks=Mark.PLACED)
-        world.run(SILENT_FOR)
+        self.forward(sim, agent, *opening, marks=Mark.PLACED)
+        sim.run(SILENT_FOR)
         assert agent.flows.get(FLOW) is None
-        self.answer(world, agent)
+        self.answer(sim, agent)
 
-    def test_the_first_data_reaches_the_target(self, world, agent):
-        self.open_late(world, agent)
+    def test_the_first_data_reaches_the_target(self, sim, agent):
+        self.open_late(sim, agent)
         copy = Flag.OPENING, CLIENT_FIRST, 1
-        self.forward(world, agent, *copy, marks=Mark.PLACED)
-        data = self.ask(world, agent)
+        self.forward(sim, agent, *copy, marks=Mark.PLACED)
+        data = self.ask(sim, agent)
         assert agent.links.given[-1] == data
         assert agent.links.resets == []
 
-    def test_also_without_a_copy(self, world, agent):
-        self.open_late(world, agent)
-        data = self.ask(world, agent)
+    def test_also_without_a_copy(self, sim, agent):
+        self.open_late(sim, agent)
+        data = self.ask(sim, agent)
         assert agent.links.given[-1] == data
 
-    def test_data_for_another_target_does_not(self, world, agent):
+    def test_data_for_another_target_does_not(self, sim, agent):
         """The client chose one that answered sooner."""
-        self.open_late(world, agent)
+        self.open_late(sim, agent)
         sequence, acknowledged = CLIENT_FIRST + 1, TARGET_FIRST + (1 << 20)
         data = self.forward(
-            world, agent, Flag.ACKNOWLEDGES, sequence, acknowledged, b"GET"
+            sim, agent, Flag.ACKNOWLEDGES, sequence, acknowledged, b"GET"
         )
         assert data not in agent.links.given
 
-    def test_another_opening_from_the_port_is_a_new_one(self, world, agent):
-        self.open_late(world, agent)
-        self.ask(world, agent)
+    def test_another_opening_from_the_port_is_a_new_one(self, sim, agent):
+        self.open_late(sim, agent)
+        self.ask(sim, agent)
         again = Flag.OPENING, CLIENT_FIRST + 500_000, 0
-        self.forward(world, agent, *again, marks=Mark.PLACED)
+        self.forward(sim, agent, *again, marks=Mark.PLACED)
         assert agent.flows.get(FLOW).target_isn is None
--- a/packages/zinniahook-testkit/tests/test_packet_split_machine.py
+++ b/packages/zinniahook-testkit/tests/test_packet_split_machine.py
@@ -7,10 +7,10 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import initialize, rule
-from test_packet_machine import INDEX, READY_LEAST, PacketMachine
-from zinniahook_testkit.packetworlds import PacketWorld
+from test_packet_machine import INDEX, MIN_READY, PacketMachine
+from zinniahook_testkit.packetsimulation import PacketSimulation
 
-AGENTS_MOST = 13
+MAX_AGENTS = 13
 SPLIT_ROUTE = 3
 SPLITS = [
     {"tally": 1.0},
@@ -26,36 +26,36 @@
 
     @initialize(seed=st.integers(0, 10_000), loss=st.sampled_from([0.0, 0.0, 0.02]))
     def begin(self, seed, loss):
-        self.world = PacketWorld(seed, {"tally": 6, "ledger": 4}, loss=loss)
-        self.world.set_shares(SPLIT_ROUTE, {"tally": 1.0, "ledger": 1.0})
-        self.world.run(0.5)
-        self.flows = [self.world.open_flow() for _ in range(15)]
-        self.flows += [self.world.open_flow(SPLIT_ROUTE) for _ in range(15)]
-        self.world.run(0.5)
+        self.sim = PacketSimulation(seed, {"tally": 6, "ledger": 4}, loss=loss)
+        self.sim.set_shares(SPLIT_ROUTE, {"tally": 1.0, "ledger": 1.0})
+        self.sim.run(0.5)
+        self.flows = [self.sim.open_flow() for _ in range(15)]
+        self.flows += [self.sim.open_flow(SPLIT_ROUTE) for _ in range(15)]
+        self.sim.run(0.5)
 
     @rule(count=st.integers(1, 20), route=st.sampled_from([1, SPLIT_ROUTE]))
     def open_flows(self, count, route):
-        self.flows += [self.world.open_flow(route) for _ in range(count)]
+        self.flows += [self.sim.open_flow(route) for _ in range(count)]
 
     @rule(weights=st.sampled_from(SPLITS))
     def change_the_split(self, weights):
         """Change where new flows go; open ones stay where they are."""
-        self.world.set_shares(SPLIT_ROUTE, weights)
+        self.sim.set_shares(SPLIT_ROUTE, weights)
 
     @rule()
     def add_an_agent(self):
-        if len(self.world.agents_by_address) < AGENTS_MOST:
-            self.world.add_agent("tally")
+        if len(self.sim.agents_by_address) < MAX_AGENTS:
+            self.sim.add_agent("tally")
 
     @rule(index=INDEX)
     def drain_a_target(self, index):
         service = self.agent(index).service
         ready = [
             agent
-            for agent in self.world.agents_by_address.values()
+            for agent in self.sim.agents_by_address.values()
             if not agent.target.leaving and agent.service == service
         ]
-        if len(ready) > READY_LEAST:
+        if len(ready) > MIN_READY:
             ready[index % len(ready)].target.leaving = True
 
 
--- a/packages/zinniahook-testkit/tests/test_packet_splits.py
+++ b/packages/zinniahook-testkit/tests/test_packet_splits.py
@@ -8,49 +8,49 @@
 """
 
 import pytest
-from packet_stories import SEEDS, asked
-from zinniahook_testkit.packetworlds import PacketWorld
+from packet_helpers import SEEDS, count_new_answers
+from zinniahook_testkit.packetsimulation import PacketSimulation
 
 SERVICES = {"floor": 6, "docs": 3}
 SPLIT = {"floor": 1.0, "docs": 1.0}
 ROUTE = 1
-SETTLED = 0.5
+SETTLE_SECONDS = 0.5
 
 
-def split_world(seed, weights=SPLIT, loss=0.0):
+def split_simulation(seed, weights=SPLIT, loss=0.0):
     """Return a world whose first route leads to two services, and its flows."""
-    world = PacketWorld(seed, dict(SERVICES), loss=loss)
-    world.set_shares(ROUTE, weights)
-    world.run(SETTLED)
-    flows = [world.open_flow(ROUTE) for _ in range(40)]
-    world.run(1.0)
+    sim = PacketSimulation(seed, dict(SERVICES), loss=loss)
+    sim.set_shares(ROUTE, weights)
+    sim.run(SETTLE_SECONDS)
+    flows = [sim.open_flow(ROUTE) for _ in range(40)]
+    sim.run(1.0)
     assert {flow.state for flow in flows} == {"open"}
-    return world, flows
+    return sim, flows
 
 
-def held_by(world, service):
+def held_by(sim, service):
     """Return the keys of flows that targets of a service hold."""
     return {
         key
-        for agent in world.agents_by_address.values()
+        for agent in sim.agents_by_address.values()
         if agent.service == service
         for key, held in agent.target.by_flow.items()
         if held.open
     }
 
 
-def forget_hints(world):
+def forget_hints(sim):
     """Restart every entry, so that no flow is hinted."""
-    for address in world.entries_by_address:
-        world.start_entry(address)
-    world.run(SETTLED)
+    for address in sim.entries_by_address:
+        sim.start_entry(address)
+    sim.run(SETTLE_SECONDS)
 
 
-def assert_served(world, flows):
+def assert_served(sim, flows):
     """Let each flow be used once more, and see that nothing breaks."""
-    assert asked(world, flows, 3.0) == [1] * len(flows)
-    assert world.findings() == []
-    assert world.resets == []
+    assert count_new_answers(sim, flows, 3.0) == [1] * len(flows)
+    assert sim.findings() == []
+    assert sim.resets == []
 
 
 CHANGES = {
@@ -65,71 +65,71 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("change", CHANGES)
 class TestChangedSplits:
-    def change(self, world, change):
+    def change(self, sim, change):
         """Make changes within a second."""
         for weights in CHANGES[change]:
-            world.set_shares(ROUTE, weights)
-            world.run(0.4)
+            sim.set_shares(ROUTE, weights)
+            sim.run(0.4)
 
     def test_flows_go_on_without_hints(self, seed, change):
-        world, flows = split_world(seed)
-        assert held_by(world, "docs")
-        self.change(world, change)
-        forget_hints(world)
-        assert_served(world, flows)
+        sim, flows = split_simulation(seed)
+        assert held_by(sim, "docs")
+        self.change(sim, change)
+        forget_hints(sim)
+        assert_served(sim, flows)
 
     def test_they_go_on_after_a_restart_of_every_process(self, seed, change):
         """Nobody remembers the former version but the store's record."""
-        world, flows = split_world(seed)
-        self.change(world, change)
-        for agent in world.agents_by_address.values():
+        sim, flows = split_simulation(seed)
+        self.change(sim, change)
+        for agent in sim.agents_by_address.values():
             agent.core = None
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        for agent in world.agents_by_address.values():
-            world.start_agent(agent)
-        world.run(SETTLED)
-        assert_served(world, flows)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        for agent in sim.agents_by_address.values():
+            sim.start_agent(agent)
+        sim.run(SETTLE_SECONDS)
+        assert_served(sim, flows)
 
     def test_they_go_on_after_a_restart_of_every_agent(self, seed, change):
-        world, flows = split_world(seed)
-        self.change(world, change)
-        for agent in world.agents_by_address.values():
-            world.start_agent(agent)
-        world.run(SETTLED)
-        assert_served(world, flows)
+        sim, flows = split_simulation(seed)
+        self.change(sim, change)
+        for agent in sim.agents_by_address.values():
+            sim.start_agent(agent)
+        sim.run(SETTLE_SECONDS)
+        assert_served(sim, flows)
 
     def test_new_flows_open_where_the_route_leads(self, seed, change):
-        world, _ = split_world(seed)
-        self.change(world, change)
-        fresh = [world.open_flow(ROUTE) for _ in range(20)]
-        world.run(1.0)
+        sim, _ = split_simulation(seed)
+        self.change(sim, change)
+        fresh = [sim.open_flow(ROUTE) for _ in range(20)]
+        sim.run(1.0)
         takers = {name for name, w in CHANGES[change][-1].items() if w}
         keys = {flow.key for flow in fresh}
         elsewhere = set(SERVICES) - takers
-        assert not any(keys & held_by(world, name) for name in elsewhere)
+        assert not any(keys & held_by(sim, name) for name in elsewhere)
         assert {flow.state for flow in fresh} == {"open"}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 class TestRoutesTurnedIntoSplits:
     def test_flows_of_a_plain_route_go_on(self, seed):
-        world, flows = split_world(seed, {"docs": 1.0})
+        sim, flows = split_simulation(seed, {"docs": 1.0})
         for weights in (SPLIT, {"docs": 0.5, "floor": 3.0}, {"floor": 1.0}):
-            world.set_shares(ROUTE, weights)
-            world.run(0.4)
-            forget_hints(world)
-            assert_served(world, flows)
+            sim.set_shares(ROUTE, weights)
+            sim.run(0.4)
+            forget_hints(sim)
+            assert_served(sim, flows)
 
     def test_a_dropped_route_ends_its_flows(self, seed):
-        world, flows = split_world(seed)
-        world.set_shares(ROUTE, {"floor": 1.0})
-        world.run(SETTLED)
-        world.drop_route(ROUTE)
-        world.run(SETTLED)
+        sim, flows = split_simulation(seed)
+        sim.set_shares(ROUTE, {"floor": 1.0})
+        sim.run(SETTLE_SECONDS)
+        sim.drop_route(ROUTE)
+        sim.run(SETTLE_SECONDS)
         for flow in flows:
-            world.ask(flow)
-        world.run(1.0)
+            sim.ask(flow)
+        sim.run(1.0)
         assert {flow.state for flow in flows} == {"reset"}
 
 
@@ -138,22 +138,22 @@
     """A flow that no service holds is reset at once, not left to its time."""
 
     def test_clients_of_crashed_targets_are_told(self, seed):
-        world, flows = split_world(seed)
-        world.set_shares(ROUTE, {"floor": 1.0})
-        world.run(SETTLED)
-        for agent in world.agents_by_address.values():
+        sim, flows = split_simulation(seed)
+        sim.set_shares(ROUTE, {"floor": 1.0})
+        sim.run(SETTLE_SECONDS)
+        for agent in sim.agents_by_address.values():
             agent.core = None
-            world.start_target(agent)
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        for agent in world.agents_by_address.values():
-            world.start_agent(agent)
-        world.run(SETTLED)
+            sim.start_target(agent)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        for agent in sim.agents_by_address.values():
+            sim.start_agent(agent)
+        sim.run(SETTLE_SECONDS)
         for flow in flows:
-            world.ask(flow)
-        world.run(1.5)
+            sim.ask(flow)
+        sim.run(1.5)
         assert {flow.state for flow in flows} == {"reset"}
-        assert world.findings() == []
+        assert sim.findings() == []
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -173,24 +173,24 @@
     PROMPT = 0.3
 
     def test_is_told_at_once(self, seed):
-        world, flows = split_world(seed)
-        for agent in world.agents_by_address.values():
-            world.start_target(agent)
-            world.start_agent(agent)
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        back = next(a for a in world.agents_by_address.values() if a.service == "docs")
+        sim, flows = split_simulation(seed)
+        for agent in sim.agents_by_address.values():
+            sim.start_target(agent)
+            sim.start_agent(agent)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        back = next(a for a in sim.agents_by_address.values() if a.service == "docs")
         back.target.alive = False
         back.target = None
-        world.run(self.GONE)
+        sim.run(self.GONE)
         # Clients repeat a packet after 0.2, 0.6, 1.4 and 3.0 s.
         for flow in flows:
-            world.ask(flow)
-        world.run(self.GONE)
+            sim.ask(flow)
+        sim.run(self.GONE)
         back.core = None
-        world.run(self.UNKNOWN + self.PROMPT)
+        sim.run(self.UNKNOWN + self.PROMPT)
         assert {flow.state for flow in flows} == {"reset"}
-        assert world.findings() == []
+        assert sim.findings() == []
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -202,19 +202,19 @@
     """
 
     def test_they_reset_nothing(self, seed):
-        world, flows = split_world(seed)
-        world.set_shares(ROUTE, {"floor": 1.0})
-        world.run(SETTLED)
-        docs = held_by(world, "docs")
-        world._recorded = lambda: None
-        forget_hints(world)
-        for agent in world.agents_by_address.values():
-            world.start_agent(agent)
-        world.run(SETTLED)
+        sim, flows = split_simulation(seed)
+        sim.set_shares(ROUTE, {"floor": 1.0})
+        sim.run(SETTLE_SECONDS)
+        docs = held_by(sim, "docs")
+        sim._recorded = lambda: None
+        forget_hints(sim)
+        for agent in sim.agents_by_address.values():
+            sim.start_agent(agent)
+        sim.run(SETTLE_SECONDS)
         for flow in flows:
-            world.ask(flow)
-        world.run(2.0)
-        assert world.resets == []
+            sim.ask(flow)
+        sim.run(2.0)
+        assert sim.resets == []
         assert all(flow.answers[1:] for flow in flows if flow.key not in docs)
 
 
@@ -227,23 +227,23 @@
     """
 
     def test_no_search_for_what_another_service_holds(self, seed):
-        world, flows = split_world(seed)
-        world.set_shares(ROUTE, {"floor": 1.0})
-        world.run(SETTLED)
-        before = world.log.counts["search"]
-        forget_hints(world)
+        sim, flows = split_simulation(seed)
+        sim.set_shares(ROUTE, {"floor": 1.0})
+        sim.run(SETTLE_SECONDS)
+        before = sim.log.counts["search"]
+        forget_hints(sim)
         for _ in range(4):
-            assert_served(world, flows)
-        assert world.log.counts["search"] == before
+            assert_served(sim, flows)
+        assert sim.log.counts["search"] == before
 
     def test_each_flow_is_searched_once_in_a_service(self, seed):
-        world, flows = split_world(seed)
-        for address in world.entries_by_address:
-            world.start_entry(address)
-        for agent in world.agents_by_address.values():
-            world.start_agent(agent)
-        before = world.log.counts["search"]
-        world.run(SETTLED)
+        sim, flows = split_simulation(seed)
+        for address in sim.entries_by_address:
+            sim.start_entry(address)
+        for agent in sim.agents_by_address.values():
+            sim.start_agent(agent)
+        before = sim.log.counts["search"]
+        sim.run(SETTLE_SECONDS)
         for _ in range(4):
-            assert_served(world, flows)
-        assert world.log.counts["search"] - before <= len(SERVICES) * len(flows)
+            assert_served(sim, flows)
+        assert sim.log.counts["search"] - before <= len(SERVICES) * len(flows)
--- a/packages/zinniahook-testkit/tests/test_packet_verdicts.py
+++ b/packages/zinniahook-testkit/tests/test_packet_verdicts.py
@@ -3,20 +3,20 @@
 import functools
 
 import pytest
-from packet_stories import SEEDS, asked, opened
+from packet_helpers import SEEDS, count_new_answers, open_flows
 from zinniahook_core.packets import Flag
-from zinniahook_testkit.packetworlds import PacketWorld
+from zinniahook_testkit.packetsimulation import PacketSimulation
 
-REPEAT = 1.6
+MAX_RETRY_SECONDS = 1.6
 """Seconds after which a client repeats a packet at the longest."""
 
-LOST = 6.0
+LOST_AFTER_SECONDS = 6.0
 """Seconds after which nobody waits for a silent agent's flows."""
 
 
-def closing(world, flow, flags=Flag.CLOSING):
+def closing(sim, flow, flags=Flag.CLOSING):
     """Return a packet without data of a client."""
-    return world.codec.write(
+    return sim.codec.write(
         flow.key,
         flags | Flag.ACKNOWLEDGES,
         flow.first + flow.sent,
@@ -24,47 +24,47 @@
     )
 
 
-def repeat(world, flow, flags, times):
+def repeat(sim, flow, flags, times):
     """Let a client repeat a packet that nothing answers."""
     for number in range(times):
-        packet = closing(world, flow, flags)
-        world.at(number * REPEAT, functools.partial(world.from_client, packet))
+        packet = closing(sim, flow, flags)
+        sim.at(number * MAX_RETRY_SECONDS, functools.partial(sim.from_client, packet))
 
 
-def lose(world, count):
+def lose(sim, count):
     """Let machines go without a word, for ever, and homes forget their flows."""
-    gone = list(world.agents_by_address.values())[:count]
+    gone = list(sim.agents_by_address.values())[:count]
     for agent in gone:
         agent.core = None
         agent.target.alive = False
-    forget_pointers(world)
-    forget_hints(world)
+    forget_pointers(sim)
+    forget_hints(sim)
 
 
-def forget_pointers(world):
+def forget_pointers(sim):
     """Let every home forget the owners that don't run."""
-    for agent in world.agents_by_address.values():
-        for other in world.agents_by_address.values():
+    for agent in sim.agents_by_address.values():
+        for other in sim.agents_by_address.values():
             if agent.core is not None and other.core is None:
-                for key in world.flows_by_key:
+                for key in sim.flows_by_key:
                     agent.core.home.forget(key, other.address)
-    world.run(0.1)
+    sim.run(0.1)
 
 
-def searched(world, lines=0):
+def searched(sim, lines=0):
     """Return the flows that were searched for since a line, one an entry."""
-    told = world.log.lines[lines:]
+    told = sim.log.lines[lines:]
     return [fields["flow"] for name, fields in told if name == "search"]
 
 
-def forget_hints(world):
+def forget_hints(sim):
     """Restart every entry: the homes alone know the owners then."""
-    for address in world.entries_by_address:
-        world.start_entry(address)
-    world.run(0.3)
+    for address in sim.entries_by_address:
+        sim.start_entry(address)
+    sim.run(0.3)
 
 
-class TestFlowsThatNobodyOwns:
+class TestFlowsWithoutOwner:
     """Symptom: agents spend their time on searches in which nobody is found.
 
     Sequence: targets are gone, and the clients of their flows repeat closings
@@ -75,68 +75,68 @@
     @pytest.mark.parametrize("seed", SEEDS[:3])
     @pytest.mark.parametrize("flags", [Flag.CLOSING, 0, Flag.RESET])
     def test_are_searched_for_once(self, seed, flags):
-        world = PacketWorld(seed, {"tally": 24})
-        flows = opened(world, 600, 2.0)
-        lose(world, 10)
-        lost = [flow for flow in flows if not world.is_held(flow)][:250]
-        living = [flow for flow in flows if world.is_held(flow)]
+        sim = PacketSimulation(seed, {"tally": 24})
+        flows = open_flows(sim, 600, 2.0)
+        lose(sim, 10)
+        lost = [flow for flow in flows if not sim.is_held(flow)][:250]
+        living = [flow for flow in flows if sim.is_held(flow)]
         assert len(lost) > 200
-        world.run(LOST)
-        lines = len(world.log.lines)
+        sim.run(LOST_AFTER_SECONDS)
+        lines = len(sim.log.lines)
         for flow in lost:
-            repeat(world, flow, flags, 19)
-        world.run(31.0)
-        begun = searched(world, lines)
+            repeat(sim, flow, flags, 19)
+        sim.run(31.0)
+        begun = searched(sim, lines)
         assert len(begun) == len(set(begun))
         assert set(begun) <= {flow.key for flow in lost}
-        assert world.log.counts["search.resumed"] == 0
-        assert min(asked(world, living)) == 1
-        assert world.findings() == []
+        assert sim.log.counts["search.resumed"] == 0
+        assert min(count_new_answers(sim, living)) == 1
+        assert sim.findings() == []
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_end_as_their_clients_close_them(self, seed):
-        world = PacketWorld(seed, {"tally": 24})
-        flows = opened(world, 200, 2.0)
-        lose(world, 5)
-        lost = [flow for flow in flows if not world.is_held(flow)]
-        world.run(LOST)
+        sim = PacketSimulation(seed, {"tally": 24})
+        flows = open_flows(sim, 200, 2.0)
+        lose(sim, 5)
+        lost = [flow for flow in flows if not sim.is_held(flow)]
+        sim.run(LOST_AFTER_SECONDS)
         for flow in lost:
-            repeat(world, flow, Flag.CLOSING, 4)
-        world.run(7.0)
+            repeat(sim, flow, Flag.CLOSING, 4)
+        sim.run(7.0)
         assert {flow.state for flow in lost} == {"reset"}
-        assert world.findings() == []
+        assert sim.findings() == []
 
     @pytest.mark.parametrize("seed", SEEDS[:3])
     def test_of_a_split_route_are_searched_for_once_a_service(self, seed):
-        world = PacketWorld(seed, {"tally": 12, "ledger": 12})
-        flows = opened(world, 100, 2.0)
-        world.set_shares(1, {"tally": 0.5, "ledger": 0.5})
-        lose(world, 5)
-        lost = [flow for flow in flows if not world.is_held(flow)]
-        world.run(LOST)
-        lines = len(world.log.lines)
+        sim = PacketSimulation(seed, {"tally": 12, "ledger": 12})
+        flows = open_flows(sim, 100, 2.0)
+        sim.set_shares(1, {"tally": 0.5, "ledger": 0.5})
+        lose(sim, 5)
+        lost = [flow for flow in flows if not sim.is_held(flow)]
+        sim.run(LOST_AFTER_SECONDS)
+        lines = len(sim.log.lines)
         for flow in lost:
-            repeat(world, flow, Flag.CLOSING, 10)
-        world.run(17.0)
-        assert len(searched(world, lines)) <= 2 * len(lost)
+            repeat(sim, flow, Flag.CLOSING, 10)
+        sim.run(17.0)
+        assert len(searched(sim, lines)) <= 2 * len(lost)
         assert {flow.state for flow in lost} == {"reset"}
-        assert world.findings() == []
+        assert sim.findings() == []
 
-    def test_lines_tell_what_was_searched_for(self):
-        world = PacketWorld(1, {"tally": 24})
-        flows = opened(world, 100, 2.0)
-        lose(world, 5)
-        lost = [flow for flow in flows if not world.is_held(flow)]
+    def test_log_names_what_was_searched_for(self):
+        sim = PacketSimulation(1, {"tally": 24})
+        flows = open_flows(sim, 100, 2.0)
+        lose(sim, 5)
+        lost = [flow for flow in flows if not sim.is_held(flow)]
         for flow in lost:
-            world.from_client(closing(world, flow))
-        world.run(LOST)
-        told = dict(world.log.lines)
+            sim.from_client(closing(sim, flow))
+        sim.run(LOST_AFTER_SECONDS)
+        told = dict(sim.log.lines)
         for name in ("search", "search.unsure", "reset.no_owner"):
             assert (told[name]["packet"], told[name]["length"]) == ("closing", 0)
         assert told["search.unsure"]["unseen"]
 
 
-class TestVerdictsThatHoldNoMore:
+class TestOutdatedVerdicts:
     """Symptom: a flow that lives is reset by what was once found out of it.
 
     Sequence: its agent was away for so long that nobody waits for it; everybody
@@ -146,48 +146,48 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_an_agent_that_comes_back_is_asked(self, seed):
-        world = PacketWorld(seed, {"tally": 24})
-        flows = opened(world, 200, 2.0)
-        agent = next(iter(world.agents_by_address.values()))
+        sim = PacketSimulation(seed, {"tally": 24})
+        flows = open_flows(sim, 200, 2.0)
+        agent = next(iter(sim.agents_by_address.values()))
         agent.core = None
-        mine = [f for f in flows if f.key in agent.target.by_flow and world.is_held(f)]
+        mine = [f for f in flows if f.key in agent.target.by_flow and sim.is_held(f)]
         mine = [f for f in mine if agent.target.by_flow[f.key].open]
         assert mine
-        forget_pointers(world)
-        forget_hints(world)
-        world.run(LOST)
+        forget_pointers(sim)
+        forget_hints(sim)
+        sim.run(LOST_AFTER_SECONDS)
         for flow in mine:
-            repeat(world, flow, Flag.CLOSING, 4)
-        world.run(7.0)
+            repeat(sim, flow, Flag.CLOSING, 4)
+        sim.run(7.0)
         assert {flow.state for flow in mine} == {"reset"}
-        world.resets.clear()
-        world.start_agent(agent)
-        world.run(0.5)
+        sim.resets.clear()
+        sim.start_agent(agent)
+        sim.run(0.5)
         for flow in mine:
             # The reset got lost.
             flow.state = "open"
             flow.asked_at = None
-        assert min(asked(world, mine, 3.0)) == 1
-        assert world.findings() == []
+        assert min(count_new_answers(sim, mine, 3.0)) == 1
+        assert sim.findings() == []
 
     def test_another_flow_from_the_same_port_is_not_taken_for_it(self):
-        world = PacketWorld(1, {"tally": 24})
-        flows = opened(world, 100, 2.0)
-        lose(world, 5)
-        lost = next(flow for flow in flows if not world.is_held(flow))
-        world.run(LOST)
-        repeat(world, lost, Flag.CLOSING, 4)
-        world.run(7.0)
+        sim = PacketSimulation(1, {"tally": 24})
+        flows = open_flows(sim, 100, 2.0)
+        lose(sim, 5)
+        lost = next(flow for flow in flows if not sim.is_held(flow))
+        sim.run(LOST_AFTER_SECONDS)
+        repeat(sim, lost, Flag.CLOSING, 4)
+        sim.run(7.0)
         assert lost.state == "reset"
-        lost.state, lost.first, lost.begun = "opening", lost.first + 999, world.now
+        lost.state, lost.first, lost.begun = "opening", lost.first + 999, sim.now
         lost.copies = lost.taken = lost.repeats = 0
         lost.sent, lost.asked_at = 1, None
-        world.from_client(lost.open(world.now))
-        world.run(1.0)
+        sim.from_client(lost.open(sim.now))
+        sim.run(1.0)
         assert lost.state == "open"
-        forget_hints(world)
-        assert asked(world, [lost]) == [1]
-        assert world.findings() == []
+        forget_hints(sim)
+        assert count_new_answers(sim, [lost]) == [1]
+        assert sim.findings() == []
 
 
 class TestTargetsThatAreReplaced:
@@ -200,27 +200,27 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_no_search_begins_for_their_flows(self, seed):
-        world = PacketWorld(seed, {"tally": 24})
-        world.run(3.0)
-        flows = opened(world, 200, 3.0)
-        agents = list(world.agents_by_address.values())[:8]
+        sim = PacketSimulation(seed, {"tally": 24})
+        sim.run(3.0)
+        flows = open_flows(sim, 200, 3.0)
+        agents = list(sim.agents_by_address.values())[:8]
         for agent in agents:
-            world.start_target(agent)
-            world.beat(agent)
-        world.run(0.1)
-        lost = [flow for flow in flows if not world.is_held(flow)]
+            sim.start_target(agent)
+            sim.send_heartbeat(agent)
+        sim.run(0.1)
+        lost = [flow for flow in flows if not sim.is_held(flow)]
         assert {flow.state for flow in lost} == {"reset"}
-        forget_hints(world)
-        before = world.log.counts["search"]
+        forget_hints(sim)
+        before = sim.log.counts["search"]
         for flow in lost:
             # The reset got lost.
             flow.state = "open"
             flow.asked_at = None
-            world.ask(flow)
-        world.run(1.0)
-        assert world.log.counts["search"] == before
+            sim.ask(flow)
+        sim.run(1.0)
+        assert sim.log.counts["search"] == before
         assert {flow.state for flow in lost} == {"reset"}
-        assert world.findings() == []
+        assert sim.findings() == []
 
 
 class TestHomesOfLivingFlows:
@@ -233,27 +233,27 @@
     that was a home comes or goes.
     """
 
-    def searches(self, world, flows):
-        forget_hints(world)
-        lines = len(world.log.lines)
-        held = [flow for flow in flows if world.is_held(flow)]
-        assert min(asked(world, held, 2.0)) == 1
+    def searches(self, sim, flows):
+        forget_hints(sim)
+        lines = len(sim.log.lines)
+        held = [flow for flow in flows if sim.is_held(flow)]
+        assert min(count_new_answers(sim, held, 2.0)) == 1
         keys = {flow.key for flow in held}
-        return [key for key in searched(world, lines) if key in keys]
+        return [key for key in searched(sim, lines) if key in keys]
 
     @pytest.mark.parametrize("seed", SEEDS[:3])
     def test_know_them_after_agents_have_ended(self, seed):
-        world = PacketWorld(seed, {"tally": 30})
-        flows = opened(world, 400, 2.0)
-        for agent in list(world.agents_by_address.values())[:10]:
+        sim = PacketSimulation(seed, {"tally": 30})
+        flows = open_flows(sim, 400, 2.0)
+        for agent in list(sim.agents_by_address.values())[:10]:
             agent.target.alive = False
-            agent.core.note_ended(world.now, agent.target.name)
-            agent.core.leave(world.now)
-            world.run(0.2)
-            agent.core.announce_end(world.now)
+            agent.core.note_ended(sim.now, agent.target.name)
+            agent.core.leave(sim.now)
+            sim.run(0.2)
+            agent.core.announce_end(sim.now)
             agent.core = None
-        world.run(8.0)
-        assert self.searches(world, flows) == []
+        sim.run(8.0)
+        assert self.searches(sim, flows) == []
 
     def test_answer_though_entries_first_ask_agents_that_are_gone(self):
         """Guards against entries that repeat a packet to a home that never answers."""
@@ -262,36 +262,36 @@
 
     @pytest.mark.parametrize("seed", SEEDS[:3])
     def test_know_them_after_agents_have_come_without_targets(self, seed):
-        world = PacketWorld(seed, {"tally": 30})
-        flows = opened(world, 400, 2.0)
-        world.hold_beats(60.0)
+        sim = PacketSimulation(seed, {"tally": 30})
+        flows = open_flows(sim, 400, 2.0)
+        sim.suspend_heartbeats(60.0)
         for _ in range(12):
-            world.add_agent("tally").target.alive = False
-        world.run(2.0)
-        assert self.searches(world, flows) == []
+            sim.add_agent("tally").target.alive = False
+        sim.run(2.0)
+        assert self.searches(sim, flows) == []
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_hand_their_pointers_on_as_they_leave(self, seed):
         """Both homes of a flow leave while its owner is cut off from the next
         one; who searches there asks targets that it doesn't concern."""
-        world = PacketWorld(seed, {"tally": 6})
-        world.run(2.0)
-        flow = opened(world, 1, 2.0)[0]
-        owner = world._holder(flow)
+        sim = PacketSimulation(seed, {"tally": 6})
+        sim.run(2.0)
+        flow = open_flows(sim, 1, 2.0)[0]
+        owner = sim._holder(flow)
         homes = owner.core.flows.get(flow.key).homes
         leaving = [a for a in homes if a != owner.address]
-        for address, agent in world.agents_by_address.items():
+        for address, agent in sim.agents_by_address.items():
             if address not in homes and agent is not owner:
-                world.cut.add(frozenset((address, owner.address)))
+                sim.cut.add(frozenset((address, owner.address)))
         for address in leaving:
-            agent = world.agents_by_address[address]
+            agent = sim.agents_by_address[address]
             agent.target.alive = False
-            agent.core.note_ended(world.now, agent.target.name)
-        world.run(0.3)
-        forget_hints(world)
-        world.ask(flow)
-        world.run(0.3)
-        assert world.log.counts["search"] == 0
+            agent.core.note_ended(sim.now, agent.target.name)
+        sim.run(0.3)
+        forget_hints(sim)
+        sim.ask(flow)
+        sim.run(0.3)
+        assert sim.log.counts["search"] == 0
 
 
 class TestFlowsThatTheirTargetHasClosed:
@@ -302,37 +302,37 @@
     the closing to the target that would acknowledge it.
     """
 
-    def closed(self, world, flow):
-        agent = world._holder(flow)
+    def closed(self, sim, flow):
+        agent = sim._holder(flow)
         held = agent.target.by_flow[flow.key]
-        raw = world.codec.write(
+        raw = sim.codec.write(
             flow.key,
             Flag.CLOSING | Flag.ACKNOWLEDGES,
             held.first + held.sent,
             flow.first + flow.sent,
             to_client=True,
         )
-        agent.core.from_target(world.now, raw)
+        agent.core.from_target(sim.now, raw)
         return agent
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_the_client_s_closing_reaches_the_target(self, seed):
-        world = PacketWorld(seed, {"tally": 12})
-        flows = opened(world, 20, 2.0)
+        sim = PacketSimulation(seed, {"tally": 12})
+        flows = open_flows(sim, 20, 2.0)
         for flow in flows:
-            self.closed(world, flow)
-        world.run(8.0)
-        owned, before = len(world.owned), world.log.counts["search"]
+            self.closed(sim, flow)
+        sim.run(8.0)
+        owned, before = len(sim.owned), sim.log.counts["search"]
         for flow in flows:
-            world.from_client(closing(world, flow))
-        world.run(0.5)
-        assert world.log.counts["search"] == before
-        assert len(world.owned) - owned == len(flows)
+            sim.from_client(closing(sim, flow))
+        sim.run(0.5)
+        assert sim.log.counts["search"] == before
+        assert len(sim.owned) - owned == len(flows)
 
     def test_is_forgotten_once_the_client_has_closed_it_too(self):
-        world = PacketWorld(1, {"tally": 12})
-        flow = opened(world, 1, 2.0)[0]
-        agent = self.closed(world, flow)
-        world.from_client(closing(world, flow))
-        world.run(5.0)
+        sim = PacketSimulation(1, {"tally": 12})
+        flow = open_flows(sim, 1, 2.0)[0]
+        agent = self.closed(sim, flow)
+        sim.from_client(closing(sim, flow))
+        sim.run(5.0)
         assert agent.core.flows.get(flow.key) is None
--- a/packages/zinniahook-testkit/tests/test_packets.py
+++ b/packages/zinniahook-testkit/tests/test_packets.py
@@ -1,28 +1,28 @@
 """The packet service in a simulated world: flows keep their targets."""
 
 import pytest
-from packet_stories import SEEDS, asked, opened
+from packet_helpers import SEEDS, count_new_answers, open_flows
 from zinniahook_core.packets.flows import Flow, FlowState
 from zinniahook_core.packets.tunnel import Head, Kind, encode, tag
-from zinniahook_testkit.packetworlds import PacketWorld
+from zinniahook_testkit.packetsimulation import PacketSimulation
 
 
 class TestCalm:
     @pytest.mark.parametrize("seed", SEEDS)
     def test_every_request_is_answered(self, seed):
-        world = PacketWorld(seed)
-        flows = opened(world)
+        sim = PacketSimulation(seed)
+        flows = open_flows(sim)
         for _ in range(5):
-            assert asked(world, flows) == [1] * len(flows)
-        assert world.findings() == []
-        assert world.foreign == []
+            assert count_new_answers(sim, flows) == [1] * len(flows)
+        assert sim.findings() == []
+        assert sim.foreign == []
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_openings_are_spread(self, seed):
-        world = PacketWorld(seed)
+        sim = PacketSimulation(seed)
         for _ in range(20):
-            opened(world, 12, 0.1)
-        taken = [len(a.target.openings) for a in world.agents_by_address.values()]
+            open_flows(sim, 12, 0.1)
+        taken = [len(a.target.openings) for a in sim.agents_by_address.values()]
         assert max(taken) / (sum(taken) / len(taken)) <= 1.25
 
 
@@ -35,13 +35,13 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_flows_stay(self, seed):
-        world = PacketWorld(seed)
-        flows = opened(world)
+        sim = PacketSimulation(seed)
+        flows = open_flows(sim)
         for _ in range(3):
-            world.add_agent("tally")
+            sim.add_agent("tally")
         for _ in range(4):
-            assert asked(world, flows, 0.6) == [1] * len(flows)
-        assert world.findings() == []
+            assert count_new_answers(sim, flows, 0.6) == [1] * len(flows)
+        assert sim.findings() == []
 
 
 class TestCrashedTarget:
@@ -54,43 +54,43 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_openings_go_elsewhere_at_once(self, seed):
-        world = PacketWorld(seed)
-        crashed = next(iter(world.agents_by_address.values()))
+        sim = PacketSimulation(seed)
+        crashed = next(iter(sim.agents_by_address.values()))
         crashed.target.alive = False
-        flows = [world.open_flow() for _ in range(40)]
-        world.run(0.5)
+        flows = [sim.open_flow() for _ in range(40)]
+        sim.run(0.5)
         assert {flow.state for flow in flows} == {"open"}
-        assert world.findings() == []
+        assert sim.findings() == []
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_its_flows_are_reset_while_it_is_down(self, seed):
-        world = PacketWorld(seed, loss=0.02)
-        flows = opened(world, seconds=1.5)
-        crashed = next(iter(world.agents_by_address.values()))
+        sim = PacketSimulation(seed, loss=0.02)
+        flows = open_flows(sim, seconds=1.5)
+        crashed = next(iter(sim.agents_by_address.values()))
         held = {flow.key for flow in flows if flow.key in crashed.target.by_flow}
         crashed.target.alive = False
         for flow in flows:
-            world.ask(flow)
-        world.run(1.2)
-        lost = [flow for flow in flows if not world.is_held(flow)]
+            sim.ask(flow)
+        sim.run(1.2)
+        lost = [flow for flow in flows if not sim.is_held(flow)]
         assert {flow.key for flow in lost} <= held
         assert {flow.state for flow in lost} == {"reset"}
-        assert world.findings() == []
+        assert sim.findings() == []
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_its_flows_are_reset_once_it_runs_again(self, seed):
-        world = PacketWorld(seed)
+        sim = PacketSimulation(seed)
         # Older than a heartbeat may be late: surely the former target's.
-        flows = opened(world, seconds=2.5)
-        crashed = next(iter(world.agents_by_address.values()))
+        flows = open_flows(sim, seconds=2.5)
+        crashed = next(iter(sim.agents_by_address.values()))
         crashed.target.alive = False
-        world.run(0.5)
-        world.start_target(crashed)
-        world.run(1.5)
-        states = [flow.state for flow in flows if not world.is_held(flow)]
+        sim.run(0.5)
+        sim.start_target(crashed)
+        sim.run(1.5)
+        states = [flow.state for flow in flows if not sim.is_held(flow)]
         assert states
         assert set(states) == {"reset"}
-        assert world.findings() == []
+        assert sim.findings() == []
 
 
 class TestTargetThatResets:
@@ -103,21 +103,21 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_a_reset_is_no_answer(self, seed):
-        world = PacketWorld(seed)
-        flows = opened(world)
-        asked(world, flows)
-        crashed = next(iter(world.agents_by_address.values()))
+        sim = PacketSimulation(seed)
+        flows = open_flows(sim)
+        count_new_answers(sim, flows)
+        crashed = next(iter(sim.agents_by_address.values()))
         usual = crashed.core.target.answer_time
-        told = world.log.counts["request.answered"]
-        world.start_target(crashed)
+        told = sim.log.counts["request.answered"]
+        sim.start_target(crashed)
         crashed.target.resets_unknown = True
-        lost = [flow for flow in flows if not world.is_held(flow)]
+        lost = [flow for flow in flows if not sim.is_held(flow)]
         for flow in lost:
-            world.ask(flow)
-        world.run(0.05)
+            sim.ask(flow)
+        sim.run(0.05)
         assert {flow.state for flow in lost} == {"reset"}
-        assert world.log.counts["request.reset"] == len(lost)
-        assert world.log.counts["request.answered"] == told
+        assert sim.log.counts["request.reset"] == len(lost)
+        assert sim.log.counts["request.answered"] == told
         assert crashed.core.target.answer_time == usual
 
 
@@ -131,19 +131,19 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_its_new_flows_go_on(self, seed):
-        world = PacketWorld(seed)
-        flows = opened(world, seconds=2.0)
-        crashed = next(iter(world.agents_by_address.values()))
-        world.start_target(crashed)
+        sim = PacketSimulation(seed)
+        flows = open_flows(sim, seconds=2.0)
+        crashed = next(iter(sim.agents_by_address.values()))
+        sim.start_target(crashed)
         held = 0
         for _ in range(15):
-            flows += [world.open_flow() for _ in range(4)]
-            world.run(0.1)
+            flows += [sim.open_flow() for _ in range(4)]
+            sim.run(0.1)
             held = max(held, len(crashed.target.by_flow))
         assert held
-        living = [flow for flow in flows if world.is_held(flow)]
-        assert asked(world, living) == [1] * len(living)
-        assert world.findings() == []
+        living = [flow for flow in flows if sim.is_held(flow)]
+        assert count_new_answers(sim, living) == [1] * len(living)
+        assert sim.findings() == []
 
 
 class TestDeadTargetOfNewAgent:
@@ -156,21 +156,21 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_it_claims_nothing(self, seed):
-        world = PacketWorld(seed)
-        flows = opened(world)
-        dead, *others = world.agents_by_address.values()
+        sim = PacketSimulation(seed)
+        flows = open_flows(sim)
+        dead, *others = sim.agents_by_address.values()
         dead.target.alive = False
         for agent in [dead, *others]:
-            world.start_agent(agent)
-        living = [flow for flow in flows if world.is_held(flow)]
+            sim.start_agent(agent)
+        living = [flow for flow in flows if sim.is_held(flow)]
         assert living
         for _ in range(4):
             for flow in flows:
-                world.ask(flow)
-            world.run(1.0)
+                sim.ask(flow)
+            sim.run(1.0)
         assert {flow.state for flow in living} == {"open"}
         assert all(len(flow.answers) >= 4 for flow in living)
-        assert world.findings() == []
+        assert sim.findings() == []
 
 
 class TestTwoTargetsThatAnswered:
@@ -186,21 +186,21 @@
     @pytest.mark.parametrize("seed", SEEDS)
     @pytest.mark.parametrize("distance", [1 << 12, 1 << 20, (1 << 24) - 8])
     def test_the_one_that_was_not_chosen_leaves_the_flow_alone(self, seed, distance):
-        world = PacketWorld(seed)
-        (flow,) = opened(world, 1)
+        sim = PacketSimulation(seed)
+        (flow,) = open_flows(sim, 1)
         other = next(
             agent
-            for agent in world.agents_by_address.values()
+            for agent in sim.agents_by_address.values()
             if flow.key not in agent.target.by_flow
         )
         near = (flow.server_first - distance) % (1 << 32)
-        held = Flow(flow.key, FlowState.OFFERED, world.now, "", target_isn=near)
+        held = Flow(flow.key, FlowState.OFFERED, sim.now, "", target_isn=near)
         other.core.flows.add(held)
-        for entry in world.entries_by_address.values():
+        for entry in sim.entries_by_address.values():
             entry.hints_by_flow[flow.key] = other.address
-        assert asked(world, [flow]) == [1]
-        assert world.resets == []
-        assert world.foreign == []
+        assert count_new_answers(sim, [flow]) == [1]
+        assert sim.resets == []
+        assert sim.foreign == []
 
 
 class TestFullTargets:
@@ -211,19 +211,19 @@
     """
 
     def test_one_full_target_is_passed_over(self):
-        world = PacketWorld(1)
-        full = next(iter(world.agents_by_address.values())).target
+        sim = PacketSimulation(1)
+        full = next(iter(sim.agents_by_address.values())).target
         full.full = True
         # As many as the others have slots, so that none has to wait.
-        opened(world, 20, 0.1)
+        open_flows(sim, 20, 0.1)
         assert full.openings == []
 
     def test_an_opening_is_reset_at_once_if_all_are_full(self):
-        world = PacketWorld(1)
-        for agent in world.agents_by_address.values():
+        sim = PacketSimulation(1)
+        for agent in sim.agents_by_address.values():
             agent.target.full = True
-        flow = world.open_flow()
-        world.run(0.1)
+        flow = sim.open_flow()
+        sim.run(0.1)
         assert flow.state == "reset"
 
 
@@ -236,18 +236,18 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_gets_no_openings_and_keeps_its_flows(self, seed):
-        world = PacketWorld(seed, loss=0.02)
-        flows = opened(world, seconds=1.5)
-        leaving = next(iter(world.agents_by_address.values()))
+        sim = PacketSimulation(seed, loss=0.02)
+        flows = open_flows(sim, seconds=1.5)
+        leaving = next(iter(sim.agents_by_address.values()))
         leaving.target.leaving = True
-        world.run(1.1)
+        sim.run(1.1)
         before = len(leaving.target.openings)
         for _ in range(40):
-            world.open_flow()
-            world.run(0.1)
+            sim.open_flow()
+            sim.run(0.1)
         assert len(leaving.target.openings) == before
-        assert asked(world, flows, 2.0) == [1] * len(flows)
-        assert world.findings() == []
+        assert count_new_answers(sim, flows, 2.0) == [1] * len(flows)
+        assert sim.findings() == []
 
 
 class TestReusedAddress:
@@ -260,18 +260,18 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_no_packet_crosses_over(self, seed):
-        world = PacketWorld(seed, {"tally": 3, "ledger": 2})
-        moved = next(iter(world.agents_by_address.values()))
+        sim = PacketSimulation(seed, {"tally": 3, "ledger": 2})
+        moved = next(iter(sim.agents_by_address.values()))
         moved.service = "ledger"
-        world.announced = [a for a in world.announced if a[1] != moved.address]
-        world.announced.append(("ledger", moved.address, moved.centre))
-        world.start_target(moved)
-        world.start_agent(moved)
-        flows = [world.open_flow(1) for _ in range(40)]
-        world.run(1.0)
+        sim.announced = [a for a in sim.announced if a[1] != moved.address]
+        sim.announced.append(("ledger", moved.address, moved.centre))
+        sim.start_target(moved)
+        sim.start_agent(moved)
+        flows = [sim.open_flow(1) for _ in range(40)]
+        sim.run(1.0)
         assert {flow.state for flow in flows} == {"open"}
         assert moved.target.openings == []
-        assert world.findings() == []
+        assert sim.findings() == []
 
 
 class TestDroppedRoute:
@@ -283,14 +283,14 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_whoever_knows_refuses(self, seed):
-        world = PacketWorld(seed, {"tally": 3, "ledger": 2})
-        world.routes = world.make_routes(2, {"tally": 3})
-        agents = world.agents_by_address.values()
+        sim = PacketSimulation(seed, {"tally": 3, "ledger": 2})
+        sim.routes = sim.make_routes(2, {"tally": 3})
+        agents = sim.agents_by_address.values()
         ledger = [agent for agent in agents if agent.service == "ledger"]
-        ledger[0].core.configure(world.now, world.routes)
-        world.run(0.3)
-        flow = world.open_flow(2)
-        world.run(0.2)
+        ledger[0].core.configure(sim.now, sim.routes)
+        sim.run(0.3)
+        flow = sim.open_flow(2)
+        sim.run(0.2)
         assert flow.state == "reset"
         assert all(not agent.target.openings for agent in ledger)
 
@@ -304,15 +304,15 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_nobody_hears_it_from_others(self, seed):
-        world = PacketWorld(seed)
-        gone, *others = world.agents_by_address.values()
+        sim = PacketSimulation(seed)
+        gone, *others = sim.agents_by_address.values()
         gone.core = gone.target = None
         for _ in range(60):
             for agent in others:
                 for peer in others:
-                    agent.core.hello(world.now, peer.address)
-            world.run(0.1)
-        assert not any(a.core.roster.may_hold_unseen(world.now) for a in others)
+                    agent.core.hello(sim.now, peer.address)
+            sim.run(0.1)
+        assert not any(a.core.roster.may_hold_unseen(sim.now) for a in others)
 
 
 class TestMalformedRosters:
@@ -327,11 +327,11 @@
         [b"[]", b"{", b'{"tally":3}', b'{"tally":[["10.0.0.9"]]}', b'{"tally":[3,[]]}'],
     )
     def test_are_counted_and_left_out(self, body):
-        world = PacketWorld(1)
+        sim = PacketSimulation(1)
         raw = encode(Head(Kind.ROSTER, service=tag("tally")), body)
-        agent = next(iter(world.agents_by_address.values())).core
-        entry = next(iter(world.entries_by_address.values()))
+        agent = next(iter(sim.agents_by_address.values())).core
+        entry = next(iter(sim.entries_by_address.values()))
         for core in (agent, entry):
-            core.receive(world.now, "10.0.2.2", raw)
-            assert world.log.counts["datagrams.malformed"]
+            core.receive(sim.now, "10.0.2.2", raw)
+            assert sim.log.counts["datagrams.malformed"]
         assert "10.0.0.9" not in agent.roster.by_address
