--- a/packages/zinniahook-testkit/src/zinniahook_testkit/keyspaces.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/keyspaces.py
@@ -1,4 +1,4 @@
-"""The data of the store's stand-in: revisions, transactions, leases."""
+"""The data of the fake store: revisions, transactions and leases."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 __all__ = ["Compare", "CompactedError", "Event", "Keyspace", "Lease", "Version"]
 
 MAX_EVENTS = 50_000
-"""Events kept for watches; half of them are compacted away beyond that."""
+"""Events kept for watches; beyond that, the older half is compacted."""
 
 
 class Version(NamedTuple):
-    """What a key held from ``revision`` on; ``value`` None: deleted."""
+    """The state of a key from ``revision`` on; a ``value`` of None is a deletion."""
 
     value: bytes | None
     revision: int
@@ -31,7 +31,7 @@
 
 
 class Compare(NamedTuple):
-    """A condition of a transaction; ``target`` and ``result`` as in etcd."""
+    """A condition of a transaction, with ``target`` and ``result`` as in etcd."""
 
     key: bytes
     target: str
@@ -40,7 +40,7 @@
 
 
 class Lease(NamedTuple):
-    """A lease that ends at a time of the clock given to the keyspace."""
+    """A lease; ``expires`` is a time of the clock that the caller passes in."""
 
     number: int
     seconds: int
@@ -48,11 +48,11 @@
 
 
 class CompactedError(Exception):
-    """The revision asked for is no longer kept."""
+    """The requested revision has been compacted."""
 
 
 class Keyspace:
-    """Keys with all their versions since the last compaction.
+    """Keys and their versions since the last compaction.
 
     Attributes
     ----------
@@ -73,18 +73,18 @@
         self._listeners: list[Callable[[Sequence[Event]], None]] = []
 
     def on_change(self, listener: Callable[[Sequence[Event]], None]) -> None:
-        """Call back with the events of each revision."""
+        """Register a callback that gets the events of each revision."""
         self._listeners.append(listener)
 
     def read(
         self, start: bytes, end: bytes, revision: int = 0
     ) -> list[tuple[bytes, Version]]:
-        """Return the keys from ``start`` up to ``end``, or one if it is empty.
+        """Return the keys from ``start`` to ``end``, or ``start`` if that is empty.
 
         Raises
         ------
         CompactedError
-            If the revision is no longer kept.
+            If the revision has been compacted.
         """
         if revision and revision < self.compacted:
             raise CompactedError
@@ -96,7 +96,7 @@
         return found
 
     def holds(self, compare: Compare) -> bool:
-        """Tell whether a condition holds now."""
+        """Return whether a condition holds at the latest revision."""
         version = self._version(compare.key, self.revision)
         if version is None or version.value is None:
             version = Version(b"", 0, 0, 0, 0)
@@ -119,9 +119,9 @@
         puts: Iterable[tuple[bytes, bytes, int]] = (),
         deletes: Iterable[tuple[bytes, bytes]] = (),
     ) -> int:
-        """Make all changes at one revision; return how many were deleted.
+        """Apply all changes at one revision; return the number of deleted keys.
 
-        ``puts`` are key, value and lease; ``deletes`` are ranges.
+        Each of ``puts`` is a key, a value and a lease; each of ``deletes`` is a range.
         """
         events = []
         revision = self.revision + 1
@@ -140,12 +140,12 @@
         return len(gone)
 
     def since(self, revision: int, start: bytes, end: bytes) -> list[Event]:
-        """Return the events from ``revision`` on.
+        """Return the events of a range from ``revision`` on.
 
         Raises
         ------
         CompactedError
-            If some of them are no longer kept.
+            If some of them have been compacted.
         """
         if revision < self.compacted:
             raise CompactedError
@@ -157,7 +157,7 @@
         ]
 
     def compact(self, revision: int) -> None:
-        """Forget the versions before ``revision``."""
+        """Remove the versions before ``revision``."""
         self.compacted = max(self.compacted, min(revision, self.revision))
         first = bisect.bisect_left(
             self._events, self.compacted, key=lambda event: event.version.revision
@@ -172,13 +172,13 @@
                 self._keys.remove(key)
 
     def grant(self, seconds: int, now: float) -> Lease:
-        """Make a lease."""
+        """Create a lease."""
         lease = Lease(next(self._lease_numbers), seconds, now + seconds)
         self.leases_by_number[lease.number] = lease
         return lease
 
     def keep_alive(self, number: int, now: float) -> int:
-        """Renew a lease and return its seconds, 0 if there is none."""
+        """Renew a lease and return its seconds, or 0 if it doesn't exist."""
         lease = self.leases_by_number.get(number)
         if lease is None:
             return 0
@@ -186,7 +186,7 @@
         return lease.seconds
 
     def revoke(self, number: int) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         if self.leases_by_number.pop(number, None) is None:
             return
         owned = [
@@ -198,7 +198,7 @@
         self.write(deletes=owned)
 
     def expire(self, now: float) -> None:
-        """End the leases whose time is over."""
+        """Revoke the leases that have expired."""
         for lease in list(self.leases_by_number.values()):
             if lease.expires <= now:
                 self.revoke(lease.number)
@@ -231,13 +231,13 @@
 
 
 def within(key: bytes, start: bytes, end: bytes) -> bool:
-    """Tell whether a key is in a range as `Keyspace.read` takes it."""
+    """Return whether a key is in a range, as defined by `Keyspace.read`."""
     if not end:
         return key == start
     return start <= key and (end == b"\0" or key < end)
 
 
 def _index(versions: Sequence[Version], revision: int) -> int:
-    """Return the place of the version in force at a revision, or -1."""
+    """Return the index of the version that is current at a revision, or -1."""
     place = bisect.bisect_right(versions, revision, key=lambda item: item.revision)
     return place - 1
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/misrouting.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/misrouting.py
@@ -1,4 +1,4 @@
-"""Which flows strayed: only other targets got their packets for a while."""
+"""Detection of misrouted flows, whose packets reach only other targets."""
 
 from __future__ import annotations
 
@@ -8,22 +8,25 @@
 MISROUTED_PACKETS = 3
 
 Arrival = tuple[float, bytes]
-"""When a packet arrived, and the key of its flow."""
+"""The arrival time of a packet and the key of its flow."""
 
 
 def misrouted_flows(
     now: float, held: set[bytes], foreign: list[Arrival], owned: list[Arrival]
 ) -> list[str]:
-    """Return the flows whose packets only other targets got for two seconds.
+    """Return a line for each flow whose packets reached only other targets.
+
+    A flow is misrouted if at least three of its packets reach other targets within
+    two seconds and none reaches its own.
 
     Parameters
     ----------
     now : float
-        Until when packets were recorded.
+        Time until which packets were recorded.
     held : set of bytes
-        Keys of the flows that living targets hold.
+        Keys of the flows that running targets hold.
     foreign, owned : list of Arrival
-        Packets at targets that don't hold their flow, and at those that do.
+        Packets at targets that don't hold their flow, and at targets that do.
     """
     times_by_key: dict[bytes, list[float]] = {}
     for at, key in foreign:
@@ -34,16 +37,16 @@
         own = [at for at, owner in owned if owner == key]
         start = _misrouted_since(now, times, own)
         if start is not None:
-            found.append(f"flow strayed: {key.hex()} from {start:.2f}")
+            found.append(f"flow misrouted: {key.hex()} from {start:.2f}")
     return found
 
 
 def _misrouted_since(now: float, times: list[float], own: list[float]) -> float | None:
-    """Return when a flow began to stray, None if it didn't."""
+    """Return the time from which a flow was misrouted, or None."""
     for start in times:
         end = start + MISROUTED_SECONDS
         if end > now:
-            # Its own target may still get the next packet in time.
+            # Its own target may still receive a packet in time.
             return None
         window = [at for at in times if start <= at <= end]
         quiet = not any(start <= at <= end for at in own)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetendpoints.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetendpoints.py
@@ -1,7 +1,7 @@
-"""Both ends of packet flows, and a packet format of the project's own.
+"""Simulated clients and targets of packet flows, and a simple packet format.
 
-The ends do no I/O: they take packets and return packets, so they serve a
-simulated world as well as real sockets.
+Clients and targets do no I/O: they take packets and return packets, so they work
+in a simulation as well as on real sockets.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 HEADER = struct.Struct("!12sBIIH")
 SEQUENCE_RANGE = 1 << 32
 OPENING_RETRY_SECONDS = (0.2, 0.6)
-"""Seconds after which a client sends its opening again."""
+"""Seconds since its opening after which a client repeats it."""
 
 OPEN_TIMEOUT_SECONDS = 1.4
 RETRY_SECONDS = 0.2
@@ -41,7 +41,7 @@
 
 
 class EndpointCodec(Codec, Protocol):
-    """A packet format that the ends write as well."""
+    """A packet format that clients and targets can also write."""
 
     def write(
         self,
@@ -60,7 +60,7 @@
 
 
 class PlainCodec:
-    """The stand-ins' packet format: flow, flags, numbers, length, data."""
+    """The packet format of simulations: flow, flags, numbers, length and data."""
 
     def write(
         self,
@@ -72,7 +72,7 @@
         *,
         to_client: bool = False,
     ) -> bytes:
-        """Return a packet; this format is the same in both directions."""
+        """Return a packet; both directions have the same format."""
         numbers = sequence % SEQUENCE_RANGE, acknowledged % SEQUENCE_RANGE
         return HEADER.pack(flow, flags, *numbers, len(data)) + data
 
@@ -91,7 +91,7 @@
         return Packet(flow, flags, sequence, acknowledged, length, raw)
 
     def cleared(self, raw: bytes) -> bytes:
-        """Return a returned packet as it was."""
+        """Return a returned packet as its client sent it."""
         return raw[:12] + bytes((raw[12] & ~Flag.RETURNED,)) + raw[13:]
 
     def returned(self, raw: bytes) -> bytes:
@@ -99,11 +99,11 @@
         return raw[:12] + bytes((raw[12] | Flag.RETURNED,)) + raw[13:]
 
     def request(self, raw: bytes) -> str:
-        """Return no id: these requests have none."""
+        """Return an empty id, as these requests have none."""
         return ""
 
     def answer(self, raw: bytes) -> int:
-        """Return how an answer begins."""
+        """Return the kind of an answer by its first bytes."""
         if raw.startswith(FAILURE, HEADER.size):
             return Answer.FAILED
         return Answer.DONE if raw.startswith(ANSWER, HEADER.size) else Answer.UNREAD
@@ -115,7 +115,7 @@
 
 @dataclass
 class _TargetFlow:
-    """A flow at a target."""
+    """The state of a flow at a target."""
 
     first: int
     client_first: int
@@ -126,16 +126,16 @@
 
 
 class SimulatedTarget:
-    """A target that answers each request after a while.
+    """A target that answers each request after its processing time.
 
     Parameters
     ----------
     name : str
-        Its id, new with each start.
+        Its id; each start has a new one.
     slots : int
-        Requests it works on at a time; others wait in order of arrival.
+        Number of requests processed at a time; others queue in order of arrival.
     rng : random.Random
-        Source of first numbers.
+        Source of initial sequence numbers.
     codec : EndCodec
         The packet format.
     """
@@ -156,13 +156,13 @@
         """Sends no heartbeats."""
 
         self.resets_unknown = False
-        """Resets packets of flows that it doesn't hold, as it is starting."""
+        """Resets packets of unknown flows, as a target does while it starts."""
 
         self.fails = False
-        """Answers each request at once, with a failure."""
+        """Answers each request immediately with a failure."""
 
         self.ends_first = False
-        """Ends each flow after an answer, and the end overtakes the answer."""
+        """Closes each flow after an answer; the closing overtakes the answer."""
 
         self.work = 0.06
         self._free_at = [0.0] * slots
@@ -174,12 +174,12 @@
         self._rng = rng
 
     def receive(self, now: float, raw: bytes) -> list[tuple[float, bytes]]:
-        """Take a packet; return what to send, each after some seconds."""
+        """Take a packet; return the packets to send, each with a delay in seconds."""
         if not self.alive:
             return []
         packet = self._codec.from_client(raw)
         if packet is None:
-            raise AssertionError("a target got what no client wrote")
+            raise AssertionError("a target received a packet that no client wrote")
         if packet.is_opening:
             return self._receive_opening(now, packet)
         held = self.by_flow.get(packet.flow)
@@ -230,16 +230,16 @@
             to_client=True,
         )
         if again:
-            # A request that was repeated meanwhile isn't done any sooner.
+            # Repeating a request doesn't complete it sooner.
             return [(0.001, answer)] if now >= held.done_at else []
         held.done_at = self._completion_time(now)
         took = held.done_at - now
-        # It doesn't track what was acknowledged, so it always repeats once.
+        # Acknowledgements aren't tracked, so each answer is repeated once.
         sent = [(took, answer), (took + RETRY_SECONDS, answer)]
         return [(took, self._closing(packet, held)), *sent] if self.ends_first else sent
 
     def _closing(self, packet: Packet, held: _TargetFlow) -> bytes:
-        """Return the end of a flow, as it follows the answer."""
+        """Return the closing packet that follows the answer."""
         return self._codec.write(
             packet.flow,
             Flag.ACKNOWLEDGES | Flag.CLOSING,
@@ -249,7 +249,7 @@
         )
 
     def _completion_time(self, now: float) -> float:
-        """Return when a request that arrives now is done; slots take turns."""
+        """Reserve the slot that is free first; return when the request is done."""
         if self.fails:
             return now + FAILURE_SECONDS
         start = max(now, heapq.heappop(self._free_at))
@@ -259,10 +259,10 @@
 
 @dataclass
 class ClientFlow:
-    """One flow of a client: opens, then sends requests one after the other.
+    """One flow of a client, which opens it and then sends requests one by one.
 
-    ``due`` is when the flow wants to be called again. One that ``acknowledges``
-    opens the flow with a packet of its own before its first request.
+    ``due`` is the time of the next call of `wake`. If ``acknowledges`` is set, the
+    client acknowledges the opening with a separate packet before its first request.
     """
 
     key: bytes
@@ -281,13 +281,13 @@
     codec: EndpointCodec = field(default_factory=PlainCodec)
 
     def open(self, now: float) -> bytes:
-        """Return the opening, or a copy of it."""
+        """Return the opening or a copy of it."""
         following = [*OPENING_RETRY_SECONDS, OPEN_TIMEOUT_SECONDS][self.copies]
         self.due = self.begun + following
         return self.codec.write(self.key, Flag.OPENING, self.first, self.copies)
 
     def ask(self, now: float) -> bytes:
-        """Return the next request, or the last one again."""
+        """Return the next request, or repeat the unanswered one."""
         if self.asked_at is None:
             self.asked_at = now
             self.repeats = 0
@@ -301,7 +301,7 @@
         )
 
     def wake(self, now: float) -> bytes | None:
-        """Return what is due: a copy, a request again, or nothing."""
+        """Return the packet that is due: a copy, a repeated request, or None."""
         if self.state == "opening":
             self.copies += 1
             if self.copies > len(OPENING_RETRY_SECONDS):
@@ -314,10 +314,10 @@
         return None
 
     def receive(self, now: float, raw: bytes) -> list[bytes]:
-        """Take a packet; return what to send at once."""
+        """Take a packet; return the packets to send immediately."""
         packet = self.codec.from_target(raw)
         if packet is None:
-            raise AssertionError("a client got what no target wrote")
+            raise AssertionError("a client received a packet that no target wrote")
         if packet.flags & Flag.RESET:
             if self.state in ("opening", "open"):
                 self.state = "reset"
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetparts.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetparts.py
@@ -1,4 +1,4 @@
-"""The parts of a simulated deployment: logs, links, and machines with targets."""
+"""Parts of a simulated deployment: logs, links, and machines with targets."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 __all__ = ["POLL_SECONDS", "RecordingLog", "SimulatedAgent", "SimulatedLinks"]
 
 POLL_SECONDS = 0.05
-"""Seconds between two looks of an agent whether its target runs."""
+"""Interval at which an agent checks whether its target runs."""
 
 
 class RecordingLog:
-    """Counts what the cores tell and keeps the lines."""
+    """Keeps the log lines of the cores and counts their events."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.lines: list[tuple[str, dict[str, Any]]] = []
 
     def event(self, name: str, **fields: Any) -> None:
-        """Keep a line."""
+        """Keep a log line and count its event."""
         self.counts[name] += 1
         self.lines.append((name, fields))
 
@@ -35,12 +35,12 @@
         self.counts[name] += amount
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Count a time."""
+        """Count an observation; the time isn't kept."""
         self.counts[name] += 1
 
 
 class SimulatedLinks:
-    """The network of one daemon."""
+    """The links of one daemon to the simulated network."""
 
     def __init__(self, sim: PacketSimulation, address: str) -> None:
         self._sim = sim
@@ -55,7 +55,7 @@
         self._sim.send_client(self._address, flow, raw)
 
     def to_target(self, raw: bytes) -> None:
-        """Give a packet to the target."""
+        """Deliver a packet to the target."""
         self._sim.send_target(self._address, raw)
 
     def lookup(self, service: str) -> None:
@@ -63,12 +63,12 @@
         self._sim.lookup(self._address, service)
 
     def fetch(self, address: str) -> None:
-        """Get another daemon's configuration."""
+        """Fetch the configuration of another daemon."""
         self._sim.fetch(self._address, address)
 
 
 class SimulatedAgent:
-    """A machine with a target and its agent; each can end on its own."""
+    """A machine with a target and its agent, which can end independently."""
 
     def __init__(self, address: str, centre: str, service: str) -> None:
         self.address = address
@@ -82,7 +82,7 @@
         self.warm_at = 0.0
 
     def poll_target(self, now: float) -> bool:
-        """Let the agent look for its target; return whether it needn't again."""
+        """Check whether the target runs; return whether polling can stop."""
         if self.core is None or self.core.target.is_known:
             return True
         if self.target is None or not self.target.alive:
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packets.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packets.py
@@ -1,10 +1,10 @@
-"""The packet path of one entry against a bare UDP relay, in the same run.
+"""Compare the packet path of an entry with a bare UDP relay in the same run.
 
-Both run as real processes. Datagrams go out in bursts that the kernel's
-buffer holds, so that the process under test is never idle within a burst; its
-own processor time divided by the datagrams that came through is the cost of
-one datagram. The ratio of the two costs is the ratio of the packet rates on
-one core.
+Both run as real processes. Datagrams are sent in bursts that fit into the kernel's
+buffer, so that the measured process is never idle within a burst. The cost of a
+datagram is the processor time of the process divided by the number of datagrams
+that arrived. The ratio of the two costs is the ratio of the packet rates on one
+core.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 __all__ = ["Cost", "EntryBench", "measure"]
 
 BURST = 48
-"""Datagrams in flight; the default kernel buffer holds more."""
+"""Datagrams in flight; fewer than the default kernel buffer holds."""
 
 QUIET_SECONDS = 0.2
-"""Seconds without a datagram after which a burst counts as through."""
+"""Seconds without a datagram after which a burst is considered complete."""
 
 SERVICE = "tally"
 NUMBER = 1
@@ -44,19 +44,19 @@
 
 
 class Cost(NamedTuple):
-    """Processor seconds per datagram, and the share that came through."""
+    """Processor seconds per datagram, and the share of datagrams that arrived."""
 
     seconds: float
     through: float
 
 
 class EntryBench:
-    """A store, an entry and a sink in the place of an agent.
+    """A store, an entry, and a sink in place of an agent.
 
     Parameters
     ----------
     stack : ExitStack
-        Ends the processes when it closes.
+        Stops the processes when it closes.
     """
 
     def __init__(self, stack: ExitStack) -> None:
@@ -76,7 +76,7 @@
         self.tunnel = Tunnel(self.keys.tunnel_keys_by_number, self.keys.tunnel_key)
 
     def flows(self, count: int, size: int, seed: int) -> list[bytes]:
-        """Make one short-header QUIC packet of each of ``count`` flows."""
+        """Return one short-header QUIC packet for each of ``count`` flows."""
         ids = ConnectionIds(
             self.keys.flow_keys_by_number, self.keys.flow_key, random.Random(seed)
         )
@@ -85,7 +85,7 @@
         return [b"\x40" + ids.encode(owner) + body for _ in range(count)]
 
     def answers(self, caller: Address, size: int) -> list[bytes]:
-        """Make one answer as an agent sends it."""
+        """Return one answer in the form that an agent sends."""
         datagram = TunnelDatagram(
             TunnelKind.TO_CALLER,
             NUMBER,
@@ -107,7 +107,7 @@
     sink: socket.socket,
     total: int,
 ) -> Cost:
-    """Send ``total`` datagrams through ``process``; return the cost of one."""
+    """Send ``total`` datagrams through ``process``; return the cost per datagram."""
     sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sink.settimeout(QUIET_SECONDS)
     received = sent = 0
@@ -142,7 +142,7 @@
             )
         back = _answer_cost(bench, packets, size)
         private, resident = bench.entry.private(), bench.entry.resident()
-        # The relay once more at the end: the mean of both takes out a drift.
+        # The relay is measured again at the end; the mean cancels out a drift.
         again = _bare_cost(stack, packets, size)
     relay = (bare.seconds + again.seconds) / 2
     return [
@@ -193,7 +193,7 @@
 
 
 def _processor_time(process: Process) -> float:
-    """Return the process's time on a processor, in seconds, to the nanosecond."""
+    """Return the processor time of a process in seconds, at ns resolution."""
     with open(f"/proc/{process.pid}/schedstat") as file:
         return int(file.read().split()[0]) / 1e9
 
@@ -221,7 +221,7 @@
         store, await read(store), parse(text), "bench", new_operation()
     )
     if not isinstance(outcome, Committed):
-        raise RuntimeError(f"the configuration was not accepted: {outcome}")
+        raise RuntimeError(f"the configuration was rejected: {outcome}")
     address = Address(*sink)
     member = Member(
         "agent-1", address, address, address, "dc-1", 1, AgentState.READY, 4
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetsimulation.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetsimulation.py
@@ -1,8 +1,8 @@
 """Entries, agents, targets and clients of the packet service on a fake clock.
 
-The real cores exchange datagrams over a network that delays, loses, doubles
-and cuts them. `PacketSimulation.findings` tells which promises of the service were
-broken, judged by what clients and targets saw alone.
+The real cores exchange datagrams over a network with delays, losses and cut links.
+`PacketSimulation.findings` reports which guarantees of the service were violated,
+as far as clients and targets can observe it.
 """
 
 from __future__ import annotations
@@ -44,17 +44,17 @@
 DATA_CENTRES = ("a", "b", "c")
 
 MAX_APPLY_SECONDS = 0.3
-"""Seconds until the last daemon has a change."""
+"""Seconds until every daemon has applied a change."""
 
 RECORD_DELAY_SECONDS = 0.05
-"""Seconds until the store's record follows a change."""
+"""Seconds from a change until the store's record includes it."""
 
 AGENT_LEAD_SECONDS = 3.0
-"""Seconds that a new instance's agent runs before its target."""
+"""Seconds for which a new instance's agent has run when its target starts."""
 
 
 def route_address(number: int) -> bytes:
-    """Return where the route of a number is reached: an address and a port."""
+    """Return the address and port of the route with a number."""
     return flow_key("0.0.0.0", 0, f"198.18.0.{number}", SERVICE_PORT)[6:]
 
 
@@ -64,17 +64,17 @@
     Parameters
     ----------
     seed : int
-        Of all chance in the world.
+        Seed of all random draws.
     services : dict
-        Number of agents by name of service.
+        Number of agents by service name.
     entries : int
         Number of entries.
     loss : float
-        Share of datagrams between daemons that are lost.
+        Share of lost datagrams between daemons.
     cold_limit : ColdLimit, optional
-        What cold targets may get.
+        Limit of openings at cold targets.
     features : Features, optional
-        Which optional parts the settings of agents switch on or off.
+        Optional features that the settings of agents switch on or off.
     """
 
     def __init__(
@@ -136,7 +136,7 @@
     # Building
 
     def make_routes(self, version: int, services: dict[str, Any]) -> Routes:
-        """Return routes: each service has an address of its own."""
+        """Return routes with one address for each service."""
         by_address = {
             route_address(number): Route(service, (ServiceShare(service, 1.0),))
             for number, service in enumerate(services, 1)
@@ -181,10 +181,10 @@
     def start_agent(self, agent: SimulatedAgent, configured: bool = True) -> None:
         """Start or restart the process of an agent.
 
-        Without ``configured`` it has to get the configuration from others.
+        If ``configured`` is false, it must fetch the configuration from peers.
         """
         target = Target(agent.service, HEARTBEAT_SECONDS)
-        # What the former process confirmed doesn't bind this one.
+        # A confirmation by the former process doesn't count for this one.
         agent.leaving_reported_at = None
         agent.core = Agent(
             agent.address,
@@ -205,12 +205,12 @@
             self._configure(agent.core)
 
     def _poll_target(self, agent: SimulatedAgent, core: Agent) -> None:
-        """Let an agent look for its target, as the daemon does."""
+        """Poll for an agent's target, as the daemon does."""
         if agent.core is core and not agent.poll_target(self.now):
             self.at(POLL_SECONDS, lambda: self._poll_target(agent, core))
 
     def start_target(self, agent: SimulatedAgent) -> None:
-        """Start a target, with none of the flows of the one before."""
+        """Start a target that holds none of the flows of the former one."""
         if agent.target is not None:
             agent.target.alive = False
         agent.target = SimulatedTarget(f"t-{next(self._ids)}", 4, self.rng)
@@ -225,12 +225,12 @@
     # Time
 
     def at(self, delay: float, call: Callable[[], None]) -> None:
-        """Call something later."""
+        """Schedule a call after some seconds."""
         event = (self.now + delay, next(self._ids), call)
         heapq.heappush(self._events, event)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run the calls that become due."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
             self.now, _, call = heapq.heappop(self._events)
@@ -246,14 +246,14 @@
 
     def _tick(self, core: Entry | Agent | None) -> None:
         if core is not None:
-            # Stands for a watcher: the store confirms what it has.
+            # In place of the watcher: the store confirms the configuration.
             if core.routes.version:
                 core.freshness.confirmed(self.now)
                 self._read_evacuations(core)
             core.tick(self.now)
 
     def suspend_heartbeats(self, seconds: float) -> None:
-        """Let no heartbeats of their own through for a while."""
+        """Suspend the periodic heartbeats for some seconds."""
         self._heartbeats_from = self.now + seconds
 
     def _send_due_heartbeat(self, agent: SimulatedAgent) -> None:
@@ -261,7 +261,7 @@
             self.send_heartbeat(agent)
 
     def send_heartbeat(self, agent: SimulatedAgent) -> None:
-        """Let a target send its heartbeat."""
+        """Send a heartbeat from a target to its agent."""
         target = agent.target
         if agent.core is None or target is None or not target.alive or target.silent:
             return
@@ -285,7 +285,7 @@
         return frozenset((one, other)) in self.cut
 
     def send_peer(self, sender: str, address: str, data: bytes) -> None:
-        """Carry a datagram between daemons."""
+        """Deliver a datagram to another daemon, unless it is lost."""
         if self._is_cut(sender, address) or self.rng.random() < self.loss:
             return
         near = self._centres.get(sender) == self._centres.get(address)
@@ -300,7 +300,7 @@
             core.receive(self.now, sender, data)
 
     def send_target(self, address: str, raw: bytes) -> None:
-        """Give a packet to the target beside an agent."""
+        """Deliver a packet to the target of an agent."""
         self.at(0.0001, lambda: self._to_target(self.agents_by_address[address], raw))
 
     def _to_target(self, agent: SimulatedAgent, raw: bytes) -> None:
@@ -330,7 +330,7 @@
             agent.core.from_target(self.now, raw)
 
     def send_client(self, sender: str, flow: bytes, raw: bytes) -> None:
-        """Carry a packet to a client."""
+        """Deliver a packet to a client."""
         self.at(CLIENT_DELAY_SECONDS, lambda: self._to_client(flow, raw))
 
     def _to_client(self, key: bytes, raw: bytes) -> None:
@@ -344,14 +344,14 @@
         self._schedule_wake(flow)
 
     def lookup(self, address: str, service: str) -> None:
-        """Let an entry read the agents of a service from the store."""
+        """Send an entry the agents that the store lists for a service."""
         entry = self.entries_by_address.get(address)
         for agent in self.announced if entry else ():
             if agent[0] == service:
                 self.at(0.004, lambda agent=agent: entry.members(self.now, *agent))
 
     def fetch(self, address: str, source: str) -> None:
-        """Carry a configuration from one daemon to another."""
+        """Send the configuration of ``source`` to another daemon."""
         core, peer = self._core(address), self._core(source)
         if core is None or peer is None:
             return
@@ -367,26 +367,26 @@
     # Configuration
 
     def set_shares(self, number: int, weights: dict[str, float]) -> None:
-        """Let the operator change where the route of an address leads.
+        """Change the services of a route, as an operator does.
 
-        Every daemon that runs hears of it in its own time; the record in the
-        store follows a moment later.
+        Each running daemon applies the change after a delay of its own; the record
+        in the store is updated `RECORD_DELAY_SECONDS` later.
         """
         shares = tuple(ServiceShare(name, weight) for name, weight in weights.items())
         self.set_route(number, Route(f"route-{number}", shares))
 
     def set_route(self, number: int, route: Route) -> None:
-        """Let the operator change the route of an address."""
+        """Change the route of an address, as an operator does."""
         self._install({**self.routes.by_address, route_address(number): route})
 
     def drop_route(self, number: int) -> None:
-        """Let the operator remove the route of an address."""
+        """Remove the route of an address, as an operator does."""
         kept = dict(self.routes.by_address)
         del kept[route_address(number)]
         self._install(kept)
 
     def set_cold_rate(self, service: str, rate: float) -> None:
-        """Let the operator tell what cold targets of a service bear."""
+        """Set the rate of openings that cold targets of a service can take."""
         self.routes = self.routes._replace(cold_rates={service: rate})
         self._install(self.routes.by_address)
 
@@ -402,23 +402,23 @@
         self.at(RECORD_DELAY_SECONDS, self.store.write_record)
 
     def cores(self) -> list[Entry | Agent]:
-        """Return the daemons that run."""
+        """Return the running daemons."""
         cores: list[Entry | Agent] = [e for e in self.entries_by_address.values() if e]
         return cores + [a.core for a in self.agents_by_address.values() if a.core]
 
     def evacuate(self, *centres: str) -> None:
-        """Let the operator evacuate these data centres, and no others."""
+        """Evacuate these data centres and no others, as an operator does."""
         self.evacuated = frozenset(centres)
         self.store.apply_order()
 
     def _read_evacuations(self, core: Entry | Agent) -> None:
-        """Let a daemon read the store, if it is one of its readers."""
+        """Pass the stored evacuations to a daemon, if it can read the store."""
         if self.store_readers is None or core.address in self.store_readers:
             store = self.store
             core.evacuate(self.now, store.revision, store.evacuated, store.era)
 
     def _configure(self, core: Entry | Agent) -> None:
-        """Let a daemon that starts read the store."""
+        """Configure a daemon that starts from the store."""
         core.formers.begin(self.now)
         self._read_evacuations(core)
         self.store.configure(core)
@@ -426,7 +426,7 @@
     # Clients
 
     def open_flow(self, service: int = 1) -> ClientFlow:
-        """Let a client open a flow and send its first request."""
+        """Open a flow, whose client then sends its first request."""
         port = next(self._ports)
         key = flow_key("100.64.0.1", port, f"198.18.0.{service}", SERVICE_PORT)
         flow = ClientFlow(key, self.rng.randrange(1 << 32), self.now)
@@ -436,13 +436,13 @@
         return flow
 
     def ask(self, flow: ClientFlow) -> None:
-        """Let a client send its next request."""
+        """Send the next request of an open flow, unless one is unanswered."""
         if flow.state == "open" and flow.asked_at is None:
             self.from_client(flow.ask(self.now))
             self._schedule_wake(flow)
 
     def from_client(self, raw: bytes) -> None:
-        """Hand a packet to any entry that runs, as routers do."""
+        """Send a packet to a random running entry, as routers do."""
         running = [entry for entry in self.entries_by_address.values() if entry]
         if running:
             entry = self.rng.choice(running)
@@ -461,10 +461,10 @@
             self.from_client(packet)
             self._schedule_wake(flow)
 
-    # Judging
+    # Checks
 
     def is_held(self, flow: ClientFlow) -> bool:
-        """Tell whether a living target holds a client's flow."""
+        """Return whether a running target holds a client's flow."""
         return self._holder(flow) is not None
 
     def _holder(self, flow: ClientFlow) -> SimulatedAgent | None:
@@ -477,15 +477,15 @@
         return None
 
     def _is_agent_down(self, key: bytes) -> bool:
-        """Tell whether the agent of the target that holds a flow doesn't run.
+        """Return whether the agent of the target that holds a flow is down.
 
-        Nobody can bring it a packet then, and nobody promises to.
+        No daemon can deliver a packet to it then, and the service doesn't promise it.
         """
         holder = self._holder(self.flows_by_key[key])
         return holder is not None and holder.core is None
 
     def findings(self) -> list[str]:
-        """Return which promises were broken."""
+        """Return a line for each violated guarantee."""
         found = [
             f"reset of a flow whose target lives: {key.hex()} at {at:.2f}"
             for at, key, held in self.resets
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetslopes.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetslopes.py
@@ -1,7 +1,8 @@
-"""What the packet service costs an entry and an agent, for docs/CAPACITY.md.
+"""Measure what the packet service costs an entry and an agent.
 
-Real cores in one process: memory by ``tracemalloc``, processor time by
-``process_time``, bytes by counting what a core hands to its links.
+The figures are for docs/CAPACITY.md. Real cores run in one process: memory is
+measured by ``tracemalloc``, processor time by ``process_time``, and bytes by
+counting what a core passes to its links.
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
 
 IP_AND_UDP_HEADERS = 28
 FIRST = 1000
-"""Sequence number with which the measured targets begin."""
+"""Initial sequence number of the measured targets."""
 
 
 class _CountingLinks:
-    """Links that count what is sent and deliver nothing."""
+    """Links that count datagrams and deliver none."""
 
     def __init__(self) -> None:
         self.sent = 0
@@ -37,16 +38,16 @@
         self.datagrams += 1
 
     def to_client(self, flow: bytes, raw: bytes) -> None:
-        """Leave it: the client's side isn't control."""
+        """Don't count it: packets to clients aren't control traffic."""
 
     def to_target(self, raw: bytes) -> None:
-        """Leave it: the target stands beside the agent."""
+        """Don't count it: the target runs on the agent's machine."""
 
     def lookup(self, service: str) -> None:
-        """Nothing is looked up."""
+        """Do nothing."""
 
     def fetch(self, address: str) -> None:
-        """Nothing is fetched."""
+        """Do nothing."""
 
 
 def _memory(work: Callable[[], Any]) -> int:
@@ -79,7 +80,7 @@
 
 
 def _microseconds_each(repeat: Callable[[], None], count: int) -> float:
-    """Return the processor time of one of ``count`` steps, in microseconds."""
+    """Return the processor time per step in microseconds."""
     began = time.process_time()
     repeat()
     return (time.process_time() - began) / count * 1e6
@@ -92,7 +93,7 @@
     Parameters
     ----------
     flows : int
-        Open flows at each.
+        Number of open flows at each of them.
     """
     return [*_entry(flows), *_agent(flows), *_control()]
 
@@ -106,7 +107,7 @@
 
     def remember() -> None:
         for key in keys:
-            # A copy, as the key of a datagram is one.
+            # A key that is read from a datagram is a new object, too.
             entry.hints_by_flow[bytes(bytearray(key))] = owner
 
     memory = _memory(remember)
@@ -138,7 +139,7 @@
 
 
 def _openings(count: int) -> float:
-    """Return the time of all cores together for an opening and a request."""
+    """Return the processor time of all cores for an opening and a request."""
     sim = PacketSimulation(2, {"tally": 7}, entries=1)
     for agent in sim.agents_by_address.values():
         agent.target.work = 0.001
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetstores.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetstores.py
@@ -1,4 +1,4 @@
-"""The platform's store of a simulated deployment, with copies to come back from."""
+"""The store of a simulated deployment, which can be restored from older copies."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 __all__ = ["Announced", "SimulatedStore"]
 
 OPERATOR_DELAY_SECONDS = 1.0
-"""Seconds until the operator writes again what a restored store lacks."""
+"""Seconds until the operator repeats the changes that a restored store lacks."""
 
 RECORD_REWRITE_SECONDS = 1.5
-"""Seconds until a daemon that lived through a restore writes the record again."""
+"""Seconds until a daemon that ran during a restore rewrites the record."""
 
 MIN_RENEW_SECONDS = 2.0
 MAX_RENEW_SECONDS = 7.0
-"""Seconds between a restore and the agents' second announcements."""
+"""Bounds of the time from a restore to an agent's next announcement."""
 
 MAX_READ_SECONDS = 0.3
-"""Seconds until the last daemon has what the operator wrote again."""
+"""Seconds until every daemon has read what the operator wrote again."""
 
 Announced = tuple[str, str, str]
 
 
 class Contents(NamedTuple):
-    """What a store holds; ``record_era`` is the one that its record is marked by."""
+    """The contents of a store; ``record_era`` is the era that marks its record."""
 
     revision: int
     routes: Routes
@@ -42,7 +42,7 @@
 
 
 class SimulatedStore:
-    """Holds what the operator and the daemons of a world have written."""
+    """Holds what the operator and the daemons of a simulation have written."""
 
     def __init__(self, sim: PacketSimulation) -> None:
         self.era = 0
@@ -58,18 +58,18 @@
     # Writing
 
     def apply_order(self) -> None:
-        """Take what the operator wants now."""
+        """Store the routes and evacuations that the operator wants now."""
         self.routes, self.evacuated = self._sim.routes, self._sim.evacuated
         self._changed()
 
     def announce(self, agent: Announced) -> None:
-        """Take an agent, unless it is listed."""
+        """Add an agent unless it is listed."""
         if agent not in self.announced:
             self.announced.append(agent)
             self._changed()
 
     def write_record(self) -> None:
-        """Take the record of a daemon that has seen every change."""
+        """Store the record of a daemon that has seen every change."""
         sim = self._sim
         self.record = Record.of(sim.now, sim.routes, sim.formers)
         self._changed()
@@ -89,22 +89,22 @@
     # Reading
 
     def configure(self, core: Entry | Agent) -> None:
-        """Let a daemon that starts read everything."""
+        """Pass the whole contents to a daemon that starts."""
         former = self.record.formers(self.routes)
         whole = self.record_era >= self.era
         core.configure(self._sim.now, self.routes, former, whole)
 
-    # Coming back
+    # Restoring
 
     def forget_copies(self) -> None:
-        """Keep the latest copy only: a deployment is older than any of them."""
+        """Keep only the latest copy, as copies from the setup are incomplete."""
         self._copies = self._copies[-1:]
 
     def restore(self, seconds: float) -> None:
-        """Come back from a copy that is some seconds old.
+        """Restore a copy that is ``seconds`` old.
 
-        The operator, the agents and whoever looks at the store write again what
-        they still mean.
+        The operator, the agents and a daemon with a complete record write again
+        what still applies.
         """
         sim, at = self._sim, self._sim.now - seconds
         self._copies = [c for c in self._copies if c[0] <= at] or self._copies[:1]
@@ -120,7 +120,7 @@
             sim.at(delay, lambda agent=agent: self._renew(agent))
 
     def _reapply_order(self) -> None:
-        """Take again what the operator wants; daemons look and find it."""
+        """Store the operator's changes again; every daemon reads them soon after."""
         self.apply_order()
         sim, routes = self._sim, self.routes
         for core in sim.cores():
@@ -132,7 +132,7 @@
             self.announce((agent.service, agent.address, agent.centre))
 
     def _rewrite_record(self) -> None:
-        """Let a daemon that lacks nothing write the record, if any runs."""
+        """Let a daemon with a complete record write it, if any runs."""
         sim = self._sim
         whole = [core for core in sim.cores() if core.formers.is_complete]
         if whole and self.record_era < self.era:
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/simulation.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/simulation.py
@@ -1,8 +1,8 @@
-"""Agents of one service, their callers and a bad network, on a fake clock.
+"""Agents of one service, their callers and a faulty network on a fake clock.
 
 Real ``Requests`` cores exchange claim messages over a network that loses,
-doubles and delays them, while agents crash, pause, join and leave; `atmostonce`
-measures what became of the requests.
+duplicates and delays them, while agents crash, pause, join and leave. `atmostonce`
+measures the outcomes of the requests.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 PLACEHOLDER_ADDRESS = Address("127.0.0.1", 1)
 TICK_SECONDS = 0.1
 WARM_UP_SECONDS = 4000.0
-"""Traffic starts when every agent has seen one lifetime of a key."""
+"""Traffic starts once every agent has run for the lifetime of a key."""
 
 FENCE_AFTER_SECONDS = 3.0
 MARK_DOWN_AFTER_SECONDS = 5.0
@@ -65,7 +65,7 @@
 
 
 class Simulation:
-    """The fakes around the cores: clock, network, roster, targets, callers."""
+    """The simulated clock, network, roster, targets and callers of the cores."""
 
     def __init__(
         self, agents: int, faults: Faults, seed: int, make_core: CoreFactory
@@ -96,20 +96,20 @@
             self.join()
 
     def after(self, seconds: float, action: Callable[[], None]) -> None:
-        """Schedule an action."""
+        """Schedule an action after some seconds."""
         heapq.heappush(self._events, (self.now + seconds, next(self._order), action))
 
     def run_until(self, end: float) -> None:
-        """Let time pass."""
+        """Advance the clock to ``end`` and run the actions that become due."""
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
             action()
         self.now = end
 
-    # Roster and life of agents
+    # Roster and lifecycle of agents
 
     def join(self, name: str = "", incarnation: int = 1) -> None:
-        """Start an agent; it becomes ready a little later."""
+        """Start an agent, which becomes ready 0.5 s later."""
         name = name or f"agent-{next(self._names)}"
         placement = TwoChoices(self, name, 0.1)
         core = self.make_core(name, self.service, self.rng, placement)
@@ -123,7 +123,7 @@
         self.after(TICK_SECONDS * self.rng.random(), lambda: self._tick(agent))
 
     def set_member(self, agent: Agent, state: AgentState | None) -> None:
-        """Write the roster and push it to everybody, each after a while."""
+        """Update the roster and push it to every agent, each after a random delay."""
         if state is None:
             self.members_by_name.pop(agent.name, None)
         else:
@@ -143,7 +143,7 @@
             self._push(receiver, roster)
 
     def crash(self, agent: Agent) -> None:
-        """Lose an agent and all that it remembers."""
+        """Crash an agent with all its state; it starts again later."""
         agent.alive = False
         del self.agents_by_name[agent.name]
         for copy in agent.copies_by_request.values():
@@ -153,12 +153,12 @@
         self.after(back, lambda: self.join(agent.name, agent.incarnation + 1))
 
     def pause(self, agent: Agent, seconds: float) -> None:
-        """Stop an agent; what it is sent waits until it goes on."""
+        """Pause an agent; messages to it are delivered when it resumes."""
         agent.paused_until = self.now + seconds
         self.after(MARK_DOWN_AFTER_SECONDS, lambda: self._mark_down_if_paused(agent))
 
     def leave(self, agent: Agent) -> None:
-        """Drain an agent; another one joins in its place."""
+        """Drain an agent; another agent joins in its place."""
         agent.leaving = True
         self.set_member(agent, AgentState.LEAVING)
         self.handle(agent, DrainRequested(30.0))
@@ -233,7 +233,7 @@
     # Cores and their effects
 
     def handle(self, agent: Agent, event: Any) -> None:
-        """Give an event to a core, after the fence that its driver keeps."""
+        """Pass an event to a core; first fence the agent if it was paused too long."""
         self._wake(agent)
         self._execute(agent, agent.core.handle(self.now, event))
 
@@ -288,7 +288,7 @@
         copy = agent.copies_by_request[effect.request]
         key = copy.caller.key
         self.runs_by_key[key] += 1
-        # Copies of one key at one agent run together, for the latest of them.
+        # Copies of a key at one agent share a run, which counts for the latest attempt.
         attempt = max(
             other.attempt
             for other in agent.copies_by_request.values()
@@ -330,8 +330,8 @@
     def _note_refusal(self, copy: Copy) -> None:
         key = copy.caller.key
         self.counts["refusals"] += 1
-        # A caller that has sent a later attempt has dropped this one; what is
-        # said of it then is no word on the later one, which may be running.
+        # A caller that has sent a later attempt ignores the answer to this one. A
+        # refusal of this attempt says nothing about a later one, which may run.
         if self.run_attempt_by_key.get(key, math.inf) <= copy.attempt:
             self.false_refusals.add(key)
         known = self.refused_attempt_by_key.get(key, 0)
@@ -379,7 +379,7 @@
         copy = agent.copies_by_request.get(effect.request)
         if copy is None:
             return
-        # What is cancelled answers nobody, not even the copies that joined it.
+        # A cancelled request sends no answer, not even to copies that joined it.
         copy.joined.clear()
         if copy.relayed_to is not None:
             peer, number = copy.relayed_to
@@ -398,7 +398,7 @@
     # Callers
 
     def call(self, caller: Caller) -> None:
-        """Send the next attempt, and now and then a late copy of it."""
+        """Send the next attempt and, with some probability, a late copy of it."""
         if caller.ended:
             return
         caller.attempt += 1
@@ -479,7 +479,7 @@
 
 
 def _ignore(sim: Simulation, agent: Agent, effect: Any) -> None:
-    """Execute nothing: the effect has no meaning in this measurement."""
+    """Ignore an effect that this measurement doesn't need."""
 
 
 _EXECUTORS_BY_EFFECT: dict[type, Callable[[Simulation, Agent, Any], None]] = {
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/splitcosts.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/splitcosts.py
@@ -1,9 +1,9 @@
-"""What packets of a split route cost after a loss of power.
+"""Measure what packets of a split route cost after a power failure.
 
-All targets and daemons are lost and start again; the clients' flows are gone,
-and each client sends on until it is told. Counted are the datagrams between
-daemons that carry or answer clients' packets, for each packet of a client, at
-services of different size.
+All targets and daemons stop and start again. The flows are lost, and each client
+continues to send until its flow is reset. The scenario counts, for services of
+different sizes, the datagrams between daemons that carry or answer packets of
+clients.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class _SplitSimulation(PacketSimulation):
-    """A world whose one route leads three flows of four to the first service."""
+    """A simulation whose only route sends three of four flows to the first service."""
 
     def __init__(self, seed: int, services: dict[str, int], entries: int) -> None:
         self.sent: Counter[Kind] = Counter()
@@ -33,24 +33,24 @@
         super().__init__(seed, services, entries)
 
     def make_routes(self, version: int, services: dict[str, int]) -> Routes:
-        """Return the split route alone."""
+        """Return only the split route."""
         address = flow_key("0.0.0.0", 0, "198.18.0.1", SERVICE_PORT)[6:]
         weights = zip(services, (3.0, 1.0), strict=True)
         shares = tuple(ServiceShare(name, weight) for name, weight in weights)
         return Routes(version, {address: Route("split", shares)}, 60.0, b"")
 
     def send_peer(self, sender: str, address: str, data: bytes) -> None:
-        """Count and carry a datagram."""
+        """Count a datagram and send it."""
         self.sent[Kind(data[0] & 0x0F)] += 1
         super().send_peer(sender, address, data)
 
     def from_client(self, raw: bytes) -> None:
-        """Count and carry a packet of a client."""
+        """Count a packet of a client and send it."""
         self.client_packets += 1
         super().from_client(raw)
 
     def lose_power(self) -> None:
-        """Lose all targets and daemons, and start them again."""
+        """Stop all targets and daemons, and start them again."""
         for agent in self.agents_by_address.values():
             agent.core = None
             agent.target.alive = False
@@ -71,9 +71,9 @@
     sizes : list of int
         Numbers of agents; three of four serve the first service.
     flows_each : int
-        Open flows for each agent.
+        Number of open flows for each agent.
     seconds : float
-        How long clients are watched after the loss.
+        How long clients are observed after the power failure.
     """
     return [
         figure for size in sizes for figure in _after_loss(size, flows_each, seconds)
