--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetends.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetendpoints.py
@@ -1,7 +1,7 @@
-"""Both ends of packet flows, and a packet format of the project's own.
+"""Simulated clients and targets of packet flows, and a simple packet format.
 
-The ends do no I/O: they take packets and return packets, so they serve a
-simulated world as well as real sockets.
+Clients and targets do no I/O: they take packets and return packets, so they work
+in a simulation as well as on real sockets.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 from zinniahook_core.packets import Answer, Codec, Flag, Packet
 
-__all__ = ["ClientFlow", "EndCodec", "PlainCodec", "TargetEnd", "flow_key"]
+__all__ = ["ClientFlow", "EndpointCodec", "PlainCodec", "SimulatedTarget", "flow_key"]
 
-HEAD = struct.Struct("!12sBIIH")
-FIRST_RANGE = 1 << 32
-COPY_TIMES = (0.2, 0.6)
-"""Seconds after which a client sends its opening again."""
+HEADER = struct.Struct("!12sBIIH")
+SEQUENCE_RANGE = 1 << 32
+OPENING_RETRY_SECONDS = (0.2, 0.6)
+"""Seconds since its opening after which a client repeats it."""
 
-OPEN_TIMEOUT = 1.4
-REPEAT_FIRST = 0.2
-REPEAT_LONGEST = 1.6
+OPEN_TIMEOUT_SECONDS = 1.4
+RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 1.6
 REQUEST = b"GET / HTTP/1.1\r\n\r\n"
 ANSWER = b"HTTP/1.1 200 OK\r\n\r\n"
-FAILING_TIME = 0.001
+FAILURE_SECONDS = 0.001
 FAILURE = b"HTTP/1.1 500 NO\r\n\r\n"
 
 
@@ -40,8 +40,8 @@
     )
 
 
-class EndCodec(Codec, Protocol):
-    """A packet format that the ends write as well."""
+class EndpointCodec(Codec, Protocol):
+    """A packet format that clients and targets can also write."""
 
     def write(
         self,
@@ -60,7 +60,7 @@
 
 
 class PlainCodec:
-    """The stand-ins' packet format: flow, flags, numbers, length, data."""
+    """The packet format of simulations: flow, flags, numbers, length and data."""
 
     def write(
         self,
@@ -72,9 +72,9 @@
         *,
         to_client: bool = False,
     ) -> bytes:
-        """Return a packet; this format is the same in both directions."""
-        numbers = sequence % FIRST_RANGE, acknowledged % FIRST_RANGE
-        return HEAD.pack(flow, flags, *numbers, len(data)) + data
+        """Return a packet; both directions have the same format."""
+        numbers = sequence % SEQUENCE_RANGE, acknowledged % SEQUENCE_RANGE
+        return HEADER.pack(flow, flags, *numbers, len(data)) + data
 
     def from_client(self, raw: bytes) -> Packet | None:
         """Read a packet of a client."""
@@ -83,15 +83,15 @@
 
     def from_target(self, raw: bytes) -> Packet | None:
         """Read a packet of a target."""
-        if len(raw) < HEAD.size:
+        if len(raw) < HEADER.size:
             return None
-        flow, flags, sequence, acknowledged, length = HEAD.unpack_from(raw)
-        if length != len(raw) - HEAD.size:
+        flow, flags, sequence, acknowledged, length = HEADER.unpack_from(raw)
+        if length != len(raw) - HEADER.size:
             return None
         return Packet(flow, flags, sequence, acknowledged, length, raw)
 
     def cleared(self, raw: bytes) -> bytes:
-        """Return a returned packet as it was."""
+        """Return a returned packet as its client sent it."""
         return raw[:12] + bytes((raw[12] & ~Flag.RETURNED,)) + raw[13:]
 
     def returned(self, raw: bytes) -> bytes:
@@ -99,14 +99,14 @@
         return raw[:12] + bytes((raw[12] | Flag.RETURNED,)) + raw[13:]
 
     def request(self, raw: bytes) -> str:
-        """Return no id: these requests have none."""
+        """Return an empty id, as these requests have none."""
         return ""
 
     def answer(self, raw: bytes) -> int:
-        """Return how an answer begins."""
-        if raw.startswith(FAILURE, HEAD.size):
+        """Return the kind of an answer by its first bytes."""
+        if raw.startswith(FAILURE, HEADER.size):
             return Answer.FAILED
-        return Answer.DONE if raw.startswith(ANSWER, HEAD.size) else Answer.UNREAD
+        return Answer.DONE if raw.startswith(ANSWER, HEADER.size) else Answer.UNREAD
 
     def reset(self, flow: bytes, acknowledged: int) -> bytes:
         """Return a reset."""
@@ -114,8 +114,8 @@
 
 
 @dataclass
-class _Held:
-    """A flow at a target."""
+class _TargetFlow:
+    """The state of a flow at a target."""
 
     first: int
     client_first: int
@@ -125,17 +125,17 @@
     done_at: float = 0.0
 
 
-class TargetEnd:
-    """A target that answers each request after a while.
+class SimulatedTarget:
+    """A target that answers each request after its processing time.
 
     Parameters
     ----------
     name : str
-        Its id, new with each start.
+        Its id; each start has a new one.
     slots : int
-        Requests it works on at a time; others wait in order of arrival.
+        Number of requests processed at a time; others queue in order of arrival.
     rng : random.Random
-        Source of first numbers.
+        Source of initial sequence numbers.
     codec : EndCodec
         The packet format.
     """
@@ -145,7 +145,7 @@
         name: str,
         slots: int,
         rng: random.Random,
-        codec: EndCodec | None = None,
+        codec: EndpointCodec | None = None,
     ) -> None:
         self.name = name
         self.slots = slots
@@ -156,47 +156,47 @@
         """Sends no heartbeats."""
 
         self.resets_unknown = False
-        """Resets packets of flows that it doesn't hold, as it is starting."""
+        """Resets packets of unknown flows, as a target does while it starts."""
 
         self.fails = False
-        """Answers each request at once, with a failure."""
+        """Answers each request immediately with a failure."""
 
         self.ends_first = False
-        """Ends each flow after an answer, and the end overtakes the answer."""
+        """Closes each flow after an answer; the closing overtakes the answer."""
 
         self.work = 0.06
         self._free_at = [0.0] * slots
         self.ran: list[bytes] = []
         self.openings: list[tuple[float, bytes]] = []
         self.foreign: list[tuple[float, bytes]] = []
-        self.by_flow: dict[bytes, _Held] = {}
+        self.by_flow: dict[bytes, _TargetFlow] = {}
         self._codec = codec or PlainCodec()
         self._rng = rng
 
     def receive(self, now: float, raw: bytes) -> list[tuple[float, bytes]]:
-        """Take a packet; return what to send, each after some seconds."""
+        """Take a packet; return the packets to send, each with a delay in seconds."""
         if not self.alive:
             return []
         packet = self._codec.from_client(raw)
         if packet is None:
-            raise AssertionError("a target got what no client wrote")
+            raise AssertionError("a target received a packet that no client wrote")
         if packet.is_opening:
-            return self._opening(now, packet)
+            return self._receive_opening(now, packet)
         held = self.by_flow.get(packet.flow)
-        if held is None or (not held.open and not self._opens(held, packet)):
+        if held is None or (not held.open and not self._confirm_opening(held, packet)):
             self.foreign.append((now, packet.flow))
             if self.resets_unknown:
                 return [(0.0, self._codec.reset(packet.flow, packet.acknowledged))]
             return [(0.0, self._codec.returned(raw))]
-        return self._take(now, packet, held)
+        return self._receive_data(now, packet, held)
 
-    def _opening(self, now: float, packet: Packet) -> list[tuple[float, bytes]]:
+    def _receive_opening(self, now: float, packet: Packet) -> list[tuple[float, bytes]]:
         if self.full:
             return [(0.0, self._codec.returned(packet.raw))]
         held = self.by_flow.get(packet.flow)
         if held is None or held.client_first != packet.sequence:
             self.openings.append((now, packet.flow))
-            held = _Held(self._rng.randrange(FIRST_RANGE), packet.sequence)
+            held = _TargetFlow(self._rng.randrange(SEQUENCE_RANGE), packet.sequence)
             self.by_flow[packet.flow] = held
         flags = Flag.OPENING | Flag.ACKNOWLEDGES
         answer = self._codec.write(
@@ -204,16 +204,16 @@
         )
         return [(0.0003, answer)]
 
-    def _opens(self, held: _Held, packet: Packet) -> bool:
-        held.open = packet.acknowledged == (held.first + 1) % FIRST_RANGE
+    def _confirm_opening(self, held: _TargetFlow, packet: Packet) -> bool:
+        held.open = packet.acknowledged == (held.first + 1) % SEQUENCE_RANGE
         return held.open
 
-    def _take(
-        self, now: float, packet: Packet, held: _Held
+    def _receive_data(
+        self, now: float, packet: Packet, held: _TargetFlow
     ) -> list[tuple[float, bytes]]:
         if not packet.length:
             return []
-        number = (packet.sequence - held.client_first) % FIRST_RANGE
+        number = (packet.sequence - held.client_first) % SEQUENCE_RANGE
         again = number <= held.taken
         if not again:
             held.taken = number
@@ -230,16 +230,16 @@
             to_client=True,
         )
         if again:
-            # A request that was repeated meanwhile isn't done any sooner.
+            # Repeating a request doesn't complete it sooner.
             return [(0.001, answer)] if now >= held.done_at else []
-        held.done_at = self._finish(now)
+        held.done_at = self._completion_time(now)
         took = held.done_at - now
-        # It doesn't track what was acknowledged, so it always repeats once.
-        sent = [(took, answer), (took + REPEAT_FIRST, answer)]
-        return [(took, self._end(packet, held)), *sent] if self.ends_first else sent
+        # Acknowledgements aren't tracked, so each answer is repeated once.
+        sent = [(took, answer), (took + RETRY_SECONDS, answer)]
+        return [(took, self._closing(packet, held)), *sent] if self.ends_first else sent
 
-    def _end(self, packet: Packet, held: _Held) -> bytes:
-        """Return the end of a flow, as it follows the answer."""
+    def _closing(self, packet: Packet, held: _TargetFlow) -> bytes:
+        """Return the closing packet that follows the answer."""
         return self._codec.write(
             packet.flow,
             Flag.ACKNOWLEDGES | Flag.CLOSING,
@@ -248,10 +248,10 @@
             to_client=True,
         )
 
-    def _finish(self, now: float) -> float:
-        """Return when a request that arrives now is done; slots take turns."""
+    def _completion_time(self, now: float) -> float:
+        """Reserve the slot that is free first; return when the request is done."""
         if self.fails:
-            return now + FAILING_TIME
+            return now + FAILURE_SECONDS
         start = max(now, heapq.heappop(self._free_at))
         heapq.heappush(self._free_at, start + self.work)
         return start + self.work
@@ -259,10 +259,10 @@
 
 @dataclass
 class ClientFlow:
-    """One flow of a client: opens, then sends requests one after the other.
+    """One flow of a client, which opens it and then sends requests one by one.
 
-    ``due`` is when the flow wants to be called again. One that ``acknowledges``
-    opens the flow with a packet of its own before its first request.
+    ``due`` is the time of the next call of `wake`. If ``acknowledges`` is set, the
+    client acknowledges the opening with a separate packet before its first request.
     """
 
     key: bytes
@@ -278,20 +278,20 @@
     asked_at: float | None = None
     repeats: int = 0
     answers: list[float] = field(default_factory=list)
-    codec: EndCodec = field(default_factory=PlainCodec)
+    codec: EndpointCodec = field(default_factory=PlainCodec)
 
     def open(self, now: float) -> bytes:
-        """Return the opening, or a copy of it."""
-        following = [*COPY_TIMES, OPEN_TIMEOUT][self.copies]
+        """Return the opening or a copy of it."""
+        following = [*OPENING_RETRY_SECONDS, OPEN_TIMEOUT_SECONDS][self.copies]
         self.due = self.begun + following
         return self.codec.write(self.key, Flag.OPENING, self.first, self.copies)
 
     def ask(self, now: float) -> bytes:
-        """Return the next request, or the last one again."""
+        """Return the next request, or repeat the unanswered one."""
         if self.asked_at is None:
             self.asked_at = now
             self.repeats = 0
-        self.due = now + min(REPEAT_LONGEST, REPEAT_FIRST * 2**self.repeats)
+        self.due = now + min(MAX_RETRY_SECONDS, RETRY_SECONDS * 2**self.repeats)
         return self.codec.write(
             self.key,
             Flag.ACKNOWLEDGES,
@@ -301,10 +301,10 @@
         )
 
     def wake(self, now: float) -> bytes | None:
-        """Return what is due: a copy, a request again, or nothing."""
+        """Return the packet that is due: a copy, a repeated request, or None."""
         if self.state == "opening":
             self.copies += 1
-            if self.copies > len(COPY_TIMES):
+            if self.copies > len(OPENING_RETRY_SECONDS):
                 self.state = "timeout"
                 return None
             return self.open(now)
@@ -314,10 +314,10 @@
         return None
 
     def receive(self, now: float, raw: bytes) -> list[bytes]:
-        """Take a packet; return what to send at once."""
+        """Take a packet; return the packets to send immediately."""
         packet = self.codec.from_target(raw)
         if packet is None:
-            raise AssertionError("a client got what no target wrote")
+            raise AssertionError("a client received a packet that no target wrote")
         if packet.flags & Flag.RESET:
             if self.state in ("opening", "open"):
                 self.state = "reset"
@@ -329,7 +329,7 @@
                 first = [self._acknowledgement()] if self.acknowledges else []
                 return [*first, self.ask(now)]
             return []
-        expected = (self.server_first + 1 + self.taken) % FIRST_RANGE
+        expected = (self.server_first + 1 + self.taken) % SEQUENCE_RANGE
         if self.state == "open" and packet.length and packet.sequence == expected:
             self.taken += packet.length
             self.sent += len(REQUEST)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetparts.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetparts.py
@@ -1,4 +1,4 @@
-"""The parts of a simulated deployment: logs, links, and machines with targets."""
+"""Parts of a simulated deployment: logs, links, and machines with targets."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 from zinniahook_core.packets import Agent
 
-from .packetends import TargetEnd
+from .packetendpoints import SimulatedTarget
 
 if TYPE_CHECKING:
-    from .packetworlds import PacketWorld
+    from .packetsimulation import PacketSimulation
 
-__all__ = ["LOOK_EVERY", "RecordingLog", "SimulatedAgent", "SimulatedLinks"]
+__all__ = ["POLL_SECONDS", "RecordingLog", "SimulatedAgent", "SimulatedLinks"]
 
-LOOK_EVERY = 0.05
-"""Seconds between two looks of an agent whether its target runs."""
+POLL_SECONDS = 0.05
+"""Interval at which an agent checks whether its target runs."""
 
 
 class RecordingLog:
-    """Counts what the cores tell and keeps the lines."""
+    """Keeps the log lines of the cores and counts their events."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.lines: list[tuple[str, dict[str, Any]]] = []
 
     def event(self, name: str, **fields: Any) -> None:
-        """Keep a line."""
+        """Keep a log line and count its event."""
         self.counts[name] += 1
         self.lines.append((name, fields))
 
@@ -35,54 +35,54 @@
         self.counts[name] += amount
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Count a time."""
+        """Count an observation; the time isn't kept."""
         self.counts[name] += 1
 
 
 class SimulatedLinks:
-    """The network of one daemon."""
+    """The links of one daemon to the simulated network."""
 
-    def __init__(self, world: PacketWorld, address: str) -> None:
-        self._world = world
+    def __init__(self, sim: PacketSimulation, address: str) -> None:
+        self._sim = sim
         self._address = address
 
     def to_peer(self, address: str, data: bytes) -> None:
         """Send a datagram to another daemon."""
-        self._world.send_peer(self._address, address, data)
+        self._sim.send_peer(self._address, address, data)
 
     def to_client(self, flow: bytes, raw: bytes) -> None:
         """Send a packet to a client."""
-        self._world.send_client(self._address, flow, raw)
+        self._sim.send_client(self._address, flow, raw)
 
     def to_target(self, raw: bytes) -> None:
-        """Give a packet to the target."""
-        self._world.send_target(self._address, raw)
+        """Deliver a packet to the target."""
+        self._sim.send_target(self._address, raw)
 
     def lookup(self, service: str) -> None:
         """Read the agents of a service from the store."""
-        self._world.lookup(self._address, service)
+        self._sim.lookup(self._address, service)
 
     def fetch(self, address: str) -> None:
-        """Get another daemon's configuration."""
-        self._world.fetch(self._address, address)
+        """Fetch the configuration of another daemon."""
+        self._sim.fetch(self._address, address)
 
 
 class SimulatedAgent:
-    """A machine with a target and its agent; each can end on its own."""
+    """A machine with a target and its agent, which can end independently."""
 
     def __init__(self, address: str, centre: str, service: str) -> None:
         self.address = address
         self.centre = centre
         self.service = service
         self.core: Agent | None = None
-        self.target: TargetEnd | None = None
-        self.beats = 0
+        self.target: SimulatedTarget | None = None
+        self.heartbeats = 0
         self.born = 0
-        self.told_leaving: float | None = None
+        self.leaving_reported_at: float | None = None
         self.warm_at = 0.0
 
-    def look(self, now: float) -> bool:
-        """Let the agent look for its target; return whether it needn't again."""
+    def poll_target(self, now: float) -> bool:
+        """Check whether the target runs; return whether polling can stop."""
         if self.core is None or self.core.target.is_known:
             return True
         if self.target is None or not self.target.alive:
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/worlds.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/simulation.py
@@ -1,8 +1,8 @@
-"""Agents of one service, their callers and a bad network, on a fake clock.
+"""Agents of one service, their callers and a faulty network on a fake clock.
 
 Real ``Requests`` cores exchange claim messages over a network that loses,
-doubles and delays them, while agents crash, pause, join and leave; `atmostonce`
-measures what became of the requests.
+duplicates and delays them, while agents crash, pause, join and leave. `atmostonce`
+measures the outcomes of the requests.
 """
 
 from __future__ import annotations
@@ -47,25 +47,25 @@
 
 from .participants import Agent, Caller, Copy, Faults, TwoChoices
 
-__all__ = ["WARM_UP", "CoreFactory", "World"]
+__all__ = ["WARM_UP_SECONDS", "CoreFactory", "Simulation"]
 
 SERVICE = "tally"
 SLOTS = 4
-ANYWHERE = Address("127.0.0.1", 1)
-TICK = 0.1
-WARM_UP = 4000.0
-"""Traffic starts when every agent has seen one lifetime of a key."""
-
-FENCE_AFTER = 3.0
-MARK_DOWN_AFTER = 5.0
-CALLER_TIMEOUT = 3.0
-DEADLINE = 10.0
+PLACEHOLDER_ADDRESS = Address("127.0.0.1", 1)
+TICK_SECONDS = 0.1
+WARM_UP_SECONDS = 4000.0
+"""Traffic starts once every agent has run for the lifetime of a key."""
+
+FENCE_AFTER_SECONDS = 3.0
+MARK_DOWN_AFTER_SECONDS = 5.0
+CALLER_TIMEOUT_SECONDS = 3.0
+DEADLINE_SECONDS = 10.0
 ANSWER = b"ticket filed"
 CoreFactory = Callable[[str, Service, random.Random, Any], Requests]
 
 
-class World:
-    """The fakes around the cores: clock, network, roster, targets, callers."""
+class Simulation:
+    """The simulated clock, network, roster, targets and callers of the cores."""
 
     def __init__(
         self, agents: int, faults: Faults, seed: int, make_core: CoreFactory
@@ -77,7 +77,7 @@
         self.service = Service(
             SERVICE,
             1,
-            ANYWHERE,
+            PLACEHOLDER_ADDRESS,
             classes_by_name={"ticket": RequestClass("ticket", "/tickets", queue=8)},
         )
         self.revision = 0
@@ -96,20 +96,20 @@
             self.join()
 
     def after(self, seconds: float, action: Callable[[], None]) -> None:
-        """Schedule an action."""
+        """Schedule an action after some seconds."""
         heapq.heappush(self._events, (self.now + seconds, next(self._order), action))
 
     def run_until(self, end: float) -> None:
-        """Let time pass."""
+        """Advance the clock to ``end`` and run the actions that become due."""
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
             action()
         self.now = end
 
-    # Roster and life of agents
+    # Roster and lifecycle of agents
 
     def join(self, name: str = "", incarnation: int = 1) -> None:
-        """Start an agent; it becomes ready a little later."""
+        """Start an agent, which becomes ready 0.5 s later."""
         name = name or f"agent-{next(self._names)}"
         placement = TwoChoices(self, name, 0.1)
         core = self.make_core(name, self.service, self.rng, placement)
@@ -120,18 +120,18 @@
             self._deliver_roster(agent, Roster(SERVICE, self.revision, self._members()))
         self.set_member(agent, AgentState.STARTING)
         self.after(0.5, lambda: self._when_alive(agent, self._become_ready))
-        self.after(TICK * self.rng.random(), lambda: self._tick(agent))
+        self.after(TICK_SECONDS * self.rng.random(), lambda: self._tick(agent))
 
     def set_member(self, agent: Agent, state: AgentState | None) -> None:
-        """Write the roster and push it to everybody, each after a while."""
+        """Update the roster and push it to every agent, each after a random delay."""
         if state is None:
             self.members_by_name.pop(agent.name, None)
         else:
             self.members_by_name[agent.name] = Member(
                 agent.name,
-                ANYWHERE,
-                ANYWHERE,
-                ANYWHERE,
+                PLACEHOLDER_ADDRESS,
+                PLACEHOLDER_ADDRESS,
+                PLACEHOLDER_ADDRESS,
                 "thies-1",
                 agent.incarnation,
                 state,
@@ -143,22 +143,22 @@
             self._push(receiver, roster)
 
     def crash(self, agent: Agent) -> None:
-        """Lose an agent and all that it remembers."""
+        """Crash an agent with all its state; it starts again later."""
         agent.alive = False
         del self.agents_by_name[agent.name]
         for copy in agent.copies_by_request.values():
             self._break_relay(copy)
-        self.after(MARK_DOWN_AFTER, lambda: self._mark_down(agent))
-        back = self.rng.uniform(1.0, 2 * MARK_DOWN_AFTER)
+        self.after(MARK_DOWN_AFTER_SECONDS, lambda: self._mark_down(agent))
+        back = self.rng.uniform(1.0, 2 * MARK_DOWN_AFTER_SECONDS)
         self.after(back, lambda: self.join(agent.name, agent.incarnation + 1))
 
     def pause(self, agent: Agent, seconds: float) -> None:
-        """Stop an agent; what it is sent waits until it goes on."""
+        """Pause an agent; messages to it are delivered when it resumes."""
         agent.paused_until = self.now + seconds
-        self.after(MARK_DOWN_AFTER, lambda: self._mark_down_if_paused(agent))
+        self.after(MARK_DOWN_AFTER_SECONDS, lambda: self._mark_down_if_paused(agent))
 
     def leave(self, agent: Agent) -> None:
-        """Drain an agent; another one joins in its place."""
+        """Drain an agent; another agent joins in its place."""
         agent.leaving = True
         self.set_member(agent, AgentState.LEAVING)
         self.handle(agent, DrainRequested(30.0))
@@ -172,7 +172,7 @@
         self.after(delay, lambda: self._deliver_roster(agent, roster))
 
     def _deliver_roster(self, agent: Agent, roster: Roster) -> None:
-        if self._held_back(agent, lambda: self._deliver_roster(agent, roster)):
+        if self._deferred_if_paused(agent, lambda: self._deliver_roster(agent, roster)):
             return
         if agent.roster is not None and agent.roster.revision >= roster.revision:
             return
@@ -192,7 +192,7 @@
             self.set_member(agent, AgentState.READY)
 
     def _when_alive(self, agent: Agent, action: Callable[[Agent], None]) -> None:
-        if agent.alive and not self._held_back(agent, lambda: action(agent)):
+        if agent.alive and not self._deferred_if_paused(agent, lambda: action(agent)):
             action(agent)
 
     def _mark_down(self, agent: Agent) -> None:
@@ -222,7 +222,7 @@
     def _announcer(self, state: AgentState) -> Callable[[Agent], None]:
         return lambda agent: self.set_member(agent, state)
 
-    def _held_back(self, agent: Agent, again: Callable[[], None]) -> bool:
+    def _deferred_if_paused(self, agent: Agent, again: Callable[[], None]) -> bool:
         if not agent.alive:
             return True
         if self.now < agent.paused_until:
@@ -233,20 +233,20 @@
     # Cores and their effects
 
     def handle(self, agent: Agent, event: Any) -> None:
-        """Give an event to a core, after the fence that its driver keeps."""
+        """Pass an event to a core; first fence the agent if it was paused too long."""
         self._wake(agent)
         self._execute(agent, agent.core.handle(self.now, event))
 
     def _wake(self, agent: Agent) -> None:
         gap = self.now - agent.seen_at
         agent.seen_at = self.now
-        if gap > FENCE_AFTER and agent.roster is not None:
+        if gap > FENCE_AFTER_SECONDS and agent.roster is not None:
             self._fence(agent)
 
     def _tick(self, agent: Agent) -> None:
         if not agent.alive:
             return
-        if self._held_back(agent, lambda: self._tick(agent)):
+        if self._deferred_if_paused(agent, lambda: self._tick(agent)):
             return
         self.handle(agent, Tick())
         if agent.leaving and agent.core.idle and not agent.fenced:
@@ -254,8 +254,11 @@
             self.agents_by_name.pop(agent.name, None)
             self.set_member(agent, None)
             return
-        idle = self.now < WARM_UP - 10
-        self.after(FENCE_AFTER * 0.9 if idle else TICK, lambda: self._tick(agent))
+        idle = self.now < WARM_UP_SECONDS - 10
+        self.after(
+            FENCE_AFTER_SECONDS * 0.9 if idle else TICK_SECONDS,
+            lambda: self._tick(agent),
+        )
 
     def _execute(self, agent: Agent, effects: list[Any]) -> None:
         for effect in effects:
@@ -275,7 +278,9 @@
 
     def _receive(self, name: str, event: PeerDatagram) -> None:
         agent = self.agents_by_name.get(name)
-        if agent is None or self._held_back(agent, lambda: self._receive(name, event)):
+        if agent is None or self._deferred_if_paused(
+            agent, lambda: self._receive(name, event)
+        ):
             return
         self.handle(agent, event)
 
@@ -283,7 +288,7 @@
         copy = agent.copies_by_request[effect.request]
         key = copy.caller.key
         self.runs_by_key[key] += 1
-        # Copies of one key at one agent run together, for the latest of them.
+        # Copies of a key at one agent share a run, which counts for the latest attempt.
         attempt = max(
             other.attempt
             for other in agent.copies_by_request.values()
@@ -300,7 +305,7 @@
 
     def _target_ends(self, agent: Agent, incarnation: int, request: int) -> None:
         again = lambda: self._target_ends(agent, incarnation, request)  # noqa: E731
-        if self._held_back(agent, again) or agent.incarnation != incarnation:
+        if self._deferred_if_paused(agent, again) or agent.incarnation != incarnation:
             return
         done = Outcome(OutcomeKind.DONE, Code.OK)
         self.handle(agent, RequestFinished(request, done, True, ANSWER))
@@ -325,8 +330,8 @@
     def _note_refusal(self, copy: Copy) -> None:
         key = copy.caller.key
         self.counts["refusals"] += 1
-        # A caller that has sent a later attempt has dropped this one; what is
-        # said of it then is no word on the later one, which may be running.
+        # A caller that has sent a later attempt ignores the answer to this one. A
+        # refusal of this attempt says nothing about a later one, which may run.
         if self.run_attempt_by_key.get(key, math.inf) <= copy.attempt:
             self.false_refusals.add(key)
         known = self.refused_attempt_by_key.get(key, 0)
@@ -354,7 +359,7 @@
 
     def _relay_broke(self, origin: tuple[Agent, int]) -> None:
         agent, request = origin
-        if self._held_back(agent, lambda: self._relay_broke(origin)):
+        if self._deferred_if_paused(agent, lambda: self._relay_broke(origin)):
             return
         lost = Outcome(OutcomeKind.UNKNOWN, Code.ANSWER_LOST)
         self.handle(agent, RequestFinished(request, lost, True))
@@ -367,14 +372,14 @@
             self.after(0.5, lambda: self._cancel(peer, number))
 
     def _cancel(self, agent: Agent, request: int) -> None:
-        if not self._held_back(agent, lambda: self._cancel(agent, request)):
+        if not self._deferred_if_paused(agent, lambda: self._cancel(agent, request)):
             self.handle(agent, RequestCancelled(request))
 
     def _cancel_request(self, agent: Agent, effect: CancelRequest) -> None:
         copy = agent.copies_by_request.get(effect.request)
         if copy is None:
             return
-        # What is cancelled answers nobody, not even the copies that joined it.
+        # A cancelled request sends no answer, not even to copies that joined it.
         copy.joined.clear()
         if copy.relayed_to is not None:
             peer, number = copy.relayed_to
@@ -382,7 +387,7 @@
         self.after(0.002, lambda: self._cancelled(agent, effect.request))
 
     def _cancelled(self, agent: Agent, request: int) -> None:
-        if self._held_back(agent, lambda: self._cancelled(agent, request)):
+        if self._deferred_if_paused(agent, lambda: self._cancelled(agent, request)):
             return
         cancelled = Outcome(OutcomeKind.CANCELLED_AFTER, Code.CANCELLED_AFTER)
         self.handle(agent, RequestFinished(request, cancelled, True))
@@ -393,7 +398,7 @@
     # Callers
 
     def call(self, caller: Caller) -> None:
-        """Send the next attempt, and now and then a late copy of it."""
+        """Send the next attempt and, with some probability, a late copy of it."""
         if caller.ended:
             return
         caller.attempt += 1
@@ -403,7 +408,7 @@
             late = self.rng.uniform(0.0, self.faults.latest_copy)
             copy = Copy(caller, attempt, first=False)
             self.after(late, lambda: self._send_copy(copy))
-        self.after(CALLER_TIMEOUT, lambda: self._time_out(caller, attempt))
+        self.after(CALLER_TIMEOUT_SECONDS, lambda: self._time_out(caller, attempt))
 
     def _send_copy(self, copy: Copy) -> None:
         agents = [agent for agent in self.agents_by_name.values() if agent.roster]
@@ -415,7 +420,7 @@
         if not agent.alive:
             self._break_relay(copy)
             return
-        if self._held_back(agent, lambda: self._arrive(agent, number, copy)):
+        if self._deferred_if_paused(agent, lambda: self._arrive(agent, number, copy)):
             return
         self._wake(agent)
         agent.copies_by_request[number] = copy
@@ -426,7 +431,7 @@
             False,
             copy.caller.key,
             copy.attempt,
-            self.now + DEADLINE,
+            self.now + DEADLINE_SECONDS,
             relayed_by,
         )
         if agent.fenced:
@@ -461,7 +466,9 @@
 
     def _relay_answered(self, origin: tuple[Agent, int], outcome: Outcome) -> None:
         agent, request = origin
-        if self._held_back(agent, lambda: self._relay_answered(origin, outcome)):
+        if self._deferred_if_paused(
+            agent, lambda: self._relay_answered(origin, outcome)
+        ):
             return
         if request not in agent.copies_by_request:
             return
@@ -471,17 +478,17 @@
             self._done(agent, request)
 
 
-def _ignore(world: World, agent: Agent, effect: Any) -> None:
-    """Execute nothing: the effect has no meaning in this measurement."""
+def _ignore(sim: Simulation, agent: Agent, effect: Any) -> None:
+    """Ignore an effect that this measurement doesn't need."""
 
 
-_EXECUTORS_BY_EFFECT: dict[type, Callable[[World, Agent, Any], None]] = {
-    SendPeer: World._send,
-    Run: World._run,
-    FinishRequest: World._finish,
-    Replay: World._replay,
-    JoinRequest: World._join,
-    Relay: World._relay,
-    CancelRequest: World._cancel_request,
-    Count: World._count,
+_EXECUTORS_BY_EFFECT: dict[type, Callable[[Simulation, Agent, Any], None]] = {
+    SendPeer: Simulation._send,
+    Run: Simulation._run,
+    FinishRequest: Simulation._finish,
+    Replay: Simulation._replay,
+    JoinRequest: Simulation._join,
+    Relay: Simulation._relay,
+    CancelRequest: Simulation._cancel_request,
+    Count: Simulation._count,
 }
