--- a/tests/agent_deployments.py
+++ b/tests/agent_deployments.py
@@ -19,10 +19,10 @@
 from zinniahook_testkit.certificates import Authority
 from zinniahook_wire.rosters import roster_from_json, roster_key
 
-PATIENCE = 30.0
-HOSTS = ("127.0.1.1", "127.0.1.2", "127.0.1.3")
+TIMEOUT_SECONDS = 30.0
+ENTRY_HOSTS = ("127.0.1.1", "127.0.1.2", "127.0.1.3")
 
-DOCUMENT = """
+CONFIGURATION = """
 [services.tally]
 number = 1
 address = "{address}"
@@ -74,9 +74,9 @@
         self.entries: list[processes.Process] = []
         self.stack = contextlib.ExitStack()
         self.store = self.stack.enter_context(stores.start())
-        self.fabric = self.start(
+        self.addresses_by_service = self.start(
             "zinniahook_testkit.fabric",
-            json.dumps({"services": ["tally", "pulse"], "entries": list(HOSTS)}),
+            json.dumps({"services": ["tally", "pulse"], "entries": list(ENTRY_HOSTS)}),
         ).ready["services"]
         asyncio.run(self.configure())
 
@@ -88,12 +88,15 @@
 
     async def configure(self) -> None:
         store = Store((Address.parse(self.store.address),), 5.0)
-        text = DOCUMENT.format(address=self.fabric["tally"], pulse=self.fabric["pulse"])
+        text = CONFIGURATION.format(
+            address=self.addresses_by_service["tally"],
+            pulse=self.addresses_by_service["pulse"],
+        )
         base = await read(store)
         outcome = await commit(store, base, parse(text), "test", new_operation())
         assert isinstance(outcome, Committed), outcome
 
-    def daemon(self, name: str, **sections: object) -> processes.Process:
+    def start_daemon(self, name: str, **sections: object) -> processes.Process:
         settings = {
             "name": name,
             "data_centre": "thies-1",
@@ -111,20 +114,24 @@
         file.write_text(tomli_w.dumps(settings))
         return self.start("zinniahook_daemon.main", "--settings", file)
 
-    def entry(self, number: int) -> processes.Process:
+    def start_entry(self, number: int) -> processes.Process:
         name = f"entry-{number}"
-        return self.daemon(name, role="entry", entry={"bind_host": HOSTS[number]})
+        return self.start_daemon(
+            name, role="entry", entry={"bind_host": ENTRY_HOSTS[number]}
+        )
 
-    def member(self, name: str, service: str = "tally", **behaviour: object) -> Member:
+    def add_member(
+        self, name: str, service: str = "tally", **behaviour: object
+    ) -> Member:
         target = self.start(
             "zinniahook_testkit.target",
             json.dumps({"service": service, "name": name, "behaviour": behaviour}),
         )
-        member = Member(target, self.agent(name, target, service))
+        member = Member(target, self.start_agent(name, target, service))
         self.members.append(member)
         return member
 
-    def agent(
+    def start_agent(
         self, name: str, target: processes.Process, service: str = "tally"
     ) -> processes.Process:
         settings = {
@@ -134,17 +141,19 @@
             "certificate": str(self.files.certificate),
             "key": str(self.files.key),
         }
-        return self.daemon(name, role="agent", agent=settings)
+        return self.start_daemon(name, role="agent", agent=settings)
 
     def session(self) -> Session:
         return Session(
-            self.fabric["tally"], ca=str(self.files.authority), server_name="localhost"
+            self.addresses_by_service["tally"],
+            ca=str(self.files.authority),
+            server_name="localhost",
         )
 
-    def stored(self, name: str) -> tuple[AgentState, int] | None:
+    def stored_member(self, name: str) -> tuple[AgentState, int] | None:
         """Return state and incarnation of an agent in the store's roster."""
 
-        async def look() -> tuple[AgentState, int] | None:
+        async def read_member() -> tuple[AgentState, int] | None:
             store = Store((Address.parse(self.store.address),), 5.0)
             item = await store.get(roster_key("tally"))
             if item is None:
@@ -153,14 +162,14 @@
             member = roster.by_name.get(name)
             return member and (member.state, member.incarnation)
 
-        return asyncio.run(look())
+        return asyncio.run(read_member())
 
-    def total(self, name: str) -> int:
+    def total_count(self, name: str) -> int:
         return sum(member.ledger()["counts"].get(name, 0) for member in self.members)
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Ask other processes until they agree; nothing here can wake us."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while not await asyncio.to_thread(condition):
             await asyncio.sleep(0.05)
--- a/tests/operator_runs.py
+++ b/tests/operator_runs.py
@@ -14,7 +14,7 @@
 from zinniahook_testkit.clusters import Cluster
 from zinniahook_testkit.deployments import TALLY, Deployment, ServicePlan
 
-BOUND = 120.0
+TEST_TIMEOUT_SECONDS = 120.0
 """Seconds that a test may take; nothing in it waits for a fixed time."""
 
 FEEDS = {"kind": "feeds", "path": "/tally/feed", "callers": 6, "every": 0.2}
@@ -34,12 +34,12 @@
 
     def __init__(self, cluster, name="amina", patience=30.0):
         self.cluster = cluster
-        self.said = []
+        self.messages = []
         store = cluster.store_process.ready["address"]
         files = cluster.authority.issue(name)
         self.settings = ClientSettings((Address.parse(store),), *files, 2.0, patience)
         self.session = Session(
-            self.settings, Store([store]), self.said.append, wait=True
+            self.settings, Store([store]), self.messages.append, wait=True
         )
 
     async def run(self, text):
@@ -49,39 +49,39 @@
         return answer
 
 
-def runner(tmp_path):
+def scenario_runner(tmp_path):
     """Run a scenario that takes a cluster and an operator."""
 
     def start(scenario, deployment=DEPLOYMENT, kind=Cluster):
-        async def whole():
+        async def run_scenario():
             async with (
-                asyncio.timeout(BOUND),
+                asyncio.timeout(TEST_TIMEOUT_SECONDS),
                 kind(deployment, tmp_path) as cluster,
             ):
                 await scenario(cluster, Operator(cluster))
 
-        asyncio.run(whole())
+        asyncio.run(run_scenario())
 
     return start
 
 
-async def load(cluster):
+async def start_load(cluster):
     """Start the load and wait until all of it has begun."""
     running = await cluster.run_loads(["tally"])
     (plan,) = cluster.deployment.services
     feeds = FEEDS["callers"] if FEEDS in plan.loads else 0
 
-    async def begun():
+    async def load_begun():
         replies = await cluster.statuses()
         streams = sum(reply.streams for reply in replies)
         requests = sum(reply.counters_by_name["agent.requests"] for reply in replies)
         return streams >= feeds and requests > feeds
 
-    await cluster.until(begun, "the load has begun")
+    await cluster.until(load_begun, "the load has begun")
     return running
 
 
-async def violations(cluster, running, reopened=0):
+async def finish_and_check(cluster, running, reopened=0):
     """End the load; return every breach that targets and callers recorded.
 
     Nothing may have been cut, and feeds opened anew at least so often.
@@ -96,7 +96,7 @@
     return check(Evidence(tuple(await cluster.ledgers()), tuple(results)))
 
 
-class PartedCluster(Cluster):
+class PartitionedCluster(Cluster):
     """A cluster whose entry-2 reaches the store by way of a fault proxy."""
 
     proxy = None
@@ -120,7 +120,7 @@
     watchers = 2
 
 
-async def newcomers(address):
+async def open_flows(address):
     """Open a plain UDP flow after the other."""
     loop = asyncio.get_running_loop()
     while True:
@@ -132,7 +132,7 @@
         await asyncio.sleep(0.02)
 
 
-async def follow(feed):
+async def read_in_order(feed):
     """Read a feed, whose events must come once and in order."""
     last = None
     async for event in feed:
@@ -141,7 +141,7 @@
         last = number
 
 
-async def busiest(cluster):
+async def busiest_agent(cluster):
     """Name the agent with the most open streams."""
     replies = await cluster.statuses()
     return max(replies, key=lambda reply: reply.streams).name
@@ -159,7 +159,7 @@
         await asyncio.sleep(0.05)
 
 
-def unreadable(replies):
+def count_unknown_key_drops(replies):
     """Add up the datagrams dropped for want of a key."""
     codes = (Code.CONNECTION_ID_UNKNOWN, Code.TUNNEL_KEY_UNKNOWN)
     return sum(reply.drops_by_code.get(code, 0) for reply in replies for code in codes)
--- a/tests/test_agent_failures.py
+++ b/tests/test_agent_failures.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from agent_deployments import Deployment, until
+from agent_deployments import Deployment, wait_until
 from zinniahook_caller import NotRunError, OutcomeError, Session
 from zinniahook_core.models import AgentState
 
@@ -19,16 +19,16 @@
 def deployment(tmp_path: Path) -> Iterator[Deployment]:
     deployment = Deployment(tmp_path)
     with deployment.stack:
-        deployment.entries = [deployment.entry(number) for number in range(3)]
+        deployment.entries = [deployment.start_entry(number) for number in range(3)]
         yield deployment
 
 
-class Clerks:
+class TicketLoad:
     """File tickets without end and note what they are told of each."""
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
-        self.told: dict[str, str] = {}
+        self.outcomes_by_ticket: dict[str, str] = {}
         self.stopping = asyncio.Event()
 
     async def file(self, session: Session, name: int) -> None:
@@ -40,11 +40,13 @@
                 answer = await session.post(
                     "/tickets", json={"ticket": ticket}, deadline=10
                 )
-                self.told[ticket] = "done" if answer.status == 200 else "failed"
+                self.outcomes_by_ticket[ticket] = (
+                    "done" if answer.status == 200 else "failed"
+                )
             except NotRunError:
-                self.told[ticket] = "not run"
+                self.outcomes_by_ticket[ticket] = "not run"
             except OutcomeError:
-                self.told[ticket] = "unknown"
+                self.outcomes_by_ticket[ticket] = "unknown"
 
     async def run(self, scenario: Callable[[], Awaitable[None]]) -> None:
         """File before, during and after a scenario."""
@@ -57,10 +59,10 @@
                 asyncio.ensure_future(self.file(session, name))
                 for name, session in enumerate(sessions)
             ]
-            await until(lambda: len(self.told) > 20)
+            await wait_until(lambda: len(self.outcomes_by_ticket) > 20)
             await scenario()
-            seen = len(self.told)
-            await until(lambda: len(self.told) > seen + 20)
+            seen = len(self.outcomes_by_ticket)
+            await wait_until(lambda: len(self.outcomes_by_ticket) > seen + 20)
             self.stopping.set()
             await asyncio.gather(*filing)
 
@@ -69,10 +71,10 @@
         runs: Counter[str] = Counter()
         for member in self.deployment.members:
             runs.update(member.ledger()["runs_by_ticket"])
-        words_by_ticket = self.told.items()
+        outcomes = self.outcomes_by_ticket.items()
         assert max(runs.values()) == 1
-        assert not [t for t, word in words_by_ticket if word == "done" and not runs[t]]
-        assert not [t for t, word in words_by_ticket if word == "not run" and runs[t]]
+        assert not [t for t, outcome in outcomes if outcome == "done" and not runs[t]]
+        assert not [t for t, outcome in outcomes if outcome == "not run" and runs[t]]
 
 
 class TestFailure:
@@ -85,24 +87,30 @@
         an authority that it has lost.
         """
         members = [
-            deployment.member(f"tally-{number}", service_time=0.1)
+            deployment.add_member(f"tally-{number}", service_time=0.1)
             for number in range(2)
         ]
         paused = members[0].agent
 
         async def scenario() -> None:
-            _, incarnation = await asyncio.to_thread(deployment.stored, "tally-0")
+            _, incarnation = await asyncio.to_thread(
+                deployment.stored_member, "tally-0"
+            )
             paused.pause()
-            await until(lambda: deployment.stored("tally-0")[0] is AgentState.DOWN)
+            await wait_until(
+                lambda: deployment.stored_member("tally-0")[0] is AgentState.DOWN
+            )
             paused.resume()
-            await until(lambda: deployment.stored("tally-0")[0] is AgentState.READY)
-            _, later = await asyncio.to_thread(deployment.stored, "tally-0")
+            await wait_until(
+                lambda: deployment.stored_member("tally-0")[0] is AgentState.READY
+            )
+            _, later = await asyncio.to_thread(deployment.stored_member, "tally-0")
             assert later > incarnation
 
         async def main() -> None:
-            clerks = Clerks(deployment)
-            await clerks.run(scenario)
-            clerks.check()
+            load = TicketLoad(deployment)
+            await load.run(scenario)
+            load.check()
 
         asyncio.run(main())
 
@@ -115,21 +123,23 @@
         what it ran is known to nobody for certain.
         """
         members = [
-            deployment.member(f"tally-{number}", service_time=0.1)
+            deployment.add_member(f"tally-{number}", service_time=0.1)
             for number in range(3)
         ]
 
         async def scenario() -> None:
             members[0].agent.kill()
             members[0].agent = await asyncio.to_thread(
-                deployment.agent, "tally-0", members[0].target
+                deployment.start_agent, "tally-0", members[0].target
+            )
+            await wait_until(
+                lambda: deployment.stored_member("tally-0")[0] is AgentState.READY
             )
-            await until(lambda: deployment.stored("tally-0")[0] is AgentState.READY)
 
         async def main() -> None:
-            clerks = Clerks(deployment)
-            await clerks.run(scenario)
-            clerks.check()
+            load = TicketLoad(deployment)
+            await load.run(scenario)
+            load.check()
 
         asyncio.run(main())
 
@@ -143,7 +153,7 @@
         goes on spraying to it. Cause: an agent answers by way of the entry
         that it heard last, and nothing tells it that this one is mute.
         """
-        member = deployment.member("tally-0")
+        member = deployment.add_member("tally-0")
         path = "/tally/feed?every=0.1&count=60"
 
         async def feed(session: Session, begun: asyncio.Event) -> list[int]:
--- a/tests/test_agent_path.py
+++ b/tests/test_agent_path.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from agent_deployments import PATIENCE, Deployment, until
+from agent_deployments import TIMEOUT_SECONDS, Deployment, wait_until
 from aioquic.asyncio.client import connect
 from aioquic.asyncio.protocol import QuicConnectionProtocol
 from aioquic.h3.connection import H3Connection
@@ -18,9 +18,9 @@
 from aioquic.quic.configuration import QuicConfiguration
 from aioquic.quic.events import QuicEvent
 
-LEDGER = 32 * 1024 * 1024
+LEDGER_BYTES = 32 * 1024 * 1024
 
-EXPORT_RATE = 1 << 20
+EXPORT_BYTES_PER_SECOND = 1 << 20
 """Bytes a second that a target sends of one export while an agent drains."""
 
 
@@ -28,7 +28,7 @@
 def deployment(tmp_path: Path) -> Iterator[Deployment]:
     deployment = Deployment(tmp_path)
     with deployment.stack:
-        deployment.entries = [deployment.entry(number) for number in range(3)]
+        deployment.entries = [deployment.start_entry(number) for number in range(3)]
         yield deployment
 
 
@@ -63,7 +63,7 @@
 class TestPath:
     def test_whole_answers_by_way_of_any_entry(self, deployment: Deployment):
         for number in range(3):
-            deployment.member(f"tally-{number}")
+            deployment.add_member(f"tally-{number}")
 
         async def scenario() -> None:
             async with deployment.session() as session:
@@ -84,8 +84,8 @@
 
     def test_an_ordinary_client(self, deployment: Deployment):
         for number in range(2):
-            deployment.member(f"tally-{number}")
-        host, _, port = deployment.fabric["tally"].rpartition(":")
+            deployment.add_member(f"tally-{number}")
+        host, _, port = deployment.addresses_by_service["tally"].rpartition(":")
         configuration = QuicConfiguration(
             alpn_protocols=["h3"],
             cafile=str(deployment.files.authority),
@@ -99,7 +99,7 @@
                 configuration=configuration,
                 create_protocol=OrdinaryClient,
             )
-            async with asyncio.timeout(PATIENCE), connecting as client:
+            async with asyncio.timeout(TIMEOUT_SECONDS), connecting as client:
                 return await client.get("/ledger?size=300000")
 
         assert len(asyncio.run(scenario())) == 300_000
@@ -111,24 +111,26 @@
         32 MB, the agent's peak read after it. Cause: a target writes faster
         than a caller over QUIC reads.
         """
-        member = deployment.member("tally-0")
+        member = deployment.add_member("tally-0")
         before = member.agent.resident()
 
         async def scenario() -> str:
             digest = hashlib.sha256()
             async with (
                 deployment.session() as session,
-                session.stream("GET", f"/ledger?size={LEDGER}", deadline=120) as answer,
+                session.stream(
+                    "GET", f"/ledger?size={LEDGER_BYTES}", deadline=120
+                ) as answer,
             ):
                 async for chunk in answer.iter_content():
                     digest.update(chunk)
             assert answer.headers["x-digest"] == digest.hexdigest()
 
         asyncio.run(scenario())
-        assert member.agent.resident() - before < LEDGER // 3
+        assert member.agent.resident() - before < LEDGER_BYTES // 3
 
     def test_a_cancelled_feed_ends_at_the_target(self, deployment: Deployment):
-        member = deployment.member("tally-0")
+        member = deployment.add_member("tally-0")
 
         async def scenario() -> None:
             async with deployment.session() as session:
@@ -136,7 +138,7 @@
                     async for _ in answer.iter_lines():
                         break
                     assert member.ledger()["feeds"] == 1
-                await until(lambda: member.ledger()["feeds"] == 0)
+                await wait_until(lambda: member.ledger()["feeds"] == 0)
 
         asyncio.run(scenario())
 
@@ -150,8 +152,8 @@
         Cause: the agent ends, or refuses what it has taken, too early.
         """
         members = [
-            deployment.member(
-                f"tally-{number}", service_time=0.2, export_rate=EXPORT_RATE
+            deployment.add_member(
+                f"tally-{number}", service_time=0.2, export_rate=EXPORT_BYTES_PER_SECOND
             )
             for number in range(2)
         ]
@@ -172,7 +174,7 @@
 
                 async def pull() -> bool:
                     digest = hashlib.sha256()
-                    path = f"/ledger?size={3 * EXPORT_RATE}"
+                    path = f"/ledger?size={3 * EXPORT_BYTES_PER_SECOND}"
                     async with session.stream("GET", path, deadline=20) as answer:
                         async for chunk in answer.iter_content():
                             digest.update(chunk)
@@ -180,10 +182,10 @@
 
                 feeds = [asyncio.ensure_future(feed()) for _ in range(4)]
                 ledgers = [asyncio.ensure_future(pull()) for _ in range(2)]
-                await until(lambda: deployment.total("started_feed") == 4)
-                await until(lambda: deployment.total("started_export") == 2)
+                await wait_until(lambda: deployment.total_count("started_feed") == 4)
+                await wait_until(lambda: deployment.total_count("started_export") == 2)
                 filed = [asyncio.ensure_future(file(number)) for number in range(20)]
-                await until(lambda: deployment.total("started_tickets") > 0)
+                await wait_until(lambda: deployment.total_count("started_tickets") > 0)
                 leaving = max(members, key=lambda each: each.ledger()["feeds"])
                 leaving.agent.ask_to_stop()
                 filed += [asyncio.ensure_future(file(20 + n)) for n in range(20)]
@@ -191,11 +193,11 @@
                 assert await asyncio.gather(*feeds) == [40] * 4
                 assert await asyncio.gather(*ledgers) == [True] * 2
                 assert tickets == [200] * 40
-                status = await asyncio.to_thread(leaving.agent.wait, PATIENCE)
+                status = await asyncio.to_thread(leaving.agent.wait, TIMEOUT_SECONDS)
                 assert status == 0
 
         asyncio.run(scenario())
-        assert deployment.total("finished_tickets") == 40
+        assert deployment.total_count("finished_tickets") == 40
         for member in members:
             assert set(member.ledger()["runs_by_ticket"].values()) <= {1}
 
@@ -203,8 +205,8 @@
 class TestPlainUdp:
     def test_a_flow_stays_at_its_target(self, deployment: Deployment):
         for number in range(2):
-            deployment.member(f"pulse-{number}", "pulse")
-        host, _, port = deployment.fabric["pulse"].rpartition(":")
+            deployment.add_member(f"pulse-{number}", "pulse")
+        host, _, port = deployment.addresses_by_service["pulse"].rpartition(":")
 
         async def scenario() -> None:
             loop = asyncio.get_running_loop()
@@ -218,7 +220,7 @@
                 Client, remote_addr=(host, int(port))
             )
             names, number = set(), 0
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 while number < 50:
                     transport.sendto(b"beat")
                     with contextlib.suppress(TimeoutError):
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -10,12 +10,12 @@
     FEEDS,
     WITHOUT_CLASSES,
     Operator,
-    busiest,
-    follow,
-    load,
-    runner,
+    busiest_agent,
+    finish_and_check,
+    read_in_order,
+    scenario_runner,
+    start_load,
     supervise,
-    violations,
 )
 from zinniahook_cli.answers import Status
 from zinniahook_core.codes import Code, ZinniahookError
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def run(tmp_path):
-    return runner(tmp_path)
+    return scenario_runner(tmp_path)
 
 
 class TestDrain:
@@ -37,15 +37,15 @@
         """
 
         async def scenario(cluster, amina):
-            running = await load(cluster)
-            name = await busiest(cluster)
+            running = await start_load(cluster)
+            name = await busiest_agent(cluster)
             answer = await amina.run(f"drain target {name}")
             assert answer.status is Status.OK, answer.text
             assert answer.facts["safe"] == [name]
             cluster.agents_by_name.pop(name)
             replies = await cluster.statuses()
             assert sum(reply.streams for reply in replies) == FEEDS["callers"]
-            assert await violations(cluster, running, reopened=1) == []
+            assert await finish_and_check(cluster, running, reopened=1) == []
 
         run(scenario)
 
@@ -58,7 +58,7 @@
         """
 
         async def scenario(cluster, amina):
-            hasty = Operator(cluster, patience=1.0)
+            impatient = Operator(cluster, patience=1.0)
             address = cluster.addresses_by_service["tally"]
             ca = str(cluster.authority.file)
             async with (
@@ -67,11 +67,11 @@
             ):
                 lines = stream.iter_lines()
                 numbers = [json.loads(await anext(lines))["n"]]
-                name = await busiest(cluster)
-                answer = await hasty.run(f"drain target {name}")
+                name = await busiest_agent(cluster)
+                answer = await impatient.run(f"drain target {name}")
                 assert answer.status is Status.UNFINISHED
                 assert answer.facts["draining"] == [name]
-                assert any("leaving" in line for line in hasty.said)
+                assert any("leaving" in line for line in impatient.messages)
                 for _ in range(40):
                     numbers.append(json.loads(await anext(lines))["n"])
                 assert numbers == list(range(1, 42))
@@ -101,12 +101,12 @@
                 for _ in range(8):
                     opening = caller.events("/tally/feed?every=0.1")
                     feeds.append(await stack.enter_async_context(opening))
-                readings = [asyncio.create_task(follow(feed)) for feed in feeds]
+                readings = [asyncio.create_task(read_in_order(feed)) for feed in feeds]
                 replies = await cluster.statuses()
                 # The caller has one connection: here are only passed feeds.
                 peer = max(
-                    (one for one in replies if not one.flows),
-                    key=lambda one: one.busy,
+                    (reply for reply in replies if not reply.flows),
+                    key=lambda reply: reply.busy,
                 )
                 assert peer.busy
                 answer = await amina.run(f"drain target {peer.name}")
@@ -130,7 +130,7 @@
         """
 
         async def scenario(cluster, amina):
-            hasty = Operator(cluster, patience=1.0)
+            impatient = Operator(cluster, patience=1.0)
             address = cluster.addresses_by_service["tally"]
             ca = str(cluster.authority.file)
             async with (
@@ -138,8 +138,8 @@
                 caller.stream("GET", "/tally/feed?every=0.05") as stream,
             ):
                 await anext(stream.iter_lines())
-                name = await busiest(cluster)
-                answer = await hasty.run(f"drain target {name}")
+                name = await busiest_agent(cluster)
+                answer = await impatient.run(f"drain target {name}")
                 assert answer.status is Status.UNFINISHED
                 await amina.run("set tally.drain = 0.5")
                 answer = await amina.run(f"drain target {name}")
@@ -160,7 +160,7 @@
                     await moussa.run(text)
                 assert caught.value.code is Code.NOT_PERMITTED
             replies = await cluster.statuses()
-            assert {one.state for one in replies} == {"ready", "serving"}
+            assert {reply.state for reply in replies} == {"ready", "serving"}
 
         run(scenario)
 
@@ -189,22 +189,24 @@
         """
 
         async def scenario(cluster, amina):
-            running = await load(cluster)
-            before = {one.name: one.incarnation for one in await cluster.statuses()}
-            keeper = asyncio.create_task(supervise(cluster))
+            running = await start_load(cluster)
+            before = {
+                reply.name: reply.incarnation for reply in await cluster.statuses()
+            }
+            supervision = asyncio.create_task(supervise(cluster))
             try:
                 answer = await amina.run("restart rolling")
             finally:
-                keeper.cancel()
+                supervision.cancel()
                 with contextlib.suppress(asyncio.CancelledError):
-                    await keeper
+                    await supervision
             assert answer.status is Status.OK, answer.text
             assert answer.facts["restarted"] == 5
-            after = {one.name: one for one in await cluster.statuses()}
+            after = {reply.name: reply for reply in await cluster.statuses()}
             for name in cluster.agents_by_name:
                 assert after[name].incarnation > before[name]
             # Every agent was left, so every feed had to move.
             reopened = FEEDS["callers"]
-            assert await violations(cluster, running, reopened) == []
+            assert await finish_and_check(cluster, running, reopened) == []
 
         run(scenario)
--- a/tests/test_entry_path.py
+++ b/tests/test_entry_path.py
@@ -60,7 +60,7 @@
         return settings
 
 
-def under_load(
+def run_under_load(
     folder: Path,
     act: Callable[[LearningCluster], Awaitable[None]],
     kind: type[LearningCluster] = LearningCluster,
@@ -70,7 +70,7 @@
     async def run() -> list[LoadResult]:
         async with kind(DEPLOYMENT, folder) as cluster:
             load = await cluster.run_loads(["tally"])
-            await flows_open(cluster)
+            await wait_for_tickets(cluster)
             await act(cluster)
             results = await load.finish()
             ledgers = tuple(await cluster.ledgers())
@@ -80,7 +80,7 @@
     return asyncio.run(run())
 
 
-def not_broken(results: list[LoadResult]) -> None:
+def assert_no_flow_cut(results: list[LoadResult]) -> None:
     """Hold that no flow was cut and each caller got its answer."""
     for result in results:
         counts = result["counts"]
@@ -89,11 +89,14 @@
         assert counts["done"] == len(result["records"]) > 0
 
 
-async def flows_open(cluster: Cluster) -> None:
+async def wait_for_tickets(cluster: Cluster) -> None:
     """Wait until the targets have run some tickets."""
 
     async def running() -> bool:
-        return sum(len(one["runs_by_ticket"]) for one in await cluster.ledgers()) >= 5
+        return (
+            sum(len(ledger["runs_by_ticket"]) for ledger in await cluster.ledgers())
+            >= 5
+        )
 
     await cluster.until(running, "callers at work")
 
@@ -113,7 +116,7 @@
             await cluster.start_entry("entry-1")
             await cluster.kill_entry("entry-3")
 
-        not_broken(under_load(tmp_path, act))
+        assert_no_flow_cut(run_under_load(tmp_path, act))
 
 
 class TestEntryStops:
@@ -129,7 +132,7 @@
                 assert await cluster.stop_entry(name) == 0
                 await cluster.start_entry(name)
 
-        not_broken(under_load(tmp_path, act))
+        assert_no_flow_cut(run_under_load(tmp_path, act))
 
 
 class TestStoreDown:
@@ -153,7 +156,7 @@
             generation = await cluster.change(lambda document: document)
             await cluster.wait_for_generation(generation)
 
-        not_broken(under_load(tmp_path, act))
+        assert_no_flow_cut(run_under_load(tmp_path, act))
 
 
 class TestConfigurationChanges:
@@ -169,7 +172,7 @@
             generation = await cluster.change(lambda document: document)
             await cluster.wait_for_generation(generation)
 
-        not_broken(under_load(tmp_path, act))
+        assert_no_flow_cut(run_under_load(tmp_path, act))
 
     def test_changes_go_through_few_watches(self, tmp_path):
         """Symptom: daemons that don't watch the store keep an old generation.
@@ -182,17 +185,17 @@
 
         async def act(cluster: LearningCluster) -> None:
             await cluster.kill_entry("entry-1")
-            await changed(cluster)
+            await make_change(cluster)
             await cluster.start_entry("entry-1")
             await cluster.kill_entry("entry-2")
-            await changed(cluster)
+            await make_change(cluster)
             await cluster.store_faults(silent=True)
-            await changed(cluster)
+            await make_change(cluster)
             await cluster.store_faults(silent=False, outage="refuse")
             await cluster.store_faults(outage="")
-            await changed(cluster)
+            await make_change(cluster)
 
-        not_broken(under_load(tmp_path, act, TreeCluster))
+        assert_no_flow_cut(run_under_load(tmp_path, act, TreeCluster))
 
     def test_services_come_and_go(self, tmp_path):
         async def act(cluster: LearningCluster) -> None:
@@ -206,7 +209,7 @@
                 )
             )
             await cluster.wait_for_generation(generation)
-            await is_bound(cluster, port, True)
+            await assert_bound(cluster, port, True)
             generation = await cluster.change(
                 lambda document: document._replace(
                     services_by_name={
@@ -218,18 +221,18 @@
                 )
             )
             await cluster.wait_for_generation(generation)
-            await is_bound(cluster, port, False)
+            await assert_bound(cluster, port, False)
 
-        not_broken(under_load(tmp_path, act))
+        assert_no_flow_cut(run_under_load(tmp_path, act))
 
 
-async def changed(cluster: Cluster) -> None:
+async def make_change(cluster: Cluster) -> None:
     """Make a change and wait until every daemon has it in force."""
     generation = await cluster.change(lambda document: document)
     await cluster.wait_for_generation(generation)
 
 
-async def is_bound(cluster: Cluster, port: int, expected: bool) -> None:
+async def assert_bound(cluster: Cluster, port: int, expected: bool) -> None:
     """Check whether the entries hold a port on their own addresses."""
     for number in range(1, DEPLOYMENT.entries + 1):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -9,14 +9,16 @@
 from zinniahook_testkit.stores import StoreProcess
 from zinniahook_wire import documents
 
-QUICK = Backoff(0.02, 0.2)
-PATIENT = 25.0
-OUTAGE_DEADLINE = 6.0
+SHORT_BACKOFF = Backoff(0.02, 0.2)
+DEADLINE_SECONDS = 25.0
+OUTAGE_DEADLINE_SECONDS = 6.0
 
 
 def session(cluster, **kwargs):
     address = cluster.addresses_by_service["tally"]
-    return Session(address, ca=str(cluster.authority.file), backoff=QUICK, **kwargs)
+    return Session(
+        address, ca=str(cluster.authority.file), backoff=SHORT_BACKOFF, **kwargs
+    )
 
 
 @contextlib.asynccontextmanager
@@ -29,7 +31,7 @@
             await caller.close()
 
 
-async def file(caller, ticket, deadline=PATIENT):
+async def file_ticket(caller, ticket, deadline=DEADLINE_SECONDS):
     """File a ticket; return it and what the caller was told."""
     try:
         answer = await caller.post(
@@ -42,7 +44,7 @@
     return ticket, "done"
 
 
-async def hold_to_true(cluster, outcomes):
+async def check_outcomes(cluster, outcomes):
     """Compare what callers were told with what the targets ran."""
     ledgers = await cluster.ledgers()
     for ticket, outcome in outcomes:
@@ -61,7 +63,7 @@
     return roster.by_name.get(name)
 
 
-async def started(cluster, name):
+async def started_tickets(cluster, name):
     ledger = await cluster.ledger(name)
     return ledger["counts"].get("started_tickets", 0)
 
@@ -76,7 +78,10 @@
 
     async def any_is_busy():
         for name in cluster.targets_by_name:
-            if name.startswith("tally") and await started(cluster, name) >= tickets:
+            if (
+                name.startswith("tally")
+                and await started_tickets(cluster, name) >= tickets
+            ):
                 found.append(name)
                 return True
         return False
@@ -91,7 +96,7 @@
     found = []
 
     async def queued(name):
-        running = await started(cluster, name) > 0
+        running = await started_tickets(cluster, name) > 0
         return running and (await cluster.status(cluster.agents_by_name[name])).queued
 
     async def any_has_queue():
@@ -105,7 +110,7 @@
     return found[0]
 
 
-async def slow_down(cluster, seconds):
+async def set_service_time(cluster, seconds):
     for name in cluster.targets_by_name:
         await cluster.control_target(name, service_time=seconds)
 
@@ -121,10 +126,10 @@
         """
 
         async def check(cluster):
-            await slow_down(cluster, 1.0)
+            await set_service_time(cluster, 1.0)
             async with sessions(cluster, 8) as callers:
                 filing = [
-                    asyncio.create_task(file(caller, f"killed-{number}-{copy}"))
+                    asyncio.create_task(file_ticket(caller, f"killed-{number}-{copy}"))
                     for number, caller in enumerate(callers)
                     for copy in range(2)
                 ]
@@ -133,7 +138,7 @@
                 await asyncio.to_thread(cluster.agents_by_name.pop(busy).kill)
                 await cluster.start_agent(busy)
                 outcomes = await asyncio.gather(*filing)
-            await hold_to_true(cluster, outcomes)
+            await check_outcomes(cluster, outcomes)
             assert "done" in {outcome for _, outcome in outcomes}
 
         fresh.run(check(fresh.cluster))
@@ -150,10 +155,10 @@
         """
 
         async def check(cluster):
-            await slow_down(cluster, 1.5)
+            await set_service_time(cluster, 1.5)
             async with sessions(cluster, 8) as callers:
                 filing = [
-                    asyncio.create_task(file(caller, f"paused-{number}-{copy}"))
+                    asyncio.create_task(file_ticket(caller, f"paused-{number}-{copy}"))
                     for number, caller in enumerate(callers)
                     for copy in range(4)
                 ]
@@ -168,7 +173,7 @@
                         return now is None or now.state is not AgentState.READY
 
                     await cluster.until(down, "the paused agent is marked down")
-                    await slow_down(cluster, 0.05)
+                    await set_service_time(cluster, 0.05)
                 finally:
                     agent.resume()
 
@@ -182,8 +187,10 @@
 
                 await cluster.until(back, "the agent is back under a new incarnation")
                 outcomes = await asyncio.gather(*filing)
-                await hold_to_true(cluster, outcomes)
-                late = [file(caller, f"late-{n}") for n, caller in enumerate(callers)]
+                await check_outcomes(cluster, outcomes)
+                late = [
+                    file_ticket(caller, f"late-{n}") for n, caller in enumerate(callers)
+                ]
                 after = await asyncio.gather(*late)
             assert {outcome for _, outcome in after} == {"done"}
 
@@ -207,14 +214,16 @@
                 async with reader.stream("GET", "/tally/feed?every=0.05") as feed:
                     lines = feed.iter_lines()
                     target = json.loads(await anext(lines))["target"]
-                    used = {target, await owner(cluster)}
-                    gone = min({"tally-1", "tally-2", "tally-3"} - used)
+                    used = {target, await streaming_agent(cluster)}
+                    restarted = min({"tally-1", "tally-2", "tally-3"} - used)
                     await asyncio.to_thread(store.set_faults, outage="refuse")
-                    process = cluster.agents_by_name.pop(gone)
+                    process = cluster.agents_by_name.pop(restarted)
                     await asyncio.to_thread(process.kill)
-                    starting = asyncio.create_task(cluster.start_agent(gone))
+                    starting = asyncio.create_task(cluster.start_agent(restarted))
                     filing = [
-                        file(caller, f"outage-{number}-{copy}", OUTAGE_DEADLINE)
+                        file_ticket(
+                            caller, f"outage-{number}-{copy}", OUTAGE_DEADLINE_SECONDS
+                        )
                         for number, caller in enumerate(callers)
                         for copy in range(4)
                     ]
@@ -224,16 +233,19 @@
                     await asyncio.to_thread(store.set_faults, outage="")
                     await starting
                     await cluster.settle()
-                await hold_to_true(cluster, outcomes)
+                await check_outcomes(cluster, outcomes)
                 assert "done" in {outcome for _, outcome in outcomes}
-                late = [file(caller, f"after-{n}") for n, caller in enumerate(callers)]
+                late = [
+                    file_ticket(caller, f"after-{n}")
+                    for n, caller in enumerate(callers)
+                ]
                 after = await asyncio.gather(*late)
                 assert {outcome for _, outcome in after} == {"done"}
 
         fresh.run(check(fresh.cluster))
 
 
-async def owner(cluster):
+async def streaming_agent(cluster):
     """Name the agent that holds the only open connection."""
     for name in ("tally-1", "tally-2", "tally-3"):
         if (await cluster.status(cluster.agents_by_name[name])).streams:
@@ -267,20 +279,23 @@
                 assert caller.cuts == 0
                 return count
 
-            async def clerk(caller, number):
+            async def file_repeatedly(caller, number):
                 copy = 0
                 while not ended.is_set():
                     copy += 1
                     ticket = f"rolling-{number}-{copy}"
-                    outcomes.append(await file(caller, ticket))
+                    outcomes.append(await file_ticket(caller, ticket))
                     # A late copy has to find the answer wherever it arrives.
-                    assert await file(caller, ticket) == (ticket, "done")
+                    assert await file_ticket(caller, ticket) == (ticket, "done")
                 assert caller.cuts == 0
 
-            async with sessions(cluster, 4) as readers, sessions(cluster, 4) as clerks:
+            async with sessions(cluster, 4) as readers, sessions(cluster, 4) as filers:
                 work = asyncio.gather(
                     *map(read, readers),
-                    *(clerk(caller, number) for number, caller in enumerate(clerks)),
+                    *(
+                        file_repeatedly(caller, number)
+                        for number, caller in enumerate(filers)
+                    ),
                 )
                 for name in ("tally-1", "tally-2", "tally-3"):
                     leaving = cluster.drain_agent(name)
@@ -291,6 +306,6 @@
                 counts = await work
             assert all(counts[: len(readers)])
             assert {outcome for _, outcome in outcomes} == {"done"}
-            await hold_to_true(cluster, outcomes)
+            await check_outcomes(cluster, outcomes)
 
         fresh.run(check(fresh.cluster))
--- a/tests/test_import_circles.py
+++ b/tests/test_import_cycles.py
@@ -7,7 +7,7 @@
 import pytest
 
 PACKAGES = Path(__file__).parents[1] / "packages"
-FREE_OF_CIRCLES = ("caller", "cli", "core", "store", "wire")
+ACYCLIC_PACKAGES = ("caller", "cli", "core", "store", "wire")
 
 
 def imports(package):
@@ -32,11 +32,11 @@
             base = [*parents, *(node.module or "").split(".")]
             module = ".".join(part for part in base if part)
             yield module
-            yield from (f"{module}.{each.name}".lstrip(".") for each in node.names)
+            yield from (f"{module}.{alias.name}".lstrip(".") for alias in node.names)
 
 
-class TestImportCircles:
-    @pytest.mark.parametrize("package", FREE_OF_CIRCLES)
+class TestImportCycles:
+    @pytest.mark.parametrize("package", ACYCLIC_PACKAGES)
     def test_a_package_has_none(self, package):
         """A module that needs one which needs it can be read only with it.
 
--- a/tests/test_main_job.py
+++ b/tests/test_main_job.py
@@ -10,7 +10,7 @@
 
 scenarios("features/main_job.feature")
 
-WORK = 40
+WORK_BETWEEN_STEPS = 40
 """Pieces of work between two steps: enough to hit what a change broke."""
 
 SERVICES = ("tally", "ledger", "pulse")
@@ -30,7 +30,7 @@
     def cluster(self) -> Cluster:
         return self.deployed.cluster
 
-    async def work(self, amount=WORK):
+    async def wait_for_work(self, amount=WORK_BETWEEN_STEPS):
         """Wait until the targets have started so much more work."""
 
         async def started():
@@ -48,11 +48,11 @@
 
         await self.cluster.until(reached, f"{amount} more pieces of work")
 
-    async def no_new_work(self, target):
+    async def wait_for_no_new_work(self, target):
         """Wait until a leaving target has had no new work for a while."""
         counts = None
         while counts != (counts := (await self.cluster.ledger(target))["counts"]):
-            await self.work(10)
+            await self.wait_for_work(10)
         self.left[target] = await self.cluster.ledger(target)
 
 
@@ -61,7 +61,7 @@
     async def start():
         loads = [await fresh.cluster.run_loads([service]) for service in SERVICES]
         result = Observed(fresh, loads)
-        await result.work()
+        await result.wait_for_work()
         return result
 
     return fresh.run(start())
@@ -90,8 +90,8 @@
 def drain(observed):
     async def leave():
         observed.cluster.drain_agent("tally-1")
-        await observed.work()
-        await observed.no_new_work("tally-1")
+        await observed.wait_for_work()
+        await observed.wait_for_no_new_work("tally-1")
 
     observed.deployed.run(leave())
 
@@ -124,8 +124,8 @@
         await asyncio.to_thread(cluster.store_process.kill)
         cluster.drain_agent("tally-1")
         await cluster.kill_entry("entry-1")
-        await observed.work()
-        await observed.no_new_work("tally-1")
+        await observed.wait_for_work()
+        await observed.wait_for_no_new_work("tally-1")
 
     observed.deployed.run(together())
 
@@ -150,7 +150,7 @@
 @when("the load has gone on for a while")
 def load_ends(observed):
     async def end():
-        await observed.work(3 * WORK)
+        await observed.wait_for_work(3 * WORK_BETWEEN_STEPS)
         finished = await asyncio.gather(*(load.finish() for load in observed.loads))
         results = tuple(result for results in finished for result in results)
         for result in results:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -6,13 +6,13 @@
 from operator_runs import (
     UDP,
     Operator,
-    PartedCluster,
+    PartitionedCluster,
     TreeCluster,
-    load,
-    newcomers,
-    runner,
-    unreadable,
-    violations,
+    count_unknown_key_drops,
+    finish_and_check,
+    open_flows,
+    scenario_runner,
+    start_load,
 )
 from zinniahook_cli.answers import Status
 from zinniahook_cli.sessions import Session
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def run(tmp_path):
-    return runner(tmp_path)
+    return scenario_runner(tmp_path)
 
 
 class TestInForce:
@@ -79,8 +79,8 @@
         async def scenario(cluster, amina):
             process = cluster.entries_by_name["entry-2"]
             process.pause()
-            hasty = Operator(cluster, patience=0.5)
-            answer = await hasty.run("set tally.ticket.queue = 64")
+            impatient = Operator(cluster, patience=0.5)
+            answer = await impatient.run("set tally.ticket.queue = 64")
             process.resume()
             assert answer.status is Status.UNFINISHED
             (lagging,) = answer.facts["lagging"]
@@ -102,19 +102,19 @@
         async def scenario(cluster, amina):
             cluster.proxy.set_faults(hang=True)
             cluster.proxy.silence()
-            hasty = Operator(cluster, patience=0.5)
+            impatient = Operator(cluster, patience=0.5)
             for queue in (64, 65):
-                answer = await hasty.run(f"set tally.ticket.queue = {queue}")
+                answer = await impatient.run(f"set tally.ticket.queue = {queue}")
                 assert answer.facts["outcome"] == "committed"
                 assert answer.facts["lagging"] == ["entry-2 (at 1)"]
-            running = await load(cluster)
+            running = await start_load(cluster)
             cluster.proxy.set_faults(hang=False)
             answer = await amina.run("watch rollout")
             assert answer.status is Status.OK
             assert "entry-2" in answer.facts["in_force"]
-            assert await violations(cluster, running) == []
+            assert await finish_and_check(cluster, running) == []
 
-        run(scenario, kind=PartedCluster)
+        run(scenario, kind=PartitionedCluster)
 
     def test_an_outage_during_the_rollout_delays_it_only(self, run):
         """
@@ -127,8 +127,8 @@
         async def scenario(cluster, amina):
             store = StoreProcess(cluster.store_process)
             await asyncio.to_thread(store.set_faults, silent=True)
-            hasty = Operator(cluster, patience=0.2)
-            answer = await hasty.run("set tally.ticket.queue = 64")
+            impatient = Operator(cluster, patience=0.2)
+            answer = await impatient.run("set tally.ticket.queue = 64")
             assert answer.facts["outcome"] == "committed"
             await asyncio.to_thread(store.set_faults, silent=False, outage="refuse")
             await asyncio.to_thread(store.set_faults, outage="")
@@ -155,7 +155,7 @@
             session = Session(settings, amina.session.store, print)
             entries = cluster.entries_by_name.values()
             survey = await session.daemons.survey(
-                Address.parse(each.ready["control"]) for each in entries
+                Address.parse(entry.ready["control"]) for entry in entries
             )
             assert survey.answers_by_control == {}
             assert len(survey.silent) == 2
@@ -173,7 +173,7 @@
         """
 
         async def scenario(cluster, amina):
-            running = await load(cluster)
+            running = await start_load(cluster)
             before = await cluster.statuses()
             answer = await amina.run("rotate keys")
             assert answer.status is Status.OK
@@ -183,8 +183,8 @@
             assert answer.status is Status.OK
             after = await cluster.statuses()
             assert sum(reply.streams for reply in after) >= 6
-            assert unreadable(after) == unreadable(before)
-            assert await violations(cluster, running) == []
+            assert count_unknown_key_drops(after) == count_unknown_key_drops(before)
+            assert await finish_and_check(cluster, running) == []
 
         run(scenario)
 
@@ -200,7 +200,7 @@
 
         async def scenario(cluster, amina):
             address = Address.parse(cluster.addresses_by_service["pulse"])
-            callers = asyncio.create_task(newcomers(address))
+            callers = asyncio.create_task(open_flows(address))
             answer = await amina.run("set pulse.targets = nobody-*")
             callers.cancel()
             assert answer.status is Status.REFUSED
@@ -212,7 +212,7 @@
 
         run(scenario, UDP)
 
-    def test_an_outage_between_stages_is_told_as_what_it_is(self, run):
+    def test_an_outage_between_stages_is_reported_as_unfinished(self, run):
         """
         Symptom: a change is reported as failed but is in force somewhere.
         Sequence: the first stage is committed, then the store goes down.
@@ -224,7 +224,7 @@
             change = asyncio.create_task(amina.run("set pulse.targets = pulse-*"))
 
             async def begun():
-                return any("rollout: on" in line for line in amina.said)
+                return any("rollout: on" in line for line in amina.messages)
 
             await cluster.until(begun, "the first stage")
             await asyncio.to_thread(store.set_faults, outage="refuse")
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -36,7 +36,7 @@
     )
     def test_links_between_pages_lead_somewhere(self, page):
         links = re.findall(r"\]\(([^)#:]+)(?:#[^)]*)?\)", page.read_text())
-        assert [one for one in links if not (page.parent / one).exists()] == []
+        assert [link for link in links if not (page.parent / link).exists()] == []
 
 
 class TestMetrics:
@@ -48,4 +48,6 @@
         text = (DOCS / "operators" / "metrics.md").read_text()
         names = re.findall(r"^\| `([a-z_]+\.[a-z_]+)` \|", text, re.MULTILINE)
         assert len(names) > 30
-        assert [name for name in names if not any(name in one for one in sources)] == []
+        assert [
+            name for name in names if not any(name in source for source in sources)
+        ] == []
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -4,12 +4,12 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[1]
-WORDS = re.compile(
+PLATFORM_NAMES = re.compile(
     r"kv-(key|range|watch|txn|lease|keep)|op/config|/readyz|/instances/|deregister"
     r"|heartbeat_addr|heartbeat_ms|goal_ms|warmup_left_ms|stable_window|concurrency\""
     r"|ZINNIAHOOK_BOOT|internal_ports|grace_s|current_rev|Request-Id",
 )
-LINES_LIMIT = 1200
+MAX_LINES = 1200
 
 
 def sources(folder):
@@ -21,7 +21,7 @@
         found = [
             f"{path.relative_to(ROOT)}: {match[0]}"
             for path in sources(ROOT / "packages")
-            if (match := WORDS.search(path.read_text()))
+            if (match := PLATFORM_NAMES.search(path.read_text()))
         ]
         assert found == []
 
@@ -29,7 +29,7 @@
         lines = sum(
             len(path.read_text().splitlines()) for path in sources(ROOT / "platform")
         )
-        assert lines <= LINES_LIMIT
+        assert lines <= MAX_LINES
 
     def test_it_sends_no_packet(self):
         """Whoever sends packets chooses where to; that is for the product."""
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -22,15 +22,15 @@
 MEGABYTE = 1 << 20
 
 
-TRIES = 3
+MAX_ATTEMPTS = 3
 
 
-class ThreeTries(Backoff):
+class LimitedBackoff(Backoff):
     """Waits beyond any deadline after the third refusal."""
 
     def wait(self, attempt, least, rng):
         """Return how long to wait after an attempt."""
-        return super().wait(attempt, least, rng) if attempt < TRIES else 1e6
+        return super().wait(attempt, least, rng) if attempt < MAX_ATTEMPTS else 1e6
 
 
 def session(cluster, service, **kwargs):
@@ -38,7 +38,7 @@
     return Session(address, ca=str(cluster.authority.file), **kwargs)
 
 
-async def work_started(cluster, service):
+async def count_started_work(cluster, service):
     """Return how often any target of a service has started any work."""
     return sum(
         count
@@ -49,7 +49,7 @@
     )
 
 
-async def runs_of(cluster, ticket):
+async def count_runs(cluster, ticket):
     return sum(
         ledger["runs_by_ticket"].get(ticket, 0) for ledger in await cluster.ledgers()
     )
@@ -115,7 +115,7 @@
                 answer = await caller.get(f"/ledger?size={MEGABYTE}")
                 digest = hashlib.sha256(answer.content).hexdigest()
                 assert digest == export_digest("ledger", MEGABYTE)
-            assert await runs_of(cluster, "first") == 1
+            assert await count_runs(cluster, "first") == 1
 
         deployed.run(check(deployed.cluster))
 
@@ -138,11 +138,11 @@
             assert {answer.content for answer in answers} == {answers[0].content}
             for caller in callers:
                 await caller.close()
-            assert await runs_of(cluster, "copied") == 1
+            assert await count_runs(cluster, "copied") == 1
 
         deployed.run(check(deployed.cluster))
 
-    def test_shed_ticket_is_told_as_not_run(self, deployed):
+    def test_shed_ticket_is_reported_as_not_run(self, deployed):
         """A ticket that was told as not run bills a haulier after all.
 
         Symptom: a clerk enters a refused ticket on paper; it is billed twice.
@@ -156,13 +156,13 @@
             tallies = [name for name in cluster.targets_by_name if "tally" in name]
             for name in tallies:
                 await cluster.control_target(name, shed_share=1.0)
-            async with session(cluster, "tally", backoff=ThreeTries()) as caller:
+            async with session(cluster, "tally", backoff=LimitedBackoff()) as caller:
                 with pytest.raises(NotRunError) as raised:
                     await caller.post("/tickets", json={"ticket": "shed"})
-                assert raised.value.attempts == TRIES
+                assert raised.value.attempts == MAX_ATTEMPTS
             for name in tallies:
                 await cluster.control_target(name, shed_share=0.0)
-            assert await runs_of(cluster, "shed") == 0
+            assert await count_runs(cluster, "shed") == 0
 
         deployed.run(check(deployed.cluster))
 
@@ -180,7 +180,7 @@
                 status, body = await client.request(b"POST", b"/tickets", sent)
                 assert status == b"200"
                 assert json.loads(body)["ticket"] == "plain"
-            assert await runs_of(cluster, "plain") == 1
+            assert await count_runs(cluster, "plain") == 1
 
         deployed.run(check(deployed.cluster))
 
@@ -215,7 +215,10 @@
 
         async def check(cluster):
             ledger = cluster.addresses_by_service["ledger"].rpartition(":")
-            work, before = await work_started(cluster, "ledger"), await drops(cluster)
+            work, before = (
+                await count_started_work(cluster, "ledger"),
+                await drops(cluster),
+            )
             async with plain_client(cluster, "tally", Recording) as client:
                 await client.request(b"GET", b"/tally/feed?every=0.01&count=3")
                 short = [data for data in sent if not data[0] & 0x80]
@@ -231,7 +234,7 @@
                 await cluster.until(dropped, "all foreign datagrams dropped")
                 status, _ = await client.request(b"GET", b"/tally/feed?count=1")
                 assert status == b"200"
-            assert await work_started(cluster, "ledger") == work
+            assert await count_started_work(cluster, "ledger") == work
 
         deployed.run(check(deployed.cluster))
 
@@ -347,9 +350,9 @@
         """
 
         async def check(cluster):
-            quick = Silence(probe=0.25, move=0.5, give_up=1.0)
+            short_silence = Silence(probe=0.25, move=0.5, give_up=1.0)
             async with (
-                session(cluster, "tally", silence=quick) as caller,
+                session(cluster, "tally", silence=short_silence) as caller,
                 caller.events("/tally/feed?every=0.05") as feed,
             ):
                 events = aiter(feed)
@@ -388,8 +391,10 @@
         async def check(cluster):
             for name in cluster.targets_by_name:
                 await cluster.control_target(name, service_time=1.5)
-            quick = Backoff(0.02, 0.2)
-            callers = [session(cluster, "tally", backoff=quick) for _ in range(8)]
+            short_backoff = Backoff(0.02, 0.2)
+            callers = [
+                session(cluster, "tally", backoff=short_backoff) for _ in range(8)
+            ]
             filing = [
                 asyncio.create_task(file(caller, f"crash-{number}-{copy}"))
                 for number, caller in enumerate(callers)
@@ -404,7 +409,7 @@
             await asyncio.to_thread(cluster.agents_by_name.pop("tally-1").kill)
             outcomes = await asyncio.gather(*filing)
             for ticket, outcome in outcomes:
-                runs = await runs_of(cluster, ticket)
+                runs = await count_runs(cluster, ticket)
                 assert runs <= 1, (ticket, outcome)
                 assert runs == 1 or outcome != "done", ticket
                 assert runs == 0 or outcome != "not run", ticket
