--- a/packages/zinniahook-testkit/src/zinniahook_testkit/behaviours.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/behaviours.py
@@ -12,8 +12,8 @@
 
 __all__ = ["Behaviour", "Target", "TargetSettings", "export_block", "export_digest"]
 
-CHUNK = 65536
-LAG_KEPT = 256
+CHUNK_BYTES = 65536
+MAX_LOAD_HISTORY = 256
 
 
 class TargetSettings(TypedDict, total=False):
@@ -68,7 +68,7 @@
 @functools.cache
 def export_block(service: str) -> bytes:
     """Return the block that an export of ``service`` repeats."""
-    return random.Random(service).randbytes(CHUNK)
+    return random.Random(service).randbytes(CHUNK_BYTES)
 
 
 @functools.lru_cache(maxsize=64)
@@ -76,9 +76,9 @@
     """Return the SHA-256 of an export of ``size`` bytes, in hexadecimal."""
     digest = hashlib.sha256()
     block = export_block(service)
-    for _ in range(size // CHUNK):
+    for _ in range(size // CHUNK_BYTES):
         digest.update(block)
-    digest.update(block[: size % CHUNK])
+    digest.update(block[: size % CHUNK_BYTES])
     return digest.hexdigest()
 
 
@@ -160,7 +160,7 @@
             "cold": float(now - self.started_at < self.behaviour["cold"]),
         }
         self._history.append((now, truth))
-        del self._history[:-LAG_KEPT]
+        del self._history[:-MAX_LOAD_HISTORY]
         mode = self.behaviour["load"]
         if mode == "lying":
             return {**truth, "busy": 0, "queued": 0}
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/clusters.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/clusters.py
@@ -27,10 +27,10 @@
 
 __all__ = ["Cluster", "LoadRun", "NotSettledError"]
 
-SETTLE_TIMEOUT = 30.0
-POLL_INTERVAL = 0.05
-CALL_TIMEOUT = 2.0
-STARTED_AT_A_TIME = 8
+SETTLE_TIMEOUT_SECONDS = 30.0
+POLL_INTERVAL_SECONDS = 0.05
+CALL_TIMEOUT_SECONDS = 2.0
+MAX_CONCURRENT_STARTS = 8
 """Processes started together: more only wait for each other's imports."""
 
 
@@ -90,14 +90,14 @@
         self.store: Store
         self.store_process: Process
         self.fabric: Process
-        self._daemon: Files = self.authority.issue("daemon")
+        self._daemon_files: Files = self.authority.issue("daemon")
         self._services = deployment.services_by_name
         self._certificates = {
             name: self.authority.issue(name) for name in self._services
         }
-        self._all: list[Process] = []
-        self._limit = asyncio.Semaphore(STARTED_AT_A_TIME)
-        self._loads = 0
+        self._processes: list[Process] = []
+        self._limit = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
+        self._load_count = 0
 
     # Life
 
@@ -138,10 +138,10 @@
 
     async def stop(self) -> None:
         """End every process."""
-        for process in self._all:
+        for process in self._processes:
             process.ask_to_stop()
         await asyncio.gather(
-            *(asyncio.to_thread(process.terminate, 1.0) for process in self._all)
+            *(asyncio.to_thread(process.terminate, 1.0) for process in self._processes)
         )
 
     # Processes
@@ -254,11 +254,13 @@
             If it doesn't come true within a generous bound.
         """
         try:
-            async with asyncio.timeout(SETTLE_TIMEOUT):
+            async with asyncio.timeout(SETTLE_TIMEOUT_SECONDS):
                 while not await condition():
-                    await asyncio.sleep(POLL_INTERVAL)
+                    await asyncio.sleep(POLL_INTERVAL_SECONDS)
         except TimeoutError:
-            raise NotSettledError(f"not in {SETTLE_TIMEOUT:g} s: {what}") from None
+            raise NotSettledError(
+                f"not in {SETTLE_TIMEOUT_SECONDS:g} s: {what}"
+            ) from None
 
     # Questions
 
@@ -267,12 +269,14 @@
         address = Address.parse(process.ready["control"])
         context = ssl.create_default_context(cafile=self.authority.file)
         context.check_hostname = False
-        context.load_cert_chain(self._daemon.certificate, self._daemon.key)
+        context.load_cert_chain(self._daemon_files.certificate, self._daemon_files.key)
         context.set_alpn_protocols(["h2"])
         channel = Channel(address.host, address.port, ssl=context)
         try:
             request = StatusRequest(counters=True, rosters=True)
-            return await ControlStub(channel).Status(request, timeout=CALL_TIMEOUT)
+            return await ControlStub(channel).Status(
+                request, timeout=CALL_TIMEOUT_SECONDS
+            )
         finally:
             channel.close()
 
@@ -311,11 +315,11 @@
             for name in services
             for load in self._services[name].loads
         ]
-        self._loads += 1
-        result = self.folder / f"load-{self._loads}.json"
+        self._load_count += 1
+        result = self.folder / f"load-{self._load_count}.json"
         plan = {
             "ca": str(self.authority.file),
-            "seed": self.seed + self._loads,
+            "seed": self.seed + self._load_count,
             "result": str(result),
             "loads": loads,
         }
@@ -333,7 +337,7 @@
     async def _start(self, module: str, *args: str) -> Process:
         async with self._limit:
             process = await asyncio.to_thread(start, module, *args)
-        self._all.append(process)
+        self._processes.append(process)
         return process
 
     async def _start_store(self) -> None:
@@ -380,8 +384,8 @@
             "tunnel": {"address": "127.0.0.1:0"},
             "control": {
                 "address": "127.0.0.1:0",
-                "certificate": str(self._daemon.certificate),
-                "key": str(self._daemon.key),
+                "certificate": str(self._daemon_files.certificate),
+                "key": str(self._daemon_files.key),
                 "authority": str(self.authority.file),
                 "watchers": self.watchers,
             },
@@ -409,7 +413,9 @@
             if item is None:
                 return None
             roster = documents.roster_from_json(service, item.revision, item.value)
-            running = {name for name in self.agents_by_name if _of(name, service)}
+            running = {
+                name for name in self.agents_by_name if _belongs_to(name, service)
+            }
             ready = {
                 member.name
                 for member in roster.by_name.values()
@@ -421,7 +427,7 @@
         return revisions
 
 
-def _of(name: str, service: str) -> bool:
+def _belongs_to(name: str, service: str) -> bool:
     return name.rpartition("-")[0] == service
 
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/demo.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/demo.py
@@ -28,24 +28,24 @@
 
 __all__ = ["Report", "main", "run"]
 
-WARMING = 6.0
+WARMUP_SECONDS = 6.0
 """Seconds before the load: fresh targets are given little work at first."""
 
-SETTLED = 3.0
+STEADY_LOAD_SECONDS = 3.0
 """Seconds of load before anything happens."""
 
-BETWEEN = 1.5
+CHANGE_INTERVAL_SECONDS = 1.5
 """Seconds between the changes."""
 
-NO_NEW_WORK = 4.0
+NO_NEW_WORK_SECONDS = 4.0
 """Seconds after which a leaving target must receive no new work."""
 
-IN_FORCE = 5.0
+MAX_IN_FORCE_SECONDS = 5.0
 """Seconds within which a change must be in force everywhere."""
 
-QUANTILES = ("p50", "p99", "p100")
+QUANTILE_NAMES = ("p50", "p99", "p100")
 
-LOG_SHOWN = 2000
+MAX_LOG_CHARACTERS = 2000
 """Characters of the log shown when something failed."""
 
 
@@ -73,23 +73,25 @@
     """
     began = time.monotonic()
     async with Cluster(deployment, folder, seed) as cluster:
-        await asyncio.sleep(WARMING)
+        await asyncio.sleep(WARMUP_SECONDS)
         loads = [
             await cluster.run_loads([service.name]) for service in deployment.services
         ]
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(STEADY_LOAD_SECONDS)
         await cluster.kill_entry("entry-1")
-        await asyncio.sleep(BETWEEN)
+        await asyncio.sleep(CHANGE_INTERVAL_SECONDS)
         leaving = [f"{service.name}-1" for service in deployment.services]
         agents = [cluster.drain_agent(name) for name in leaving]
-        await asyncio.sleep(BETWEEN)
+        await asyncio.sleep(CHANGE_INTERVAL_SECONDS)
         changed_at = time.monotonic()
         generation = await cluster.change(_longer_queues)
         await cluster.wait_for_generation(generation)
         in_force = time.monotonic() - changed_at
-        await asyncio.sleep(max(0.0, NO_NEW_WORK - BETWEEN - in_force))
+        await asyncio.sleep(
+            max(0.0, NO_NEW_WORK_SECONDS - CHANGE_INTERVAL_SECONDS - in_force)
+        )
         left = {name: await cluster.ledger(name) for name in leaving}
-        await asyncio.sleep(BETWEEN)
+        await asyncio.sleep(CHANGE_INTERVAL_SECONDS)
         # While feeds go on elsewhere: nothing may hold a leaving target up.
         staying = await _still_running(cluster, dict(zip(leaving, agents, strict=True)))
         results = [result for load in loads for result in await load.finish()]
@@ -99,7 +101,7 @@
     violations += [
         Violation("a drained target ends", name, "still running") for name in staying
     ]
-    if in_force > IN_FORCE:
+    if in_force > MAX_IN_FORCE_SECONDS:
         detail = f"generation {generation} took {in_force:.1f} s"
         violations.append(
             Violation("an accepted configuration is in force soon", "all", detail)
@@ -160,7 +162,7 @@
     try:
         yield
     except BaseException:
-        os.write(kept, log.read_bytes()[-LOG_SHOWN:])
+        os.write(kept, log.read_bytes()[-MAX_LOG_CHARACTERS:])
         raise
     finally:
         os.dup2(kept, sys.stderr.fileno())
@@ -172,7 +174,7 @@
     errors = [line for line in lines if '"level": "error"' in line]
     if errors:
         print(f"  the daemons logged {len(errors)} errors, such as")
-        print(f"    {errors[-1][-LOG_SHOWN:]}")
+        print(f"    {errors[-1][-MAX_LOG_CHARACTERS:]}")
 
 
 def _longer_queues(document: Document) -> Document:
@@ -219,7 +221,7 @@
             f" variation {summary.work_variation:.2f}{_streams(summary)}"
         )
         for path, quantiles in summary.quantiles_by_path.items():
-            figures = " ".join(f"{q} {quantiles[q] * 1000:.1f}" for q in QUANTILES)
+            figures = " ".join(f"{q} {quantiles[q] * 1000:.1f}" for q in QUANTILE_NAMES)
             print(f"    {path}: latency in ms {figures}")
     print(
         f"  generation {report.generation} in force everywhere after"
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/experiments.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/experiments.py
@@ -21,19 +21,19 @@
 from .load import LoadPlan
 from .scenarios import Figure, scenario
 
-__all__ = ["Injected", "measure", "reduced"]
+__all__ = ["ScheduledFault", "measure", "scale_down"]
 
-WARMING = 5.0
+WARMUP_SECONDS = 5.0
 """Seconds before the load: fresh targets are given little work at first."""
 
-RECOVERY = 8.0
+RECOVERY_SECONDS = 8.0
 """Seconds of load after the last fault is over, at least: a caller gives a
 connection up that is silent for 7 s, and only then a feed counts as cut."""
 
-INJECTION_LIMIT = 60.0
+INJECTION_TIMEOUT_SECONDS = 60.0
 
 
-class Injected(NamedTuple):
+class ScheduledFault(NamedTuple):
     """One line of a schedule; ``at`` in seconds from the start of the load."""
 
     at: float
@@ -75,16 +75,16 @@
     ValueError
         If a fault is unknown.
     """
-    schedule = [Injected(*item) for item in faults]
+    schedule = [ScheduledFault(*item) for item in faults]
     unknown = {item.fault for item in schedule} - injections_by_name.keys()
     if unknown:
         raise ValueError(f"unknown fault {min(unknown)!r}")
-    plan = reduced(DEPLOYMENTS_BY_NAME[deployment], scale, rate, loads)
+    plan = scale_down(DEPLOYMENTS_BY_NAME[deployment], scale, rate, loads)
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(_run(plan, Path(folder), seed, seconds, schedule))
 
 
-def reduced(
+def scale_down(
     deployment: Deployment, scale: float, rate: float, loads: Iterable[str]
 ) -> Deployment:
     """Return a smaller deployment with some of its loads."""
@@ -93,7 +93,7 @@
         service._replace(
             targets=max(2, math.floor(service.targets * scale)),
             loads=tuple(
-                _scaled(load, scale, rate)
+                _scale_load(load, scale, rate)
                 for load in service.loads
                 if load["kind"] in kinds
             ),
@@ -103,7 +103,7 @@
     return deployment._replace(services=services)
 
 
-def _scaled(load: LoadPlan, scale: float, rate: float) -> LoadPlan:
+def _scale_load(load: LoadPlan, scale: float, rate: float) -> LoadPlan:
     scaled: LoadPlan = {**load, "callers": max(2, round(load["callers"] * scale))}
     if "rate" in load:
         scaled["rate"] = load["rate"] * scale * rate
@@ -115,10 +115,10 @@
     folder: Path,
     seed: int,
     seconds: float,
-    schedule: Sequence[Injected],
+    schedule: Sequence[ScheduledFault],
 ) -> list[Figure]:
     async with Cluster(deployment, folder, seed) as cluster:
-        await asyncio.sleep(WARMING)
+        await asyncio.sleep(WARMUP_SECONDS)
         loads = [
             await cluster.run_loads([service.name]) for service in deployment.services
         ]
@@ -130,23 +130,27 @@
         await stage.end()
         ledgers = [*await cluster.ledgers(), *stage.ledgers_of_killed]
     evidence = Evidence(tuple(ledgers), tuple(results))
-    return [*_breaches(evidence), *_of_stage(stage), *_of_load(evidence, stage)]
+    return [
+        *_violation_figures(evidence),
+        *_stage_figures(stage),
+        *_load_figures(evidence, stage),
+    ]
 
 
-async def _inject(stage: Stage, item: Injected) -> None:
+async def _inject(stage: Stage, item: ScheduledFault) -> None:
     await asyncio.sleep(item.at)
-    async with asyncio.timeout(INJECTION_LIMIT):
+    async with asyncio.timeout(INJECTION_TIMEOUT_SECONDS):
         await injections_by_name[item.fault](stage, **item.arguments)
-    await asyncio.sleep(RECOVERY)
+    await asyncio.sleep(RECOVERY_SECONDS)
 
 
-def _breaches(evidence: Evidence) -> list[Figure]:
+def _violation_figures(evidence: Evidence) -> list[Figure]:
     """Count the breaches of each invariant, zero ones too."""
     found = Counter(violation.rule for violation in check(evidence))
     return [Figure(rule, found[rule], "count") for rule in checks_by_rule]
 
 
-def _of_stage(stage: Stage) -> list[Figure]:
+def _stage_figures(stage: Stage) -> list[Figure]:
     figures = []
     if stage.last_work_by_leaving:
         last = max(stage.last_work_by_leaving.values())
@@ -160,7 +164,7 @@
     return figures
 
 
-def _of_load(evidence: Evidence, stage: Stage) -> list[Figure]:
+def _load_figures(evidence: Evidence, stage: Stage) -> list[Figure]:
     """Return the figures of the first service, where the faults are."""
     service = stage.cluster.deployment.services[0]
     records = [
@@ -181,7 +185,7 @@
         Figure("refused share", refused / total, "share"),
         Figure("unknown share", unknown / total, "share"),
         *_latencies(evidence, service),
-        *_imbalance(evidence, service, stage.hit),
+        *_imbalance(evidence, service, stage.affected_targets),
     ]
 
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/fabric.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/fabric.py
@@ -26,11 +26,11 @@
 __all__ = ["Fabric", "FabricSettings", "Faults", "main"]
 
 MAX_CALLERS = 4096
-MAX_IDLE = 300.0
-MAX_DATAGRAM = 65535
-BATCH = 64
-SOCKET_BUFFER = 1 << 21
-SWEEP_INTERVAL = 5.0
+MAX_IDLE_SECONDS = 300.0
+MAX_DATAGRAM_BYTES = 65535
+DATAGRAMS_PER_READ = 64
+SOCKET_BUFFER_BYTES = 1 << 21
+SWEEP_INTERVAL_SECONDS = 5.0
 
 
 class FabricSettings(TypedDict, total=False):
@@ -101,7 +101,7 @@
         self._timer: asyncio.TimerHandle | None = None
         for service in services:
             self._bind(service)
-        self._sweeper = self._loop.call_later(SWEEP_INTERVAL, self._sweep)
+        self._sweeper = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     @property
     def addresses_by_service(self) -> dict[str, str]:
@@ -153,9 +153,9 @@
 
     def _read_callers(self, public: socket.socket) -> None:
         port = public.getsockname()[1]
-        for _ in range(BATCH):
+        for _ in range(DATAGRAMS_PER_READ):
             try:
-                data, address = public.recvfrom(MAX_DATAGRAM)
+                data, address = public.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             self.counts["from_callers"] += 1
@@ -163,15 +163,15 @@
             if caller is None or caller.silent or not self.entries:
                 self.counts["swallowed"] += 1
                 continue
-            for wait in self._waits():
+            for wait in self._draw_delays():
                 entry = self._rng.choice(self.entries)
                 self.counts[f"to_entry_{entry}"] += 1
                 self._send(wait, caller.relay, data, (entry, port))
 
     def _read_entries(self, caller: Caller) -> None:
-        for _ in range(BATCH):
+        for _ in range(DATAGRAMS_PER_READ):
             try:
-                data, (_, port) = caller.relay.recvfrom(MAX_DATAGRAM)
+                data, (_, port) = caller.relay.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError:
@@ -182,7 +182,7 @@
             if public is None or caller.silent:
                 self.counts["swallowed"] += 1
                 continue
-            for wait in self._waits():
+            for wait in self._draw_delays():
                 self._send(wait, public, data, caller.address)
 
     def _caller(self, address: tuple[str, int]) -> Caller | None:
@@ -196,7 +196,7 @@
         caller.last_used = self._loop.time()
         return caller
 
-    def _waits(self) -> list[float]:
+    def _draw_delays(self) -> list[float]:
         """Draw the fate of one datagram: when each of its copies is sent."""
         faults, rng = self.faults, self._rng
         if faults.loss and rng.random() < faults.loss:
@@ -220,9 +220,9 @@
         self._sequence += 1
         due = self._loop.time() + wait
         heapq.heappush(self._waiting, (due, self._sequence, via, data, to))
-        self._arm()
+        self._schedule_timer()
 
-    def _arm(self) -> None:
+    def _schedule_timer(self) -> None:
         due = self._waiting[0][0]
         if self._timer is not None:
             if self._timer.when() <= due:
@@ -237,16 +237,16 @@
             _, _, via, data, to = heapq.heappop(self._waiting)
             _send_now(via, data, to)
         if self._waiting:
-            self._arm()
+            self._schedule_timer()
 
     def _sweep(self) -> None:
-        oldest = self._loop.time() - MAX_IDLE
+        oldest = self._loop.time() - MAX_IDLE_SECONDS
         for address, caller in list(self.callers_by_address.items()):
             if caller.last_used < oldest:
                 self._loop.remove_reader(caller.relay)
                 caller.relay.close()
                 del self.callers_by_address[address]
-        self._sweeper = self._loop.call_later(SWEEP_INTERVAL, self._sweep)
+        self._sweeper = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
 
 class AdminHandler(tornado.web.RequestHandler):
@@ -311,7 +311,7 @@
 def _udp_socket(host: str) -> socket.socket:
     result = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     result.setblocking(False)
-    result.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER)
+    result.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
     result.bind((host, 0))
     return result
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/faults.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/faults.py
@@ -30,8 +30,8 @@
 
 __all__ = ["ProxyFaults", "ProxyProcess", "main", "start"]
 
-READ_SIZE = 65536
-QUEUE_SIZE = 64
+READ_BYTES = 65536
+MAX_QUEUED_CHUNKS = 64
 """Pieces on their way in one direction; more aren't read meanwhile."""
 
 DIRECTIONS = {"up": {"up"}, "down": {"down"}, "both": {"up", "down"}, "": set()}
@@ -78,16 +78,16 @@
             self.reset()
             return
         self._writers.append(writer)
-        passing = [
-            asyncio.ensure_future(self._pass("up", reader, writer)),
-            asyncio.ensure_future(self._pass("down", upstream, self._writers[0])),
+        forwarding = [
+            asyncio.ensure_future(self._forward("up", reader, writer)),
+            asyncio.ensure_future(self._forward("down", upstream, self._writers[0])),
         ]
         try:
-            await asyncio.gather(*passing)
+            await asyncio.gather(*forwarding)
         except OSError:
             self.reset()
         finally:
-            for task in passing:
+            for task in forwarding:
                 task.cancel()
             for writer in self._writers:
                 writer.close()
@@ -100,18 +100,18 @@
                 end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             writer.transport.abort()
 
-    async def _pass(
-        self, way: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _forward(
+        self, direction: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         # A queue between reading and writing lets a delay hold each piece
         # back without limiting how many are on their way.
-        pieces: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(QUEUE_SIZE)
-        writing = asyncio.ensure_future(self._write(way, pieces, writer))
+        chunks: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_QUEUED_CHUNKS)
+        writing = asyncio.ensure_future(self._write(direction, chunks, writer))
         try:
             while True:
-                data = await reader.read(READ_SIZE)
+                data = await reader.read(READ_BYTES)
                 due = asyncio.get_running_loop().time() + self._proxy.faults.delay
-                await pieces.put((due, data))
+                await chunks.put((due, data))
                 if not data:
                     break
             await writing
@@ -120,16 +120,16 @@
 
     async def _write(
         self,
-        way: str,
-        pieces: asyncio.Queue[tuple[float, bytes]],
+        direction: str,
+        chunks: asyncio.Queue[tuple[float, bytes]],
         writer: asyncio.StreamWriter,
     ) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due, data = await pieces.get()
+            due, data = await chunks.get()
             await asyncio.sleep(max(0.0, due - loop.time()))
-            await self._proxy.passable.wait()
-            if way in self.silent:
+            await self._proxy.unblocked.wait()
+            if direction in self.silent:
                 # Also the end of the stream is swallowed: the other side
                 # must not notice anything.
                 if not data:
@@ -138,7 +138,7 @@
             if not data:
                 writer.write_eof()
                 return
-            self._proxy.bytes_by_direction[way] += len(data)
+            self._proxy.bytes_by_direction[direction] += len(data)
             writer.write(data)
             await writer.drain()
 
@@ -151,10 +151,10 @@
         self.faults = ProxyFaults()
         self.address = Address(host, port)
         self.connections: set[Connection] = set()
-        self.taken = 0
+        self.accepted = 0
         self.bytes_by_direction = {"up": 0, "down": 0}
-        self.passable = asyncio.Event()
-        self.passable.set()
+        self.unblocked = asyncio.Event()
+        self.unblocked.set()
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> None:
@@ -167,9 +167,9 @@
         """Change the faults and what follows from them."""
         self.faults = faults
         if faults.hang:
-            self.passable.clear()
+            self.unblocked.clear()
         else:
-            self.passable.set()
+            self.unblocked.set()
         if faults.refuse and self._server is not None:
             self._server.close()
             self._server = None
@@ -190,7 +190,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         connection = Connection(self, writer)
-        self.taken += 1
+        self.accepted += 1
         self.connections.add(connection)
         try:
             await connection.run(reader)
@@ -216,7 +216,7 @@
             {
                 "faults": proxy.faults._asdict(),
                 "open": len(proxy.connections),
-                "taken": proxy.taken,
+                "taken": proxy.accepted,
                 "bytes": proxy.bytes_by_direction,
             }
         )
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/injections.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/injections.py
@@ -24,7 +24,7 @@
 
 __all__ = ["Injection", "Stage", "injection", "injections_by_name"]
 
-WATCH_INTERVAL = 0.1
+WATCH_INTERVAL_SECONDS = 0.1
 
 
 class Stage:
@@ -52,7 +52,7 @@
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
-        self.hit: set[str] = set()
+        self.affected_targets: set[str] = set()
         self.ledgers_of_killed: list[dict[str, Any]] = []
         self.last_work_by_leaving: dict[str, float] = {}
         self.seconds_to_in_force: list[float] = []
@@ -66,7 +66,7 @@
 
     def watch_leaving(self, target: str) -> None:
         """Note from now on when a leaving target last started work."""
-        self.hit.add(target)
+        self.affected_targets.add(target)
         self._watchers.append(asyncio.create_task(self._watch(target)))
 
     async def set_store_faults(self, **fields: Any) -> None:
@@ -93,7 +93,7 @@
             if started is not None and count > started:
                 self.last_work_by_leaving[target] = time.monotonic() - left_at
             started = count
-            await asyncio.sleep(WATCH_INTERVAL)
+            await asyncio.sleep(WATCH_INTERVAL_SECONDS)
 
 
 Injection = Callable[..., Awaitable[None]]
@@ -131,7 +131,7 @@
 ) -> None:
     """Kill an agent; start it again after ``back`` seconds, never if 0."""
     name = stage.name(service, number)
-    stage.hit.add(name)
+    stage.affected_targets.add(name)
     await asyncio.to_thread(stage.cluster.agents_by_name.pop(name).kill)
     if back:
         await asyncio.sleep(back)
@@ -143,7 +143,7 @@
     stage: Stage, service: str = "", number: int = 1, seconds: float = 5.0
 ) -> None:
     name = stage.name(service, number)
-    stage.hit.add(name)
+    stage.affected_targets.add(name)
     process = stage.cluster.agents_by_name[name]
     process.pause()
     await asyncio.sleep(seconds)
@@ -175,7 +175,7 @@
 @injection("target-killed")
 async def _kill_target(stage: Stage, service: str = "", number: int = 1) -> None:
     name = stage.name(service, number)
-    stage.hit.add(name)
+    stage.affected_targets.add(name)
     stage.ledgers_of_killed.append(await stage.cluster.kill_target(name))
 
 
@@ -189,7 +189,7 @@
 ) -> None:
     """Change a target's behaviour, such as slow or shedding, for a while."""
     name = stage.name(service, number)
-    stage.hit.add(name)
+    stage.affected_targets.add(name)
     await stage.cluster.control_target(name, **behaviour)
     await asyncio.sleep(seconds)
     usual = {"slowness": 1.0, "shed_share": 0.0, "health": "honest", "load": "honest"}
@@ -215,7 +215,7 @@
             return
         except (OSError, GRPCError, StreamTerminatedError):
             # A daemon that was asked has just been killed by another fault.
-            await asyncio.sleep(WATCH_INTERVAL)
+            await asyncio.sleep(WATCH_INTERVAL_SECONDS)
 
 
 @injection("operators-race")
@@ -232,7 +232,7 @@
             configurations.commit(
                 store,
                 base,
-                _marked(base.document, f"raced-{mark}"),
+                _change_drain(base.document, f"raced-{mark}"),
                 mark,
                 configurations.new_operation(),
             )
@@ -311,7 +311,7 @@
     return document._replace(services_by_name=services)
 
 
-def _marked(document: Document, mark: str) -> Document:
+def _change_drain(document: Document, mark: str) -> Document:
     """Return a document that differs from those of the other operators."""
     drain = float(60 + zlib.crc32(mark.encode()) % 1000)
     services = {
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/processes.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/processes.py
@@ -38,7 +38,7 @@
 ADMIN_TIMEOUT = 10.0
 """Seconds that an admin address has to answer."""
 
-READ_SIZE = 65536
+READ_BYTES = 65536
 
 SET_PARENT_DEATH_SIGNAL = 1
 """Operation of prctl(2)."""
@@ -250,7 +250,7 @@
             left = deadline - time.monotonic()
             if left <= 0 or not selector.select(left):
                 raise NotReadyError(f"not ready after {timeout} s")
-            chunk = os.read(popen.stdout.fileno(), READ_SIZE)
+            chunk = os.read(popen.stdout.fileno(), READ_BYTES)
             if not chunk:
                 raise NotReadyError(f"ended before it was ready: {data!r}")
             data += chunk
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/relay.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/relay.py
@@ -14,8 +14,8 @@
 
 __all__ = ["main", "serve"]
 
-BATCH = 64
-LONGEST_DATAGRAM = 65535
+DATAGRAMS_PER_READ = 64
+MAX_DATAGRAM_BYTES = 65535
 
 
 def main(argv: list[str] | None = None) -> None:
@@ -44,9 +44,9 @@
     outward.setblocking(False)
 
     def readable() -> None:
-        for _ in range(BATCH):
+        for _ in range(DATAGRAMS_PER_READ):
             try:
-                data, _ = inward.recvfrom(LONGEST_DATAGRAM)
+                data, _ = inward.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             outward.sendto(data, to)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/soak/__init__.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/soak/__init__.py
@@ -5,8 +5,8 @@
 deployment of real processes is the caller's.
 """
 
-from .judges import Judge, Touch
 from .relays import Disturbance, Relays
 from .schedules import Fault, draw, shrink
+from .verification import Disruption, Verifier
 
-__all__ = ["Disturbance", "Fault", "Judge", "Relays", "Touch", "draw", "shrink"]
+__all__ = ["Disturbance", "Fault", "Verifier", "Relays", "Disruption", "draw", "shrink"]
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/soak/relays.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/soak/relays.py
@@ -13,20 +13,20 @@
 
 __all__ = ["Disturbance", "Relays"]
 
-DATAGRAM_MOST = 65_536
-DATAGRAMS_READ = 64
+MAX_DATAGRAM_BYTES = 65_536
+DATAGRAMS_PER_READ = 64
 """Datagrams read from a socket at a time, so that none has to wait for long."""
 
 
 class Disturbance(NamedTuple):
     """What happens to datagrams between two daemons.
 
-    ``lost`` and ``doubled`` are shares, ``delay`` is the longest in seconds; each
+    ``lost`` and ``duplicated`` are shares, ``delay`` is the longest in seconds; each
     datagram's is drawn, so they overtake each other.
     """
 
     lost: float = 0.0
-    doubled: float = 0.0
+    duplicated: float = 0.0
     delay: float = 0.0
 
 
@@ -63,13 +63,13 @@
 
     async def add(self, address: str) -> None:
         """Relay to the daemon at an address."""
-        opened = self._bound(address, self.port)
+        opened = self._bind(address, self.port)
         asyncio.get_running_loop().add_reader(opened, self._read, opened, address)
 
         async def connected(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            await self._join(reader, writer, address)
+            await self._forward_connection(reader, writer, address)
 
         server = await asyncio.start_server(connected, address, self.port)
         self._servers.append(server)
@@ -82,7 +82,7 @@
             asyncio.get_running_loop().remove_reader(each)
             each.close()
 
-    def _bound(self, address: str, port: int) -> socket.socket:
+    def _bind(self, address: str, port: int) -> socket.socket:
         opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         opened.setblocking(False)
         opened.bind((address, port))
@@ -90,9 +90,9 @@
         return opened
 
     def _read(self, opened: socket.socket, address: str) -> None:
-        for _ in range(DATAGRAMS_READ):
+        for _ in range(DATAGRAMS_PER_READ):
             try:
-                data, (sender, _) = opened.recvfrom(DATAGRAM_MOST)
+                data, (sender, _) = opened.recvfrom(MAX_DATAGRAM_BYTES)
             except (BlockingIOError, ConnectionRefusedError):
                 return
             self._disturb(sender, address, data)
@@ -101,23 +101,23 @@
         now = self.disturbance
         if (sender, address) in self.cut or self._rng.random() < now.lost:
             return
-        for _ in range(2 if self._rng.random() < now.doubled else 1):
+        for _ in range(2 if self._rng.random() < now.duplicated else 1):
             delay = now.delay * self._rng.random()
             asyncio.get_running_loop().call_later(
-                delay, self._pass_on, sender, address, data
+                delay, self._forward, sender, address, data
             )
 
-    def _pass_on(self, sender: str, address: str, data: bytes) -> None:
+    def _forward(self, sender: str, address: str, data: bytes) -> None:
         out = self._out_by_sender.get(sender)
         if out is None:
-            out = self._out_by_sender[sender] = self._bound(sender, self._out_port)
+            out = self._out_by_sender[sender] = self._bind(sender, self._out_port)
         try:
             out.sendto(data, (address, self._inner_port))
         except OSError:
             # Nobody listens there now; a network would lose it too.
             return
 
-    async def _join(
+    async def _forward_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, address: str
     ) -> None:
         """Pass the bytes of a connection on in both directions."""
@@ -131,7 +131,7 @@
 
 async def _copy(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     try:
-        while data := await reader.read(DATAGRAM_MOST):
+        while data := await reader.read(MAX_DATAGRAM_BYTES):
             writer.write(data)
             await writer.drain()
     except OSError:
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/soak/schedules.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/soak/schedules.py
@@ -8,10 +8,10 @@
 
 __all__ = ["Fault", "draw", "shrink"]
 
-FAULTS_A_SECOND = 0.7
+FAULTS_PER_SECOND = 0.7
 """So that most of them overlap with another one."""
 
-OUTAGES = (0.0, 0.05, 0.3, 1.0, 2.5)
+OUTAGE_SECONDS = (0.0, 0.05, 0.3, 1.0, 2.5)
 """Seconds that something is away; flows may be lost after 4 s of silence."""
 
 
@@ -19,24 +19,24 @@
     """One thing that goes wrong.
 
     ``at`` is in seconds of the soak, ``place`` chooses among what the kind may
-    strike, ``lasts`` is in seconds.
+    strike, ``duration`` is in seconds.
     """
 
     at: float
     kind: str
     place: int
-    lasts: float
+    duration: float
 
 
 def draw(seed: int, seconds: float, kinds: Sequence[str]) -> list[Fault]:
     """Return the faults of a seed, the first one first."""
     rng = random.Random(seed)
     faults = []
-    at = rng.expovariate(FAULTS_A_SECOND)
+    at = rng.expovariate(FAULTS_PER_SECOND)
     while at < seconds:
-        place, lasts = rng.randrange(1 << 16), rng.choice(OUTAGES)
-        faults.append(Fault(round(at, 3), rng.choice(kinds), place, lasts))
-        at += rng.expovariate(FAULTS_A_SECOND)
+        place, duration = rng.randrange(1 << 16), rng.choice(OUTAGE_SECONDS)
+        faults.append(Fault(round(at, 3), rng.choice(kinds), place, duration))
+        at += rng.expovariate(FAULTS_PER_SECOND)
     return faults
 
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/stores.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/stores.py
@@ -34,9 +34,9 @@
 
 __all__ = ["StoreFaults", "StoreProcess", "main", "start"]
 
-BODY_LIMIT = 64 * 1024 * 1024
-OPERATIONS_LIMIT = 128
-EXPIRE_INTERVAL = 0.1
+MAX_BODY_BYTES = 64 * 1024 * 1024
+MAX_TXN_OPERATIONS = 128
+EXPIRY_INTERVAL_SECONDS = 0.1
 
 COMPACTED = "etcdserver: mvcc: required revision has been compacted"
 
@@ -103,7 +103,7 @@
         elif before.outage == "refuse":
             self._listen()
 
-    def loses(self, keys: Iterable[bytes]) -> bool:
+    def should_lose_answer(self, keys: Iterable[bytes]) -> bool:
         """Tell whether the answer of a write to these keys is to be lost."""
         prefix = self.faults.lose_prefix.encode()
         if not self.faults.lose or not any(key.startswith(prefix) for key in keys):
@@ -115,13 +115,13 @@
         """End lapsed leases, for ever."""
         while True:
             self.keyspace.expire(time.monotonic())
-            await asyncio.sleep(EXPIRE_INTERVAL)
+            await asyncio.sleep(EXPIRY_INTERVAL_SECONDS)
 
     def _listen(self) -> None:
         host, port = self.address
         sockets = bind_sockets(port, host, socket.AF_INET)
         self.address = sockets[0].getsockname()[:2]
-        self._http = HTTPServer(self._application, max_body_size=BODY_LIMIT)
+        self._http = HTTPServer(self._application, max_body_size=MAX_BODY_BYTES)
         self._http.add_sockets(sockets)
 
     async def _refuse(self) -> None:
@@ -151,7 +151,9 @@
         if server.faults.outage:
             await self._hang()
             return
-        if kind in ("put", "txn", "deleterange") and server.loses(written_keys(body)):
+        if kind in ("put", "txn", "deleterange") and server.should_lose_answer(
+            written_keys(body)
+        ):
             if server.faults.late:
                 loop = asyncio.get_running_loop()
                 loop.call_later(server.faults.late, self._run, kind, body)
@@ -174,7 +176,7 @@
 
     async def _hang(self) -> None:
         while self.server.faults.outage == "hang":
-            await asyncio.sleep(EXPIRE_INTERVAL)
+            await asyncio.sleep(EXPIRY_INTERVAL_SECONDS)
         self._drop()
 
     def _drop(self) -> None:
@@ -220,7 +222,7 @@
         compares = [compare_of(item) for item in body.get("compare", ())]
         succeeded = all(keyspace.holds(compare) for compare in compares)
         operations = body.get("success" if succeeded else "failure", ())
-        if max(len(compares), len(operations)) > OPERATIONS_LIMIT:
+        if max(len(compares), len(operations)) > MAX_TXN_OPERATIONS:
             raise ValueError("etcdserver: too many operations in txn request")
         puts = [
             put_of(item["request_put"]) for item in operations if "request_put" in item
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/target.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/target.py
@@ -31,10 +31,10 @@
 
 __all__ = ["Behaviour", "Target", "TargetSettings", "export_digest", "main"]
 
-CHUNK = 65536
-MAX_BODY = 1 << 20
+CHUNK_BYTES = 65536
+MAX_BODY_BYTES = 1 << 20
 EVENT_STREAM = "text/event-stream"
-RESUMABLE = 10_000
+MAX_RESUMED_EVENTS = 10_000
 """Events of the past that a feed can be resumed from."""
 
 BIND_ATTEMPTS = 20
@@ -47,11 +47,11 @@
     def initialize(self, target: Target) -> None:
         """Keep the target that serves the request."""
         self.target = target
-        self.gone = asyncio.Event()
+        self.cancelled = asyncio.Event()
 
     def on_connection_close(self) -> None:
         """Notice that the request was cancelled."""
-        self.gone.set()
+        self.cancelled.set()
 
     def refuse(self, reason: str) -> None:
         """Answer that the request was not run."""
@@ -61,7 +61,7 @@
         self.set_header("zinniahook-outcome", "not-run")
         self.finish({"error": reason})
 
-    async def enter(self) -> bool:
+    async def admit(self) -> bool:
         """Take a slot, unless the request is shed, cancelled or too late."""
         if self.target.shed():
             self.refuse("shed")
@@ -69,7 +69,7 @@
         deadline = float(self.request.headers.get("zinniahook-deadline", "inf"))
         arrived = time.monotonic()
         await self.target.take_slot()
-        if self.gone.is_set():
+        if self.cancelled.is_set():
             self.target.free_slot()
             self.target.counts["cancelled_before"] += 1
             return False
@@ -83,7 +83,7 @@
         """Work, and return whether the work was finished, not cancelled."""
         began = time.monotonic()
         try:
-            await asyncio.wait_for(self.gone.wait(), seconds)
+            await asyncio.wait_for(self.cancelled.wait(), seconds)
         except TimeoutError:
             return True
         finally:
@@ -104,7 +104,7 @@
             ticket = str(json.loads(self.request.body)["ticket"])
         except (ValueError, KeyError, TypeError) as error:
             raise tornado.web.HTTPError(400, "no ticket") from error
-        if not await self.enter():
+        if not await self.admit():
             return
         target = self.target
         try:
@@ -160,8 +160,8 @@
         await self.flush()
         now = int(time.time() / every)
         last = self.request.headers.get("Last-Event-ID", "")
-        number = max(int(last), now - RESUMABLE) if last.isdecimal() else now
-        while not self.gone.is_set():
+        number = max(int(last), now - MAX_RESUMED_EVENTS) if last.isdecimal() else now
+        while not self.cancelled.is_set():
             number += 1
             await self._pause(number * every - time.time())
             line = json.dumps(self._line(number))
@@ -171,7 +171,7 @@
     async def _send_lines(self, every: float, count: int) -> None:
         self.set_header("Content-Type", "application/x-ndjson")
         number = 0
-        while not self.gone.is_set():
+        while not self.cancelled.is_set():
             number += 1
             self.write(json.dumps(self._line(number)) + "\n")
             await self.flush()
@@ -188,7 +188,7 @@
         if seconds <= 0:
             return
         try:
-            await asyncio.wait_for(self.gone.wait(), seconds)
+            await asyncio.wait_for(self.cancelled.wait(), seconds)
         except TimeoutError:
             pass
 
@@ -198,8 +198,8 @@
 
     async def get(self, _: str) -> None:
         """Send ``size`` bytes; ``x-digest`` is their SHA-256."""
-        size = int(self.get_query_argument("size", str(CHUNK)))
-        if not await self.enter():
+        size = int(self.get_query_argument("size", str(CHUNK_BYTES)))
+        if not await self.admit():
             return
         target = self.target
         target.counts["started_export"] += 1
@@ -221,7 +221,7 @@
     async def _send(self, size: int) -> None:
         block = export_block(self.target.service)
         rate = self.target.behaviour["export_rate"]
-        for offset in range(0, size, CHUNK):
+        for offset in range(0, size, CHUNK_BYTES):
             part = block[: size - offset]
             self.write(part)
             await self.flush()
@@ -293,19 +293,19 @@
 
 def application(target: Target) -> tornado.web.Application:
     """Return the application that callers reach."""
-    given = {"target": target}
+    arguments = {"target": target}
     return tornado.web.Application(
         [
-            (r"/(tickets|loans|renewals)", TicketHandler, given),
-            (r"/(?:tally|loans|requests)/feed", FeedHandler, given),
-            (r"/(ledger|catalogue)", ExportHandler, given),
-            (r"/(health|load)", HealthHandler, given),
+            (r"/(tickets|loans|renewals)", TicketHandler, arguments),
+            (r"/(?:tally|loans|requests)/feed", FeedHandler, arguments),
+            (r"/(ledger|catalogue)", ExportHandler, arguments),
+            (r"/(health|load)", HealthHandler, arguments),
         ],
         log_function=lambda handler: None,
     )
 
 
-def _bind_both() -> tuple[socket.socket, socket.socket]:
+def _bind_tcp_and_udp() -> tuple[socket.socket, socket.socket]:
     """Return a listening TCP socket and a UDP socket on the same port."""
     for _ in range(BIND_ATTEMPTS):
         (public,) = bind_sockets(0, LOOPBACK, socket.AF_INET)
@@ -331,8 +331,8 @@
         random.Random(settings.get("seed", 0)),
         **settings.get("behaviour", {}),
     )
-    public, counter = _bind_both()
-    HTTPServer(application(target), max_body_size=MAX_BODY).add_sockets([public])
+    public, counter = _bind_tcp_and_udp()
+    HTTPServer(application(target), max_body_size=MAX_BODY_BYTES).add_sockets([public])
     admin = bind_sockets(0, LOOPBACK, socket.AF_INET)
     routes = [(r"/([a-z-]+)", AdminHandler, {"target": target})]
     HTTPServer(
--- a/packages/zinniahook-testkit/tests/test_soak_parts.py
+++ b/packages/zinniahook-testkit/tests/test_soak_parts.py
@@ -4,7 +4,7 @@
 import random
 import socket
 
-from zinniahook_testkit.soak import Disturbance, Fault, Judge, Relays, draw, shrink
+from zinniahook_testkit.soak import Disturbance, Fault, Relays, Verifier, draw, shrink
 
 FLOW = b"f" * 12
 KINDS = ["kill", "cut", "pause"]
@@ -36,45 +36,45 @@
 
 class TestJudgement:
     def test_a_reset_of_a_held_flow_is_found(self):
-        judge = Judge()
-        judge.reset(10.0, FLOW, "10.0.0.1", "10.0.0.2")
-        assert len(judge.findings(20.0, {})) == 1
+        verifier = Verifier()
+        verifier.record_reset(10.0, FLOW, "10.0.0.1", "10.0.0.2")
+        assert len(verifier.violations(20.0, {})) == 1
 
     def test_not_while_its_sender_or_holder_may_know_too_little(self):
         for address in ("10.0.0.1", "10.0.0.2", ""):
-            judge = Judge()
-            judge.touched(address, 5.0, 7.0)
-            judge.reset(10.0, FLOW, "10.0.0.1", "10.0.0.2")
-            assert judge.findings(20.0, {}) == []
-            judge.reset(11.5, FLOW, "10.0.0.1", "10.0.0.2")
-            assert len(judge.findings(20.0, {})) == 1
+            verifier = Verifier()
+            verifier.record_disruption(address, 5.0, 7.0)
+            verifier.record_reset(10.0, FLOW, "10.0.0.1", "10.0.0.2")
+            assert verifier.violations(20.0, {}) == []
+            verifier.record_reset(11.5, FLOW, "10.0.0.1", "10.0.0.2")
+            assert len(verifier.violations(20.0, {})) == 1
 
     def test_openings_at_a_target_that_left_some_time_ago(self):
-        judge = Judge()
-        judge.left("10.0.0.1", 5.0, 12.0)
+        verifier = Verifier()
+        verifier.record_leaving("10.0.0.1", 5.0, 12.0)
         for at in (7.9, 12.0):
-            judge.opened(at, FLOW, "10.0.0.1")
-        assert judge.findings(20.0, {}) == []
-        judge.opened(8.0, FLOW, "10.0.0.1")
-        assert judge.findings(20.0, {}) == [
+            verifier.record_opening(at, FLOW, "10.0.0.1")
+        assert verifier.violations(20.0, {}) == []
+        verifier.record_opening(8.0, FLOW, "10.0.0.1")
+        assert verifier.violations(20.0, {}) == [
             "opening at a leaving target: 10.0.0.1 at 8.00"
         ]
 
     def test_openings_in_an_evacuated_data_centre(self):
-        judge = Judge()
-        judge.evacuated("10.0.0.1", 5.0, 20.0)
-        judge.opened(9.9, FLOW, "10.0.0.1")
-        assert judge.findings(30.0, {}) == []
-        judge.opened(10.0, FLOW, "10.0.0.1")
-        assert len(judge.findings(30.0, {})) == 1
+        verifier = Verifier()
+        verifier.record_evacuation("10.0.0.1", 5.0, 20.0)
+        verifier.record_opening(9.9, FLOW, "10.0.0.1")
+        assert verifier.violations(30.0, {}) == []
+        verifier.record_opening(10.0, FLOW, "10.0.0.1")
+        assert len(verifier.violations(30.0, {})) == 1
 
     def test_a_flow_that_strays(self):
-        judge = Judge()
-        judge.foreign += [(at, FLOW, "10.0.0.1") for at in (1.0, 1.5, 2.5)]
-        assert len(judge.findings(20.0, {FLOW: "10.0.0.2"})) == 1
-        assert judge.findings(20.0, {}) == []
-        judge.owned.append((2.0, FLOW))
-        assert judge.findings(20.0, {FLOW: "10.0.0.2"}) == []
+        verifier = Verifier()
+        verifier.foreign += [(at, FLOW, "10.0.0.1") for at in (1.0, 1.5, 2.5)]
+        assert len(verifier.violations(20.0, {FLOW: "10.0.0.2"})) == 1
+        assert verifier.violations(20.0, {}) == []
+        verifier.owned.append((2.0, FLOW))
+        assert verifier.violations(20.0, {FLOW: "10.0.0.2"}) == []
 
 
 class Ends:
@@ -127,7 +127,7 @@
         assert asyncio.run(Ends(Disturbance()).arrived(5, 5)) == [0, 1, 2, 3, 4]
 
     def test_doubled_and_overtaking(self):
-        ends = Ends(Disturbance(doubled=1.0, delay=0.05))
+        ends = Ends(Disturbance(duplicated=1.0, delay=0.05))
         found = asyncio.run(ends.arrived(20, 40))
         assert sorted(found) == sorted([*range(20), *range(20)])
         assert found != sorted(found)
