--- a/conftest.py
+++ b/conftest.py
@@ -1,12 +1,12 @@
-"""Settings of hypothesis for every test, so that a verdict never changes."""
+"""Pytest settings for every test: reproducible hypothesis runs, known failures."""
 
 import pathlib
 
 import pytest
 from hypothesis import HealthCheck, settings
 
-# The same examples each time, and nothing that depends on how busy the
-# machine is: a deadline or a slow generator failed whole runs before.
+# Every run uses the same examples, and no check depends on the machine's load:
+# deadlines and the check for slow generators made whole runs fail.
 settings.register_profile(
     "same-verdict",
     derandomize=True,
@@ -22,12 +22,12 @@
 
 
 def known_red() -> dict[str, str]:
-    """Return the causes of tests that fail for a known fault, by their names.
+    """Return the causes of tests with a known failure, by test name.
 
     Raises
     ------
     ValueError
-        If a line lacks a field.
+        If a line doesn't have five non-empty fields.
     """
     causes_by_name = {}
     text = KNOWN_RED.read_text() if KNOWN_RED.exists() else ""
@@ -42,7 +42,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let known failures pass, and fail if one of them is mended."""
+    """Mark known failures as expected, and fail if one of them passes."""
     causes_by_name = known_red()
     for item in items:
         if cause := causes_by_name.get(item.nodeid):
@@ -50,6 +50,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print what is known to be red."""
+    """Print the known failures."""
     for name, cause in known_red().items():
         terminalreporter.write_line(f"KNOWN RED {name}: {cause}")
--- a/docs/pages.py
+++ b/docs/pages.py
@@ -1,7 +1,7 @@
-"""Writes the reference pages for operators from the models and registries.
+"""Write the reference pages for operators from the models and registries.
 
 Run ``python docs/pages.py`` after a change of settings or statements; a test
-compares the pages with what this module would write.
+compares the committed pages with this module's output.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 def _with_table(page: str, table: str) -> str:
-    """Return a page of the documentation with its table computed again."""
+    """Return a documentation page with its table regenerated."""
     before, _, rest = (DOCS / page).read_text().partition(TABLE)
     _, _, after = rest.partition(TABLE_END)
     return f"{before}{TABLE}\n{table}\n\n{TABLE_END}{after}"
@@ -121,7 +121,7 @@
 
 
 def _section(model: Any, prefix: str) -> Iterator[str]:
-    """Yield a table of the plain settings, then a section for each inner one."""
+    """Yield a table of the plain settings, then a section for each nested group."""
     hints = get_type_hints(model)
     described = get_type_hints(model, include_extras=True)
     rows, inner = [], []
--- a/tests/agent_deployments.py
+++ b/tests/agent_deployments.py
@@ -1,4 +1,4 @@
-"""Entries, agents and targets as real processes, for the tests of agents."""
+"""Entries, agents and targets run as real processes, for the tests of agents."""
 
 from __future__ import annotations
 
@@ -50,21 +50,21 @@
 
 
 class Member:
-    """A target and the agent beside it."""
+    """A target and the agent in front of it."""
 
     def __init__(self, target: processes.Process, agent: processes.Process) -> None:
         self.target = target
         self.agent = agent
 
     def ledger(self) -> dict:
-        """Return the target's own record of what ran."""
+        """Return the target's own record of the requests that it ran."""
         admin = self.target.ready["admin"]
         with urllib.request.urlopen(f"http://{admin}/ledger-of-runs") as answer:
             return json.load(answer)
 
 
 class Deployment:
-    """Three entries and some agents on one machine."""
+    """Three entries and some agents on one host."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -82,7 +82,7 @@
 
     def start(self, module: str, *args: object) -> processes.Process:
         process = self.stack.enter_context(processes.start(module, *args))
-        # A graceful shutdown of all of them, one by one, would take minutes.
+        # A graceful shutdown of all processes in turn would take minutes.
         self.stack.callback(process.kill)
         return process
 
@@ -151,7 +151,7 @@
         )
 
     def stored_member(self, name: str) -> tuple[AgentState, int] | None:
-        """Return state and incarnation of an agent in the store's roster."""
+        """Return an agent's state and incarnation from the roster in the store."""
 
         async def read_member() -> tuple[AgentState, int] | None:
             store = Store((Address.parse(self.store.address),), 5.0)
@@ -169,7 +169,10 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Ask other processes until they agree; nothing here can wake us."""
+    """Poll a condition on other processes until it holds.
+
+    The processes send no notification that could replace the polling.
+    """
     async with asyncio.timeout(TIMEOUT_SECONDS):
         while not await asyncio.to_thread(condition):
             await asyncio.sleep(0.05)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small deployment of real processes, shared by the tests of a module."""
+"""Fixtures that run a small deployment of real processes."""
 
 import asyncio
 import pathlib
@@ -8,7 +8,7 @@
 from zinniahook_testkit.clusters import Cluster
 from zinniahook_testkit.deployments import LEDGER, TALLY, Deployment, ServicePlan
 
-# Lets the tests of this folder import the modules beside them.
+# Lets the tests import the helper modules in this folder.
 sys.path.insert(0, str(pathlib.Path(__file__).parent))
 
 PULSE = ServicePlan(
@@ -52,26 +52,26 @@
 
 
 class Deployed:
-    """A running cluster and the loop that it lives on."""
+    """A running cluster and the event loop that it uses."""
 
     def __init__(self, runner, cluster):
         self.cluster = cluster
         self._runner = runner
 
     def run(self, coroutine, seconds=90):
-        """Run a coroutine of a test to its end."""
+        """Run a coroutine to its end, for at most ``seconds``."""
         return self._runner.run(asyncio.wait_for(coroutine, seconds))
 
 
 @pytest.fixture(scope="module")
 def deployed(tmp_path_factory):
-    """Start the small deployment for a module."""
+    """Run the small deployment for all tests of a module."""
     yield from _deploy(tmp_path_factory)
 
 
 @pytest.fixture
 def fresh(tmp_path_factory):
-    """Start the small deployment for a test that leaves it damaged."""
+    """Run the small deployment for one test that damages it."""
     yield from _deploy(tmp_path_factory)
 
 
--- a/tests/operator_runs.py
+++ b/tests/operator_runs.py
@@ -1,4 +1,4 @@
-"""A small deployment, its load and an operator, for tests with daemons."""
+"""A small deployment with its load and an operator, for tests with daemons."""
 
 import asyncio
 import collections
@@ -15,14 +15,15 @@
 from zinniahook_testkit.deployments import TALLY, Deployment, ServicePlan
 
 TEST_TIMEOUT_SECONDS = 120.0
-"""Seconds that a test may take; nothing in it waits for a fixed time."""
+"""Limit for a whole test; the tests wait for conditions, not for fixed times."""
 
 FEEDS = {"kind": "feeds", "path": "/tally/feed", "callers": 6, "every": 0.2}
 TICKETS = {"kind": "tickets", "path": "/tickets", "callers": 4, "rate": 10.0}
 PLAN = TALLY._replace(targets=3, loads=(FEEDS, TICKETS))
 DEPLOYMENT = Deployment("small", ("east", "west"), 2, 0.0, (PLAN,))
 
-# Here a feed holds a slot like any other request, so peers share them.
+# Without classes a feed takes a slot like any other request, so agents relay
+# feeds to their peers.
 WITHOUT_CLASSES = DEPLOYMENT._replace(services=(PLAN._replace(classes=()),))
 
 PULSE = ServicePlan(name="pulse", number=2, targets=2, slots=4, protocol="udp")
@@ -30,7 +31,7 @@
 
 
 class Operator:
-    """An operator's session at a cluster."""
+    """An operator's command line session with a cluster."""
 
     def __init__(self, cluster, name="amina", patience=30.0):
         self.cluster = cluster
@@ -50,7 +51,7 @@
 
 
 def scenario_runner(tmp_path):
-    """Run a scenario that takes a cluster and an operator."""
+    """Return a function that runs a scenario with a cluster and an operator."""
 
     def start(scenario, deployment=DEPLOYMENT, kind=Cluster):
         async def run_scenario():
@@ -66,7 +67,7 @@
 
 
 async def start_load(cluster):
-    """Start the load and wait until all of it has begun."""
+    """Start the load and wait until every feed is open and tickets are filed."""
     running = await cluster.run_loads(["tally"])
     (plan,) = cluster.deployment.services
     feeds = FEEDS["callers"] if FEEDS in plan.loads else 0
@@ -82,9 +83,10 @@
 
 
 async def finish_and_check(cluster, running, reopened=0):
-    """End the load; return every breach that targets and callers recorded.
+    """End the load and return every violation that targets and callers recorded.
 
-    Nothing may have been cut, and feeds opened anew at least so often.
+    No attempt may have been cut, and callers must have reopened at least
+    ``reopened`` feeds.
     """
     results = await running.finish()
     assert all(result["records"] for result in results)
@@ -97,7 +99,7 @@
 
 
 class PartitionedCluster(Cluster):
-    """A cluster whose entry-2 reaches the store by way of a fault proxy."""
+    """A cluster whose entry-2 reaches the store through a fault proxy."""
 
     proxy = None
 
@@ -115,13 +117,13 @@
 
 
 class TreeCluster(Cluster):
-    """A cluster in which agents learn from entries, as by default."""
+    """A cluster whose agents get their configuration from entries, as by default."""
 
     watchers = 2
 
 
 async def open_flows(address):
-    """Open a plain UDP flow after the other."""
+    """Open one plain UDP flow after another."""
     loop = asyncio.get_running_loop()
     while True:
         transport, _ = await loop.create_datagram_endpoint(
@@ -133,7 +135,7 @@
 
 
 async def read_in_order(feed):
-    """Read a feed, whose events must come once and in order."""
+    """Read a feed and check that each event comes once and in order."""
     last = None
     async for event in feed:
         number = int(event.id)
@@ -142,13 +144,13 @@
 
 
 async def busiest_agent(cluster):
-    """Name the agent with the most open streams."""
+    """Return the name of the agent with the most open streams."""
     replies = await cluster.statuses()
     return max(replies, key=lambda reply: reply.streams).name
 
 
 async def supervise(cluster):
-    """Start again what ends, as the platform does."""
+    """Restart each daemon that ends, as the platform does."""
     while True:
         for name, process in list(cluster.agents_by_name.items()):
             if not process.running:
@@ -160,6 +162,6 @@
 
 
 def count_unknown_key_drops(replies):
-    """Add up the datagrams dropped for want of a key."""
+    """Return how many datagrams were dropped because their key was unknown."""
     codes = (Code.CONNECTION_ID_UNKNOWN, Code.TUNNEL_KEY_UNKNOWN)
     return sum(reply.drops_by_code.get(code, 0) for reply in replies for code in codes)
--- a/tests/test_agent_failures.py
+++ b/tests/test_agent_failures.py
@@ -1,4 +1,4 @@
-"""Agents that pause, die or hear nothing, as real processes."""
+"""Agents that are paused or killed, and entries that stop answering."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class TicketLoad:
-    """File tickets without end and note what they are told of each."""
+    """Callers that file tickets until stopped and record the reported outcomes."""
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
@@ -49,7 +49,7 @@
                 self.outcomes_by_ticket[ticket] = "unknown"
 
     async def run(self, scenario: Callable[[], Awaitable[None]]) -> None:
-        """File before, during and after a scenario."""
+        """File tickets before, during and after a scenario."""
         async with contextlib.AsyncExitStack() as stack:
             sessions = [
                 await stack.enter_async_context(self.deployment.session())
@@ -67,7 +67,7 @@
             await asyncio.gather(*filing)
 
     def check(self) -> None:
-        """Hold what was told against the targets' own records."""
+        """Compare the reported outcomes with the targets' own records."""
         runs: Counter[str] = Counter()
         for member in self.deployment.members:
             runs.update(member.ledger()["runs_by_ticket"])
@@ -79,12 +79,12 @@
 
 class TestFailure:
     def test_a_paused_agent_runs_nothing_twice(self, deployment: Deployment):
-        """An agent sleeps, is given up, and wakes with old work in hand.
+        """A paused agent resumes with requests that its peers have taken over.
 
-        Symptom: a ticket runs twice, or runs after its caller was told that
-        it hasn't. Sequence: tickets without end, SIGSTOP, the peer marks the
-        agent down and goes on, SIGCONT. Cause: a process that wakes acts on
-        an authority that it has lost.
+        Callers file tickets; the agent is stopped with SIGSTOP, its peer marks
+        it down and takes its place, then SIGCONT resumes it. If it goes on
+        without its lease, a ticket runs twice, or runs after its caller got
+        "not run".
         """
         members = [
             deployment.add_member(f"tally-{number}", service_time=0.1)
@@ -115,12 +115,12 @@
         asyncio.run(main())
 
     def test_a_killed_agent_and_its_successor(self, deployment: Deployment):
-        """An agent dies with tickets in hand, and another takes its place.
+        """An agent is killed while it runs tickets, and a new one replaces it.
 
-        Symptom: a ticket runs twice, or its caller is told "not run" though
-        it ran. Sequence: tickets without end, SIGKILL, a new agent beside
-        the same target at once. Cause: what the dead agent had claimed and
-        what it ran is known to nobody for certain.
+        Callers file tickets; the agent gets SIGKILL, and a new agent starts at
+        once for the same target. No process knows for certain which tickets
+        the killed agent had claimed or run, so a ticket could run twice, or be
+        reported as "not run" though it ran.
         """
         members = [
             deployment.add_member(f"tally-{number}", service_time=0.1)
@@ -146,12 +146,12 @@
 
 class TestSilence:
     def test_answers_leave_an_entry_that_loses_them(self, deployment: Deployment):
-        """An entry takes datagrams and sends none; the fabric doesn't notice.
+        """An entry accepts datagrams but sends none, and the fabric keeps using it.
 
-        Symptom: feeds stop for good though their callers are heard.
-        Sequence: feeds are open, one entry of three is stopped, the fabric
-        goes on spraying to it. Cause: an agent answers by way of the entry
-        that it heard last, and nothing tells it that this one is mute.
+        Feeds are open, and one of three entries is stopped with SIGSTOP. An
+        agent answers through the entry that it last received from, and gets
+        no error if that entry no longer sends. Feeds then stop for good,
+        although the callers' packets still arrive.
         """
         member = deployment.add_member("tally-0")
         path = "/tally/feed?every=0.1&count=60"
--- a/tests/test_agent_path.py
+++ b/tests/test_agent_path.py
@@ -21,7 +21,7 @@
 LEDGER_BYTES = 32 * 1024 * 1024
 
 EXPORT_BYTES_PER_SECOND = 1 << 20
-"""Bytes a second that a target sends of one export while an agent drains."""
+"""Rate at which a target sends one export in the drain test."""
 
 
 @pytest.fixture
@@ -33,7 +33,7 @@
 
 
 class OrdinaryClient(QuicConnectionProtocol):
-    """aioquic's client classes and nothing of ours."""
+    """An HTTP/3 client built only on aioquic's client classes."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
@@ -105,11 +105,11 @@
         assert len(asyncio.run(scenario())) == 300_000
 
     def test_a_large_ledger_in_little_memory(self, deployment: Deployment):
-        """A caller pulls a ledger far larger than what an agent may hold.
+        """The agent's memory must not grow with the size of an export.
 
-        Symptom: the agent grows with the ledger. Sequence: one export of
-        32 MB, the agent's peak read after it. Cause: a target writes faster
-        than a caller over QUIC reads.
+        A caller reads one export of 32 MB. The target writes faster than the
+        caller reads over QUIC, so an agent without backpressure buffers it
+        all.
         """
         member = deployment.add_member("tally-0")
         before = member.agent.resident()
@@ -145,11 +145,11 @@
 
 class TestDrain:
     def test_cuts_nothing(self, deployment: Deployment):
-        """A target leaves in the middle of tickets, a feed and a ledger.
+        """An agent drains while tickets, feeds and exports are in progress.
 
-        Symptom: a caller sees a broken answer, or a ticket runs twice.
-        Sequence: work on two agents, SIGTERM to one of them, more tickets.
-        Cause: the agent ends, or refuses what it has taken, too early.
+        Two agents have work, one of them gets SIGTERM, more tickets follow. If
+        the agent ends too early, or refuses requests that it has accepted, a
+        caller gets an incomplete answer or a ticket runs twice.
         """
         members = [
             deployment.add_member(
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -1,4 +1,4 @@
-"""Drains and restarts by operators, under feeds and tickets."""
+"""Drains and restarts by operators while feeds and tickets run."""
 
 import asyncio
 import contextlib
@@ -28,12 +28,11 @@
 
 class TestDrain:
     def test_feeds_and_tickets_go_on_through_a_drain(self, run):
-        """
-        Symptom: tallies break off and tickets fail when a target is stopped.
-        Sequence: feeds are open and tickets filed while the target with the
-        most feeds drains, to its end.
-        Cause: the agent waited only so long for feeds, which last for hours,
-        and then closed their connections.
+        """Feeds break off and tickets fail when a target is drained.
+
+        Feeds are open and tickets are filed while the target with the most
+        feeds drains to its end. An agent that waits for feeds only for a fixed
+        time closes their connections, as feeds last for hours.
         """
 
         async def scenario(cluster, amina):
@@ -50,11 +49,10 @@
         run(scenario)
 
     def test_a_drain_waits_for_a_caller_that_stays(self, run):
-        """
-        Symptom: a feed is cut when its target is stopped.
-        Sequence: a caller that opens nothing anew has a feed; its target
-        drains for longer than the operator waits.
-        Cause: the agent ended before what it ran was finished.
+        """A feed is cut because the agent ends before its requests are finished.
+
+        A caller that doesn't reopen its feed holds one open; its target drains
+        for longer than the operator waits.
         """
 
         async def scenario(cluster, amina):
@@ -76,7 +74,7 @@
                     numbers.append(json.loads(await anext(lines))["n"])
                 assert numbers == list(range(1, 42))
                 assert caller.cuts == 0
-            # Now the feed ends, as its caller wants it to.
+            # The caller has closed its feed, so the drain can end.
             answer = await amina.run(f"drain target {name}")
             assert answer.status is Status.OK
             assert answer.facts["safe"] == [name]
@@ -84,11 +82,11 @@
         run(scenario)
 
     def test_feeds_that_a_peer_runs_go_on_too(self, run):
-        """
-        Symptom: a drain doesn't end though every caller follows GOAWAY.
-        Sequence: one caller's feeds arrive at one agent, which passes some on
-        to its peers; a peer drains.
-        Cause: the peer asked only the callers of its own connections to go.
+        """A drain doesn't end although every caller follows GOAWAY.
+
+        One caller's feeds arrive at one agent, which relays some to its peers;
+        a peer drains. If the peer sends GOAWAY only on its own connections,
+        the callers of relayed feeds never move.
         """
 
         async def scenario(cluster, amina):
@@ -103,7 +101,8 @@
                     feeds.append(await stack.enter_async_context(opening))
                 readings = [asyncio.create_task(read_in_order(feed)) for feed in feeds]
                 replies = await cluster.statuses()
-                # The caller has one connection: here are only passed feeds.
+                # The caller has one connection, so agents without flows have
+                # only relayed feeds.
                 peer = max(
                     (reply for reply in replies if not reply.flows),
                     key=lambda reply: reply.busy,
@@ -122,11 +121,11 @@
         run(scenario, WITHOUT_CLASSES)
 
     def test_an_operator_ends_a_drain_sooner(self, run):
-        """
-        Symptom: a target can't be replaced for a day.
-        Sequence: a caller keeps its feed open; the drain setting is lowered
-        and the drain asked for again.
-        Cause: the end of a drain was fixed when it began.
+        """A target can't be replaced for a day, as its drain can't be shortened.
+
+        A caller keeps its feed open; the operator lowers the drain setting and
+        requests the drain again. This fails if the end of a drain is fixed
+        when it begins.
         """
 
         async def scenario(cluster, amina):
@@ -180,12 +179,11 @@
 
 class TestRestart:
     def test_everything_is_restarted_under_feeds_and_tickets(self, run):
-        """
-        Symptom: tickets are lost and feeds break off, or their events come
-        twice, during an upgrade of the whole system.
-        Sequence: each daemon drains, ends, is started again by its platform.
-        Cause: the next one was drained before the last one was back, or an
-        agent closed the connections of feeds when it ended.
+        """A rolling upgrade loses tickets, cuts feeds or repeats their events.
+
+        Each daemon drains, ends and is restarted by the platform. This fails
+        if the next daemon drains before the previous one is back, or if an
+        agent closes the connections of feeds when it ends.
         """
 
         async def scenario(cluster, amina):
@@ -205,7 +203,7 @@
             after = {reply.name: reply for reply in await cluster.statuses()}
             for name in cluster.agents_by_name:
                 assert after[name].incarnation > before[name]
-            # Every agent was left, so every feed had to move.
+            # Every agent was restarted, so every feed had to move.
             reopened = FEEDS["callers"]
             assert await finish_and_check(cluster, running, reopened) == []
 
--- a/tests/test_entry_path.py
+++ b/tests/test_entry_path.py
@@ -1,4 +1,4 @@
-"""Entries as real processes: killed, stopped, restarted and reconfigured."""
+"""Entries that are killed, stopped, restarted and reconfigured, as real processes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class LearningCluster(Cluster):
-    """A cluster whose later daemons may learn from earlier ones."""
+    """A cluster whose daemons may get their configuration from earlier entries."""
 
     def _settings(self, name: str, role: str) -> dict[str, Any]:
         settings = super()._settings(name, role)
@@ -42,7 +42,7 @@
         return settings
 
     async def store_faults(self, **faults: Any) -> None:
-        """Change how the store misbehaves."""
+        """Set the store's injected faults."""
         admin = self.store_process.ready["admin"]
         request = urllib.request.Request(
             f"http://{admin}/faults", json.dumps(faults).encode()
@@ -51,7 +51,7 @@
 
 
 class TreeCluster(LearningCluster):
-    """A cluster in which two entries watch the store for all daemons."""
+    """A cluster in which two entries watch the store on behalf of all daemons."""
 
     def _settings(self, name: str, role: str) -> dict[str, Any]:
         settings = super()._settings(name, role)
@@ -65,7 +65,7 @@
     act: Callable[[LearningCluster], Awaitable[None]],
     kind: type[LearningCluster] = LearningCluster,
 ) -> list[LoadResult]:
-    """Run a cluster, act while callers are at work, check the invariants."""
+    """Run ``act`` on a cluster under load and check the invariants."""
 
     async def run() -> list[LoadResult]:
         async with kind(DEPLOYMENT, folder) as cluster:
@@ -81,7 +81,7 @@
 
 
 def assert_no_flow_cut(results: list[LoadResult]) -> None:
-    """Hold that no flow was cut and each caller got its answer."""
+    """Assert that no flow was cut and every request was answered."""
     for result in results:
         counts = result["counts"]
         assert counts["cut_attempts"] == 0, result["path"]
@@ -103,11 +103,11 @@
 
 class TestEntryDies:
     def test_kill_breaks_no_flow(self, tmp_path):
-        """Symptom: feeds break and tickets fail as an entry dies.
+        """Feeds break and tickets fail when an entry is killed.
 
-        Sequence: two of three entries are killed under load, one after the
-        other; the fabric goes on sending to each for a while; one returns.
-        Cause: an entry would hold something of a flow that no other has.
+        Two of three entries are killed in turn under load, and one returns;
+        the fabric keeps sending to a killed entry for a while. This fails if
+        an entry holds state of a flow that no other process has.
         """
 
         async def act(cluster: LearningCluster) -> None:
@@ -121,10 +121,10 @@
 
 class TestEntryStops:
     def test_sigterm_breaks_no_flow(self, tmp_path):
-        """Symptom: a planned stop of an entry costs callers their answers.
+        """A planned stop of an entry loses answers.
 
-        Sequence: every entry is stopped and started again under load.
-        Cause: datagrams on their way to a stopping entry would be lost.
+        Every entry is stopped and started again under load. This fails if
+        datagrams on their way to a stopping entry are lost.
         """
 
         async def act(cluster: LearningCluster) -> None:
@@ -137,11 +137,11 @@
 
 class TestStoreDown:
     def test_a_new_entry_learns_from_another(self, tmp_path):
-        """Symptom: during an outage of the store no entry can be replaced.
+        """No entry can be replaced during an outage of the store.
 
-        Sequence: the store goes down under load, an entry is killed, another
-        one starts and must serve; the store comes back and a change is made.
-        Cause: the new entry would wait for the store.
+        The store goes down under load, an entry is killed, and a new one must
+        start and serve; the store comes back and a change is made. This fails
+        if the new entry waits for the store.
         """
 
         async def act(cluster: LearningCluster) -> None:
@@ -161,10 +161,10 @@
 
 class TestConfigurationChanges:
     def test_a_silent_watch_is_noticed(self, tmp_path):
-        """Symptom: an accepted change is in force on no daemon.
+        """An accepted change comes into force on no daemon.
 
-        Sequence: every open watch goes silent for good, then a change is
-        made. Cause: a connection lost track of looks like a quiet store.
+        Every open watch goes silent for good, then a change is made. A dead
+        connection looks like a store without changes.
         """
 
         async def act(cluster: LearningCluster) -> None:
@@ -175,12 +175,12 @@
         assert_no_flow_cut(run_under_load(tmp_path, act))
 
     def test_changes_go_through_few_watches(self, tmp_path):
-        """Symptom: daemons that don't watch the store keep an old generation.
+        """Daemons that don't watch the store keep an old generation.
 
-        Sequence: two entries watch for all; one of them is killed, then the
-        watches go silent, then the store is out for a while; each time a
-        change follows. Cause: those who learn from others would depend on
-        one way.
+        Two entries watch for all daemons. One of them is killed, then the
+        watches go silent, then the store is down for a while; a change follows
+        each time. This fails if a daemon depends on a single source of
+        configuration.
         """
 
         async def act(cluster: LearningCluster) -> None:
@@ -227,13 +227,13 @@
 
 
 async def make_change(cluster: Cluster) -> None:
-    """Make a change and wait until every daemon has it in force."""
+    """Commit a change and wait until it is in force on every daemon."""
     generation = await cluster.change(lambda document: document)
     await cluster.wait_for_generation(generation)
 
 
 async def assert_bound(cluster: Cluster, port: int, expected: bool) -> None:
-    """Check whether the entries hold a port on their own addresses."""
+    """Assert whether the entries have bound a port on their own addresses."""
     for number in range(1, DEPLOYMENT.entries + 1):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
             try:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""What fails, with real processes: crashes, pauses, outages, restarts."""
+"""Crashes, pauses, outages and restarts of real processes."""
 
 import asyncio
 import contextlib
@@ -32,7 +32,7 @@
 
 
 async def file_ticket(caller, ticket, deadline=DEADLINE_SECONDS):
-    """File a ticket; return it and what the caller was told."""
+    """File a ticket and return it with the outcome that the caller got."""
     try:
         answer = await caller.post(
             "/tickets", json={"ticket": ticket}, key=ticket, deadline=deadline
@@ -45,7 +45,7 @@
 
 
 async def check_outcomes(cluster, outcomes):
-    """Compare what callers were told with what the targets ran."""
+    """Compare the outcomes that callers got with the targets' records."""
     ledgers = await cluster.ledgers()
     for ticket, outcome in outcomes:
         runs = sum(ledger["runs_by_ticket"].get(ticket, 0) for ledger in ledgers)
@@ -57,7 +57,7 @@
 
 
 async def member(cluster, name):
-    """Return a member of the tally service's roster, None if it isn't in it."""
+    """Return a member of the tally service's roster, or None if it is absent."""
     item = await cluster.store.get(documents.roster_key("tally"))
     roster = documents.roster_from_json("tally", item.revision, item.value)
     return roster.by_name.get(name)
@@ -69,10 +69,10 @@
 
 
 async def busy_agent(cluster, tickets):
-    """Return the first agent of the tally service that has begun so many tickets.
+    """Return the first agent of the tally service that has started ``tickets``.
 
-    Which one that is depends on where keys and connections fall: in 16 runs
-    one agent named beforehand got one ticket of 16 once, and no more ever.
+    The agent depends on how keys and connections hash: in one of 16 runs, an agent
+    named beforehand got one of 16 tickets and never another one.
     """
     found = []
 
@@ -91,8 +91,7 @@
 
 
 async def queueing_agent(cluster):
-    """Return the first agent of the tally service whose target works and that has
-    requests waiting."""
+    """Return the first agent of the tally service with running and queued requests."""
     found = []
 
     async def queued(name):
@@ -117,12 +116,11 @@
 
 class TestKilledAgent:
     def test_a_successor_runs_no_ticket_again(self, fresh):
-        """
-        Symptom: a ticket that was in progress bills a haulier twice.
-        Sequence: the agent that runs tickets is killed and started again at
-        once; the callers go on with the same keys and reach the new one.
-        Cause: it knows nothing of its predecessor's claims and takes the
-        tickets for new ones.
+        """A ticket that was in progress during a crash runs twice.
+
+        The agent that runs tickets is killed and restarted at once; the
+        callers retry with the same keys and reach the new agent. This fails if
+        it doesn't know its predecessor's claims and runs the tickets as new.
         """
 
         async def check(cluster):
@@ -146,12 +144,12 @@
 
 class TestPausedAgent:
     def test_what_was_queued_is_not_run_past_the_fence(self, fresh):
-        """
-        Symptom: a ticket runs at a target long after its caller was told
-        otherwise, or after another target ran it.
-        Sequence: an agent with a full queue is paused; its peers mark it
-        down and take its place; callers go on elsewhere; it is resumed.
-        Cause: it goes on with its queue by an authority that it lost.
+        """A resumed agent runs queued tickets after it has lost its lease.
+
+        An agent with queued requests is paused; its peers mark it down and
+        take its place; callers go on elsewhere; it is resumed. If it goes on
+        with its queue, a ticket runs after its caller got another outcome, or
+        after another target ran it.
         """
 
         async def check(cluster):
@@ -199,13 +197,12 @@
 
 class TestStoreOutage:
     def test_an_agent_restarts_while_the_store_is_down(self, fresh):
-        """
-        Symptom: an outage of the store cuts feeds, doubles tickets, or leaves
-        a restarted agent out for good.
-        Sequence: the store goes down; an agent is killed and started again;
-        callers file tickets and read a feed; the store comes back.
-        Cause: serving waited for the store, the claims of the killed agent
-        were taken over without a proof, or the start was given up.
+        """An outage of the store cuts feeds, repeats tickets or loses an agent.
+
+        The store goes down; an agent is killed and restarted; callers file
+        tickets and read a feed; the store comes back. This fails if serving
+        waits for the store, if the claims of the killed agent are taken over
+        without proof, or if the restarted agent gives up.
         """
 
         async def check(cluster):
@@ -246,7 +243,7 @@
 
 
 async def streaming_agent(cluster):
-    """Name the agent that holds the only open connection."""
+    """Return the name of the agent that has an open stream."""
     for name in ("tally-1", "tally-2", "tally-3"):
         if (await cluster.status(cluster.agents_by_name[name])).streams:
             return name
@@ -255,12 +252,12 @@
 
 class TestRollingRestart:
     def test_streams_and_tickets_outlast_a_restart_of_all_agents(self, fresh):
-        """
-        Symptom: an upgrade cuts feeds, or bills a haulier twice.
-        Sequence: every agent of a service drains and is started again, one
-        by one, while callers file tickets and read feeds.
-        Cause: a drain ended before the streams did, or what the leaving one
-        knew of finished tickets left with it.
+        """A rolling restart cuts feeds or runs a ticket twice.
+
+        Every agent of a service drains and is restarted in turn, while callers
+        file tickets and read feeds. This fails if a drain ends before its
+        streams do, or if the results of finished tickets are lost with the
+        draining agent.
         """
 
         async def check(cluster):
@@ -285,7 +282,7 @@
                     copy += 1
                     ticket = f"rolling-{number}-{copy}"
                     outcomes.append(await file_ticket(caller, ticket))
-                    # A late copy has to find the answer wherever it arrives.
+                    # A late copy must get the same answer from any agent.
                     assert await file_ticket(caller, ticket) == (ticket, "done")
                 assert caller.cuts == 0
 
--- a/tests/test_import_cycles.py
+++ b/tests/test_import_cycles.py
@@ -1,4 +1,4 @@
-"""Modules of a package depend on each other in one direction."""
+"""Packages have no import cycles between their modules."""
 
 import ast
 from graphlib import CycleError, TopologicalSorter
@@ -11,7 +11,7 @@
 
 
 def imports(package):
-    """Return the modules of a package that each one imports, by name."""
+    """Return the modules of a package that each module imports, by module name."""
     root = PACKAGES / f"zinniahook-{package}" / "src" / f"zinniahook_{package}"
     paths_by_name = {
         ".".join(path.relative_to(root).with_suffix("").parts): path
@@ -25,7 +25,7 @@
 
 
 def imported(name, path):
-    """Return the relative imports of a module, also those for types alone."""
+    """Yield the relative imports of a module, including those only for types."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.level:
             parents = name.split(".")[: -node.level]
@@ -38,11 +38,11 @@
 class TestImportCycles:
     @pytest.mark.parametrize("package", ACYCLIC_PACKAGES)
     def test_a_package_has_none(self, package):
-        """A module that needs one which needs it can be read only with it.
+        """Modules in a cycle can only be understood together.
 
-        Imports for types alone count: a reader follows them too.
+        Imports only for types count too, as a reader follows them.
         """
         try:
             TopologicalSorter(imports(package)).prepare()
         except CycleError as error:
-            pytest.fail(f"circle: {' -> '.join(error.args[1])}")
+            pytest.fail(f"import cycle: {' -> '.join(error.args[1])}")
--- a/tests/test_main_job.py
+++ b/tests/test_main_job.py
@@ -1,4 +1,4 @@
-"""The main job in the words of the promises: see features/main_job.feature."""
+"""Step definitions of features/main_job.feature, which states the guarantees."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -11,14 +11,14 @@
 scenarios("features/main_job.feature")
 
 WORK_BETWEEN_STEPS = 40
-"""Pieces of work between two steps: enough to hit what a change broke."""
+"""Requests and flows started between two steps, enough to hit a broken part."""
 
 SERVICES = ("tally", "ledger", "pulse")
 
 
 @dataclass
 class Observed:
-    """A deployment under load, and what its records show in the end."""
+    """A deployment under load and the evidence recorded at the end."""
 
     deployed: object
     loads: list[LoadRun]
@@ -31,7 +31,7 @@
         return self.deployed.cluster
 
     async def wait_for_work(self, amount=WORK_BETWEEN_STEPS):
-        """Wait until the targets have started so much more work."""
+        """Wait until the targets have started ``amount`` more requests and flows."""
 
         async def started():
             return sum(
@@ -49,7 +49,7 @@
         await self.cluster.until(reached, f"{amount} more pieces of work")
 
     async def wait_for_no_new_work(self, target):
-        """Wait until a leaving target has had no new work for a while."""
+        """Wait until a leaving target gets no new work, and keep its ledger."""
         counts = None
         while counts != (counts := (await self.cluster.ledger(target))["counts"]):
             await self.wait_for_work(10)
@@ -154,7 +154,7 @@
         finished = await asyncio.gather(*(load.finish() for load in observed.loads))
         results = tuple(result for results in finished for result in results)
         for result in results:
-            # A rule holds of nothing, too: there must be something to judge.
+            # Every rule holds for an empty result, so require some records.
             assert result["counts"]["done"] >= 4, (result["service"], result["counts"])
         ledgers = tuple(await observed.cluster.ledgers())
         observed.evidence = Evidence(ledgers, results, observed.left)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators' statements against running daemons, under load."""
+"""Operators' statements to running daemons, under load."""
 
 import asyncio
 
@@ -32,11 +32,11 @@
 class TestInForce:
     @pytest.mark.parametrize("kind", [Cluster, TreeCluster])
     def test_a_change_is_in_force_on_every_daemon(self, run, kind):
-        """
-        Symptom: an operator is told that a change lags where it doesn't.
-        Sequence: agents learn from entries; a change is committed.
-        Cause: the daemons that entries name as subscribers, by their control
-        addresses, were looked for by their names.
+        """A daemon is reported as lagging although it has the change in force.
+
+        Agents get their configuration from entries; a change is committed.
+        Entries list their subscribers by control address, so a lookup by name
+        misses them.
         """
 
         async def scenario(cluster, amina):
@@ -50,10 +50,10 @@
         run(scenario, kind=kind)
 
     def test_a_daemon_that_lags_is_named(self, run):
-        """
-        Symptom: an operator takes a change for in force where it isn't.
-        Sequence: an agent is killed, a change is committed with a wait.
-        Cause: the store tells what was accepted, not what has arrived.
+        """A change is reported as in force on a daemon that doesn't have it.
+
+        An agent is killed, and a change is committed with a wait. The store
+        only shows that a change was accepted, not which daemons received it.
         """
 
         async def scenario(cluster, _):
@@ -70,10 +70,10 @@
         run(scenario)
 
     def test_a_daemon_that_was_paused_catches_up(self, run):
-        """
-        Symptom: a daemon goes on with an old configuration for ever.
-        Sequence: an entry is paused, a change is committed, it goes on.
-        Cause: it missed the signal and had nothing else to tell it.
+        """A daemon that was paused keeps an old configuration for ever.
+
+        An entry is paused, a change is committed, and the entry resumes. This
+        fails if the missed notification is its only source of changes.
         """
 
         async def scenario(cluster, amina):
@@ -92,11 +92,10 @@
         run(scenario)
 
     def test_a_daemon_cut_off_from_the_store_returns(self, run):
-        """
-        Symptom: after a partition an entry goes on with an old configuration,
-        or goes back to one. Sequence: its connections to the store fall
-        silent, two changes are committed, the way is open again. Cause: a
-        silent watch looks like a store in which nothing changes.
+        """After a partition an entry keeps an old configuration or returns to one.
+
+        Its connections to the store go silent, two changes are committed, and
+        the partition ends. A silent watch looks like a store without changes.
         """
 
         async def scenario(cluster, amina):
@@ -117,11 +116,11 @@
         run(scenario, kind=PartitionedCluster)
 
     def test_an_outage_during_the_rollout_delays_it_only(self, run):
-        """
-        Symptom: a change is in force on some daemons and never on the rest.
-        Sequence: watches fall silent, a change is committed, the store goes
-        down before the daemons have read it, and returns.
-        Cause: daemons waited for a signal that was lost with the outage.
+        """A change comes into force on some daemons and never on the rest.
+
+        Watches go silent, a change is committed, the store goes down before
+        the daemons have read it, and comes back. This fails if daemons wait
+        for a notification that the outage lost.
         """
 
         async def scenario(cluster, amina):
@@ -139,16 +138,18 @@
         run(scenario)
 
     def test_a_foreign_certificate_gets_nothing(self, run, tmp_path_factory):
-        """
-        Symptom: someone without a certificate of ours learns what is in force.
-        Sequence: a client with a certificate of another authority asks.
-        Cause: the control server didn't ask for a certificate.
+        """A client without a valid certificate can read what is in force.
+
+        A client with a certificate of another authority sends a status
+        request. This fails if the control server doesn't require a certificate
+        of its own authority.
         """
         folder = tmp_path_factory.mktemp("foreign")
 
         async def scenario(cluster, amina):
             files = Authority(folder).issue("mallory")
-            # It knows our authority, so only its own certificate is foreign.
+            # The client trusts the cluster's authority; only its own
+            # certificate comes from another one.
             settings = amina.settings._replace(
                 certificate=files.certificate, key=files.key
             )
@@ -165,11 +166,11 @@
 
 class TestRotation:
     def test_keys_are_rotated_under_load_without_a_broken_flow(self, run):
-        """
-        Symptom: every open flow breaks when a new key comes into use.
-        Sequence: feeds are open and tickets filed while keys are rotated.
-        Cause: daemons used the new key before others accepted it, or dropped
-        the old one that the connection ids of open flows carry.
+        """Every open flow breaks when a new key comes into use.
+
+        Feeds are open and tickets are filed while keys are rotated. This fails
+        if daemons use the new key before the others accept it, or drop the old
+        key that the connection ids of open flows were made with.
         """
 
         async def scenario(cluster, amina):
@@ -191,11 +192,11 @@
 
 class TestStages:
     def test_a_risky_change_that_breaks_flows_is_taken_back(self, run):
-        """
-        Symptom: a wrong name pattern takes a whole service down at once.
-        Sequence: `targets` is set to a pattern that no instance has; the first
-        entry to get it drops what it can't place.
-        Cause: a risky change went to every daemon before anyone looked.
+        """A wrong name pattern takes a whole service down at once.
+
+        `targets` is set to a pattern that no instance matches; the first entry
+        that gets it drops packets that it can't place. This fails if a risky
+        change reaches every daemon before its effect on the first is checked.
         """
 
         async def scenario(cluster, amina):
@@ -213,10 +214,10 @@
         run(scenario, UDP)
 
     def test_an_outage_between_stages_is_reported_as_unfinished(self, run):
-        """
-        Symptom: a change is reported as failed but is in force somewhere.
-        Sequence: the first stage is committed, then the store goes down.
-        Cause: the error of a later read was told in place of the outcome.
+        """A change is reported as failed although it is in force on some daemons.
+
+        The first stage is committed, then the store goes down. This fails if
+        the error of a later read is reported instead of the outcome.
         """
 
         async def scenario(cluster, amina):
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages of the documentation are in step with the code."""
+"""The documentation pages match the code."""
 
 import re
 import runpy
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in its folder, and the folder decides nothing."""
+"""The platform's names stay in its folder, which makes no routing decisions."""
 
 import re
 from pathlib import Path
@@ -32,7 +32,7 @@
         assert lines <= MAX_LINES
 
     def test_it_sends_no_packet(self):
-        """Whoever sends packets chooses where to; that is for the product."""
+        """Only the product may choose where packets go."""
         for path in sources(ROOT / "platform"):
             assert "sendto" not in path.read_text()
             assert "to_peer" not in path.read_text()
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes, as callers and targets see it."""
+"""The whole path from callers to targets, with real processes."""
 
 import asyncio
 import hashlib
@@ -26,10 +26,10 @@
 
 
 class LimitedBackoff(Backoff):
-    """Waits beyond any deadline after the third refusal."""
+    """A backoff that waits beyond any deadline after `MAX_ATTEMPTS` refusals."""
 
     def wait(self, attempt, least, rng):
-        """Return how long to wait after an attempt."""
+        """Return the seconds to wait after an attempt."""
         return super().wait(attempt, least, rng) if attempt < MAX_ATTEMPTS else 1e6
 
 
@@ -39,7 +39,7 @@
 
 
 async def count_started_work(cluster, service):
-    """Return how often any target of a service has started any work."""
+    """Return how much work the targets of a service have started."""
     return sum(
         count
         for ledger in await cluster.ledgers()
@@ -56,7 +56,7 @@
 
 
 class PlainClient(QuicConnectionProtocol):
-    """An ordinary HTTP/3 client; it knows nothing of zinniahook."""
+    """An HTTP/3 client without any code of zinniahook."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
@@ -120,12 +120,11 @@
         deployed.run(check(deployed.cluster))
 
     def test_copies_of_one_ticket_run_once(self, deployed):
-        """A doubled ticket bills a haulier twice.
+        """Copies of a ticket run twice, so a load is billed twice.
 
-        Symptom: the same load is billed twice.
-        Sequence: a device sends a ticket, hears nothing, and sends it again
-        under the same key over another connection while the first still runs.
-        Cause: two targets each took the copy that reached them for a new one.
+        A device sends a ticket, gets no answer, and sends it again with the
+        same key over another connection while the first copy still runs. Two
+        targets could each run the copy that reached them as a new ticket.
         """
 
         async def check(cluster):
@@ -143,13 +142,13 @@
         deployed.run(check(deployed.cluster))
 
     def test_shed_ticket_is_reported_as_not_run(self, deployed):
-        """A ticket that was told as not run bills a haulier after all.
+        """A ticket that was reported as not run is run after all.
 
-        Symptom: a clerk enters a refused ticket on paper; it is billed twice.
-        Sequence: every target sheds; the caller gives up after a refusal, as
-        it would have to wait beyond its deadline. (One whose deadline passes
-        while a try is under way is rightly told that the outcome is unknown.)
-        Cause: a copy still ran after the last refusal.
+        Every target sheds, and the caller gives up after a refusal, as the
+        next backoff would exceed its deadline. (If the deadline passes during
+        an attempt, the outcome is correctly reported as unknown.) If a copy
+        still runs after the last refusal, a clerk who has entered the ticket
+        on paper bills it twice.
         """
 
         async def check(cluster):
@@ -187,12 +186,10 @@
 
 class TestServices:
     def test_packet_of_another_service_is_dropped(self, deployed):
-        """A tally packet reaches the ledger service.
+        """A packet of the tally service reaches a target of the ledger service.
 
-        Symptom: a target serves what is not its own.
-        Sequence: datagrams of an established tally connection arrive at the
-        ledger's address.
-        Cause: the entry routed by connection id alone.
+        Datagrams of an established tally connection arrive at the ledger's
+        address. This fails if the entry routes by connection id alone.
         """
         sent = []
 
@@ -241,12 +238,11 @@
 
 class TestDrain:
     def test_the_rest_of_an_answer_still_goes_out(self, fresh):
-        """A planned stop cuts a ledger whose last bytes are on their way.
+        """A planned stop cuts an export whose last bytes are still unsent.
 
-        Symptom: a regulator's ledger ends early when a target is replaced.
-        Sequence: the target has written all of a ledger and the agent still
-        holds the rest, as the path is long; the agent is told to leave.
-        Cause: a connection counted as idle once its target had finished.
+        The target has written a whole ledger, and the agent still holds the
+        rest because the path is slow; then the agent drains. This fails if a
+        connection is considered idle as soon as its target has finished.
         """
 
         async def check(cluster):
@@ -262,7 +258,8 @@
                     )
 
                 await cluster.until(target_done, "the target has finished")
-                # One has the caller's connection, perhaps another the target.
+                # The agent with the caller's connection may not be the agent
+                # of the target that serves it.
                 for name in ("ledger-1", "ledger-2"):
                     cluster.drain_agent(name)
                 answer = await reading
@@ -273,13 +270,11 @@
         fresh.run(check(fresh.cluster))
 
     def test_an_ordinary_clients_feed_is_not_cut(self, fresh):
-        """A planned stop cuts the feed of a client that heeds no GOAWAY.
+        """A planned stop cuts the feed of a client that ignores GOAWAY.
 
-        Symptom: a foreman's tally ends when a target is replaced.
-        Sequence: a feed of aioquic's plain client is open; the agents that
-        could have its connection or its target are told to leave.
-        Cause: a leaving agent closed what was open after a deadline that was
-        shorter than a feed.
+        A feed of aioquic's plain client is open; every agent that could have
+        its connection or its target drains. This fails if a draining agent
+        closes open connections after a deadline that is shorter than a feed.
         """
 
         async def check(cluster):
@@ -292,7 +287,7 @@
                     return sum(body.count(b"\n") for body in bodies) >= least
 
                 await cluster.until(lambda: lines(10), "the feed has begun")
-                # One has its connection, perhaps another its target.
+                # The connection and the target may be at different agents.
                 agents = [cluster.drain_agent(f"tally-{n}") for n in (1, 2, 3)]
 
                 async def left():
@@ -309,13 +304,11 @@
 
 class TestSilence:
     def test_feed_goes_on_from_a_new_port(self, deployed):
-        """An open feed goes silent for good while new ones work.
+        """An open feed goes silent for good, while new feeds work.
 
-        Symptom: a foreman's screen stands still; nothing reports an error.
-        Sequence: the path loses track of one caller's port, in both
-        directions.
-        Cause: nobody looked for silence, or the flow's owner was found by
-        the caller's address.
+        The path stops forwarding one caller's port in both directions. The
+        feed stops without an error if the caller doesn't detect the silence,
+        or if the flow's owner is found by the caller's address.
         """
 
         async def check(cluster):
@@ -341,12 +334,11 @@
 
 class TestCrashes:
     def test_a_feed_goes_on_after_its_agent_was_killed(self, fresh):
-        """A feed has a gap, or shows a request twice, after a crash.
+        """A feed misses or repeats an event after a crash.
 
-        Symptom: a librarian misses requests, or files one a second time.
-        Sequence: the agent of an open feed is killed; its connection falls
-        silent; the feed is opened anew at another target.
-        Cause: the new answer began with what was due then.
+        The agent of an open feed is killed; its connection goes silent, and
+        the caller reopens the feed at another target. This fails if the new
+        answer begins with the current event instead of the next one.
         """
 
         async def check(cluster):
@@ -369,13 +361,11 @@
         fresh.run(check(fresh.cluster))
 
     def test_killed_agent_never_doubles_a_ticket(self, fresh):
-        """A crash between start and answer doubles or loses a ticket.
+        """A crash between start and answer repeats or loses a ticket.
 
-        Symptom: a ticket is billed twice, or told as not run though it ran.
-        Sequence: the agent that runs a ticket dies; the caller goes on with
-        the same key at another agent.
-        Cause: the survivors know nothing of the claim and run it again, or
-        refuse it as not run.
+        The agent that runs a ticket is killed; the caller retries with the
+        same key at another agent. If the other agents don't know of the claim,
+        they run the ticket again or report it as not run though it ran.
         """
 
         async def file(caller, ticket):
