--- a/packages/zinniahook-testkit/src/zinniahook_testkit/callers.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/callers.py
@@ -18,9 +18,9 @@
 """Seconds over which the feeds and flows of a load are opened."""
 
 LATEST = 10.0
-"""Seconds after which an event that hasn't come is missing.
+"""Seconds after which an event that hasn't arrived is considered missing.
 
-A silent connection is noticed after 7 s, and the feed then opened anew."""
+A caller detects a silent connection after 7 s and then reopens its feed."""
 
 
 @load_kind("tickets")
@@ -71,7 +71,7 @@
 
 @load_kind("exports")
 class ExportLoad(Load):
-    """Large answers, checked whole against their digest."""
+    """Large answers, whose size and digest are checked."""
 
     async def run(self) -> None:
         """Pull exports."""
@@ -118,9 +118,9 @@
 
 @load_kind("feeds")
 class FeedLoad(Load):
-    """Long-lived feeds that must go on, event by event, until stopped.
+    """Long-lived feeds that must get each event in order until they are stopped.
 
-    Latency is how late an event came, by the clock that its id is made from.
+    The latency of an event counts from its due time, which follows from its id.
     """
 
     async def run(self) -> None:
@@ -183,7 +183,7 @@
 
 
 class FeedRecord:
-    """What a caller knows of its feed."""
+    """A caller's record of its feed."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -196,11 +196,14 @@
 
     @property
     def attempts(self) -> int:
-        """How many answers the feed took, 0 if it never began."""
+        """The number of answers that the feed used, 0 if it never began."""
         return 0 if self.events is None else 1 + self.events.reopened
 
     def take(self, event: Event) -> None:
-        """Check an event: same service, the next number, from any target."""
+        """Check that an event has the same service and the next number.
+
+        It may come from any target.
+        """
         message = json.loads(event.data)
         self.lines += 1
         number = int(event.id)
@@ -214,13 +217,13 @@
         self._last = number
 
     def stands_still(self, every: float) -> bool:
-        """Whether its events stopped coming, though nothing said so."""
+        """Return whether events stopped without an error."""
         return self.lines > 0 and time.time() - self._last * every > LATEST
 
 
 @load_kind("flows")
 class FlowLoad(Load):
-    """Plain UDP flows that must stay with one target that remembers them."""
+    """Plain UDP flows that must stay at one target, which must keep their state."""
 
     async def run(self) -> None:
         """Hold the flows open."""
@@ -262,7 +265,7 @@
     """One UDP flow of numbered datagrams."""
 
     REORDERED = 8
-    """How far back a number may be without meaning that the target forgot."""
+    """Tolerated step back of an answer's number; more means that state was lost."""
 
     def __init__(self) -> None:
         self.sent = 0
@@ -273,7 +276,7 @@
         self._highest = 0
 
     def connection_made(self, transport: Any) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def send(self) -> None:
@@ -282,7 +285,7 @@
         self._transport.sendto(b"%d" % self.sent)
 
     def datagram_received(self, data: bytes, source: Any) -> None:
-        """Check an answer: same service, same target, no new start."""
+        """Check that an answer has the same service and target, and no reset number."""
         service, target, number, _ = data.decode().split()
         self.answered += 1
         if not self.target:
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/changes.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/changes.py
@@ -1,9 +1,9 @@
-"""Flows through planned changes: real cores, a fake store and a late network.
+"""Flows during planned changes: real cores, a fake store and a network with delay.
 
-Callers of a plain UDP service send on through entries while agents join and
-leave, entries are replaced and the configuration changes, each change while
-the one before still spreads. A flow is broken if a packet of it is lost for
-good or reaches another target than the one that owns it.
+Callers of a plain UDP service keep sending through entries while agents join and
+leave, entries are replaced and the configuration changes. Each change begins
+while the previous one still spreads. A flow is broken if one of its packets is
+lost for good or reaches another target than the flow's owner.
 """
 
 from __future__ import annotations
@@ -38,16 +38,16 @@
 TICK = 0.1
 LATENCY = (0.001, 0.02)
 SPREAD = (0.05, 2.0)
-"""Seconds until a roster or configuration has reached a process."""
+"""Range of the delay in seconds until a roster or configuration reaches a process."""
 
 PROBED = (0.5, 1.0)
-"""Seconds until a new agent's target has answered its first probe."""
+"""Range of the delay in seconds until a new agent's target answers its first probe."""
 
 SETTLE = 4.0
 """Seconds at the start until the first agents are ready."""
 
 DRAIN = 36_000.0
-"""A leaving agent may keep its flows as long as the callers go on."""
+"""Long enough that a leaving agent keeps its flows until their callers end."""
 
 KEYS_BY_NUMBER = {1: Key(1, bytes(32))}
 
@@ -64,7 +64,7 @@
 
 
 class Agent:
-    """One agent core and its address; executes what the core decides."""
+    """An agent core with its address, which executes the core's effects."""
 
     def __init__(self, world: World, number: int, agents: int) -> None:
         self.world = world
@@ -84,7 +84,7 @@
         self.alive = True
 
     def feed(self, event: events.AgentEvent) -> None:
-        """Give the core an event and execute its effects."""
+        """Pass an event to the core and execute its effects."""
         if not self.alive:
             return
         for effect in self.core.handle(self.world.now, event):
@@ -149,15 +149,15 @@
             self.join()
 
     def later(self, between: tuple[float, float], call: Callable[[], None]) -> None:
-        """Do something after a random time."""
+        """Schedule a call after a random delay in a range."""
         self.at(self.now + self.rng.uniform(*between), call)
 
     def at(self, when: float, call: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedule a call at a time."""
         heapq.heappush(self._queue, (when, next(self._order), call))
 
     def run_until(self, end: float) -> None:
-        """Let time pass, with the ticks that a driver would send."""
+        """Advance the clock to ``end``, with the ticks that a driver would send."""
         while self.now < end:
             until = self.now + TICK
             while self._queue and self._queue[0][0] <= until:
@@ -170,7 +170,7 @@
                 entry.handle(self.now, events.Tick())
 
     def configuration(self) -> Configuration:
-        """Make the configuration of the current generation."""
+        """Return the configuration of the current generation."""
         service = Service(
             SERVICE, 1, Address("10.9.0.1", 900), Protocol.UDP, {}, DRAIN, DRAIN
         )
@@ -181,7 +181,7 @@
     # Planned changes
 
     def join(self) -> None:
-        """Start an agent."""
+        """Start a new agent."""
         agent = Agent(self, next(self._numbers), self._agents)
         self.agents_by_name[agent.name] = agent
         agent.feed(events.ConfigurationChanged(self.configuration()))
@@ -190,18 +190,18 @@
         self.later(PROBED, lambda: agent.feed(report))
 
     def leave(self) -> None:
-        """Drain the longest-serving agent that isn't leaving yet."""
+        """Drain the oldest ready agent."""
         for agent in self.agents_by_name.values():
             if agent.core.state is AgentState.READY:
                 agent.feed(events.DrainRequested(DRAIN))
                 return
 
     def replace_entry(self) -> None:
-        """Stop one entry and start another that knows nothing of flows."""
+        """Replace a random entry by a new one without any state of flows."""
         self.entries[self.rng.randrange(len(self.entries))] = self._new_entry()
 
     def configure(self) -> None:
-        """Put a new generation in force, at each process at its own time."""
+        """Send a new generation to each process with its own delay."""
         self.generation += 1
         event = events.ConfigurationChanged(self.configuration())
         for process in (*self.agents_by_name.values(), *self.entries):
@@ -222,7 +222,7 @@
     # The store
 
     def write(self, effect: effects.WriteRoster) -> events.RosterWritten:
-        """Compare and swap the roster, and push it to everyone."""
+        """Compare and swap the roster, and send it to every process."""
         if effect.roster.revision != self.roster.revision:
             return events.RosterWritten(effect.operation, Code.CONFLICT, self.roster)
         self.roster = effect.roster._replace(revision=self.roster.revision + 1)
@@ -234,7 +234,7 @@
     # Packets
 
     def send(self, caller: Address, payload: bytes) -> None:
-        """Send a packet by way of any entry."""
+        """Send a packet through a random entry."""
         entry = self.rng.choice(self.entries)
         service = self.configuration().services_by_name[SERVICE]
         agent = entry.route(self.now, service, caller, payload)
@@ -250,7 +250,7 @@
         self.later(LATENCY, lambda: target.feed(event))
 
     def delivered(self, agent: Agent, effect: effects.Deliver) -> None:
-        """Note where a packet arrived, and let its answer pass the entry."""
+        """Record the arrival of a packet, and send its answer through the entry."""
         caller = effect.caller
         self.arrived.add((caller, effect.payload))
         if self.owners_by_caller.setdefault(caller, agent.name) != agent.name:
@@ -277,9 +277,9 @@
 def measure_lost_agent(
     agents: int, entries: int, rate: float, seconds: float, seed: int = 1
 ) -> list[Figure]:
-    """Measure until when a dead and a leaving agent still get new flows.
+    """Measure for how long a dead and a leaving agent still get new flows.
 
-    New flows come at ``rate`` a second, each of one packet that is sent once.
+    New flows open at ``rate`` per second, each with one packet that is sent once.
     """
     world = World(agents, entries, seed)
     world.run_until(SETTLE)
@@ -324,20 +324,20 @@
     period: float = 4.0,
     seed: int = 1,
 ) -> Result:
-    """Send on ``flows`` established flows through planned changes.
+    """Send packets of ``flows`` established flows during planned changes.
 
     Parameters
     ----------
     flows : int
-        Established before the first change.
+        Number of flows established before the first change.
     changes : int
-        Joins, leaves, replaced entries and configurations, in turn.
+        Number of joins, leaves, replaced entries and configurations, in turn.
     agents, entries : int
-        Processes at the start.
+        Number of processes at the start.
     period : float
         Seconds between two packets of a flow.
     seed : int
-        Seeds everything random.
+        Seed of all random choices.
     """
     world = World(agents, entries, seed)
     world.run_until(SETTLE)
@@ -359,7 +359,7 @@
     round_of_packets()
     kinds = (world.join, world.leave, world.replace_entry, world.configure)
     for number in range(changes):
-        # Twice in a row, so that each change also meets one of its own kind.
+        # Each kind comes twice in a row, so that it also overlaps with itself.
         kinds[number // 2 % len(kinds)]()
         round_of_packets()
     world.run_until(world.now + SETTLE)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/checks.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/checks.py
@@ -1,7 +1,7 @@
-"""Invariants, checked from what targets and callers recorded themselves.
+"""Invariants, checked against the records of targets and callers.
 
-Nothing here asks the system under test: it could agree with itself and still
-have run a ticket twice.
+The system under test is never queried: its state could be consistent although
+it has run a ticket twice.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 
 
 class Evidence(NamedTuple):
-    """Everything that was recorded.
+    """The records of a run.
 
-    ``ledgers`` are the targets' at the end. ``left_by_target`` holds the
-    ledgers of leaving targets, as they were when no more work was allowed.
+    ``ledgers`` are those of the targets at the end. ``left_by_target`` holds the
+    ledgers of leaving targets at the time from which no new work was allowed.
     """
 
     ledgers: tuple[Ledger, ...]
@@ -38,7 +38,7 @@
     left_by_target: Mapping[str, Ledger] = {}
 
     def records(self, *kinds: str) -> Iterable[tuple[str, Record]]:
-        """Yield (service, record) of the loads of some kinds, or of all."""
+        """Yield (service, record) of the loads of the given kinds, or of all."""
         for result in self.results:
             if kinds and result["kind"] not in kinds:
                 continue
@@ -46,7 +46,7 @@
                 yield result["service"], Record(*fields)
 
     def runs_by_ticket(self, field: str = "runs_by_ticket") -> Counter[str]:
-        """Add up a ledger column over all targets."""
+        """Return the sum of a ledger field over all targets, by ticket."""
         total: Counter[str] = Counter()
         for ledger in self.ledgers:
             total.update(ledger[field])
@@ -67,7 +67,7 @@
 
 
 def invariant(rule: str) -> Callable[[Check], Check]:
-    """Register a check; it yields (service, detail) for each breach."""
+    """Register a check that yields (service, detail) for each violation."""
 
     def register(function: Check) -> Check:
         checks_by_rule[rule] = function
@@ -77,7 +77,7 @@
 
 
 def check(evidence: Evidence) -> list[Violation]:
-    """Return every breach of every invariant."""
+    """Return every violation of every invariant."""
     return [
         Violation(rule, service, detail)
         for rule, function in checks_by_rule.items()
@@ -152,8 +152,8 @@
 class Summary(NamedTuple):
     """The figures of one service.
 
-    Imbalance compares the work (slot-seconds) and the streams of the targets
-    that stayed: the highest over the mean, and the coefficient of variation.
+    The figures of work (slot-seconds) and streams compare the targets that
+    didn't leave: the maximum over the mean, and the coefficient of variation.
     """
 
     service: str
@@ -171,7 +171,7 @@
 
 
 def summarize(evidence: Evidence, service: str) -> Summary:
-    """Sum up one service."""
+    """Return the figures of one service."""
     results = [each for each in evidence.results if each["service"] == service]
     counts: Counter[str] = Counter()
     outcomes: Counter[str] = Counter()
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/clusters.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/clusters.py
@@ -1,4 +1,4 @@
-"""A whole deployment as real processes on loopback."""
+"""A whole deployment of real processes on loopback."""
 
 from __future__ import annotations
 
@@ -31,22 +31,22 @@
 POLL_INTERVAL_SECONDS = 0.05
 CALL_TIMEOUT_SECONDS = 2.0
 MAX_CONCURRENT_STARTS = 8
-"""Processes started together: more only wait for each other's imports."""
+"""With more, processes only wait for each other's imports."""
 
 
 class NotSettledError(RuntimeError):
-    """The cluster didn't reach a state in time."""
+    """The cluster didn't reach the expected state in time."""
 
 
 class LoadRun:
-    """A running load process and where its records go."""
+    """A running load process and the file for its records."""
 
     def __init__(self, process: Process, result: Path) -> None:
         self.process = process
         self._result = result
 
     async def finish(self, timeout: float = 60.0) -> list[LoadResult]:
-        """Stop the arrivals, wait for what is due, return the records."""
+        """Stop the arrivals, wait for the due calls and return the records."""
         self.process.ask_to_stop()
         status = await asyncio.to_thread(self.process.wait, timeout)
         if status != 0:
@@ -57,23 +57,23 @@
 class Cluster:
     """Store, fabric, targets, agents and entries of one deployment.
 
-    Use it as an asynchronous context manager; it ends every process that it
-    started.
+    Use it as an asynchronous context manager, which ends every process that it
+    has started.
 
     Parameters
     ----------
     deployment : Deployment
-        What to start.
+        The deployment to start.
     folder : Path
         An empty folder for certificates and settings.
     seed : int
-        Of the fabric's faults and the targets' service times.
+        Seed of the fabric's faults and the targets' service times.
 
     Attributes
     ----------
     watchers : int
-        Daemons of each data centre that watch the store; every one if 0, so
-        that a fault of one daemon doesn't delay what another one learns.
+        Number of daemons in each data centre that watch the store. All of them
+        if 0, so that a fault of one daemon doesn't delay changes at another.
     """
 
     watchers = 0
@@ -99,7 +99,7 @@
         self._limit = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
         self._load_count = 0
 
-    # Life
+    # Lifecycle
 
     async def __aenter__(self) -> Cluster:
         try:
@@ -118,7 +118,7 @@
         await self.stop()
 
     async def start(self) -> None:
-        """Start everything and wait until all of it serves."""
+        """Start every process and wait until all of them serve."""
         deployment = self.deployment
         await asyncio.gather(
             self._start_store(),
@@ -147,7 +147,7 @@
     # Processes
 
     async def start_agent(self, name: str) -> Process:
-        """Start the agent beside the target ``name``."""
+        """Start the agent of the target ``name``."""
         service = self._services[name.rpartition("-")[0]]
         ready = self.targets_by_name[name].ready
         certificate = self._certificates[service.name]
@@ -164,7 +164,7 @@
         return process
 
     async def start_entry(self, name: str) -> Process:
-        """Start an entry and let the fabric send to it."""
+        """Start an entry and add it to the fabric."""
         settings = self._settings(name, "entry")
         settings["entry"] = {"bind_host": self._entry_host(name)}
         process = await self._start_daemon(name, settings)
@@ -173,28 +173,28 @@
         return process
 
     async def kill_target(self, name: str) -> dict[str, Any]:
-        """Kill a target and return its ledger of that moment."""
+        """Kill a target and return its ledger at that time."""
         process = self.targets_by_name.pop(name)
         ledger = await _call(f"http://{process.ready['admin']}/die", {})
         await asyncio.to_thread(process.wait)
         return ledger
 
     async def kill_entry(self, name: str, unnoticed: float = 0.5) -> None:
-        """Kill an entry; the fabric sends to it for ``unnoticed`` seconds."""
+        """Kill an entry; the fabric still sends to it for ``unnoticed`` seconds."""
         process = self.entries_by_name.pop(name)
         await asyncio.to_thread(process.kill)
         await asyncio.sleep(unnoticed)
         await self.control_fabric("entries", {"remove": self._entry_host(name)})
 
     async def stop_entry(self, name: str) -> int:
-        """Stop an entry gracefully, as the fabric learns of it."""
+        """Stop an entry gracefully, remove it from the fabric, return its status."""
         process = self.entries_by_name.pop(name)
         process.ask_to_stop()
         await self.control_fabric("entries", {"remove": self._entry_host(name)})
         return await asyncio.to_thread(process.wait)
 
     def drain_agent(self, name: str) -> Process:
-        """Ask the agent beside a target to leave, and return its process."""
+        """Start to drain the agent of a target, and return its process."""
         process = self.agents_by_name.pop(name)
         process.ask_to_stop()
         return process
@@ -207,7 +207,7 @@
         Raises
         ------
         NotSettledError
-            If it isn't accepted.
+            If the store doesn't accept the change.
         """
         base = await configurations.read(self.store)
         document = edit(base.document)
@@ -219,7 +219,7 @@
         return outcome.generation
 
     async def wait_for_generation(self, generation: int) -> None:
-        """Wait until every live daemon says that a generation is in force."""
+        """Wait until every running daemon reports that a generation is in force."""
 
         async def in_force() -> bool:
             replies = await self.statuses()
@@ -228,7 +228,7 @@
         await self.until(in_force, f"generation {generation} everywhere")
 
     async def settle(self) -> None:
-        """Wait until agents are ready and every entry knows of all of them."""
+        """Wait until all agents are ready and every entry knows all of them."""
 
         async def settled() -> bool:
             revisions = await self._ready_revisions()
@@ -251,7 +251,7 @@
         Raises
         ------
         NotSettledError
-            If it doesn't come true within a generous bound.
+            If the condition doesn't hold within `SETTLE_TIMEOUT_SECONDS`.
         """
         try:
             async with asyncio.timeout(SETTLE_TIMEOUT_SECONDS):
@@ -262,10 +262,10 @@
                 f"not in {SETTLE_TIMEOUT_SECONDS:g} s: {what}"
             ) from None
 
-    # Questions
+    # Queries
 
     async def status(self, process: Process) -> StatusReply:
-        """Ask a daemon what is in force."""
+        """Return the status of a daemon."""
         address = Address.parse(process.ready["control"])
         context = ssl.create_default_context(cafile=self.authority.file)
         context.check_hostname = False
@@ -281,18 +281,18 @@
             channel.close()
 
     async def statuses(self) -> list[StatusReply]:
-        """Ask every live daemon."""
+        """Return the status of every running daemon."""
         daemons = [*self.agents_by_name.values(), *self.entries_by_name.values()]
         return list(await asyncio.gather(*map(self.status, daemons)))
 
     async def ledgers(self) -> list[dict[str, Any]]:
-        """Return every target's own ledger."""
+        """Return the ledger of every target."""
         return list(
             await asyncio.gather(*(self.ledger(name) for name in self.targets_by_name))
         )
 
     async def ledger(self, target: str) -> dict[str, Any]:
-        """Return one target's own ledger."""
+        """Return the ledger of a target."""
         admin = self.targets_by_name[target].ready["admin"]
         return await _call(f"http://{admin}/ledger-of-runs")
 
@@ -302,14 +302,14 @@
         await _call(f"http://{admin}/behaviour", behaviour)
 
     async def control_fabric(self, action: str, body: dict[str, Any]) -> dict[str, Any]:
-        """Change the fabric; see `fabric.AdminHandler`."""
+        """Send a command to the fabric; see `fabric.AdminHandler`."""
         admin = self.fabric.ready["admin"]
         return await _call(f"http://{admin}/{action}", body)
 
     # Load
 
     async def run_loads(self, services: Iterable[str]) -> LoadRun:
-        """Start the loads of some services in one process."""
+        """Start the loads of the given services in one process."""
         loads: list[LoadPlan] = [
             {**load, "service": name, "address": self.addresses_by_service[name]}
             for name in services
@@ -326,7 +326,7 @@
         process = await self._start("zinniahook_testkit.load", json.dumps(plan))
         return LoadRun(process, result)
 
-    # Details
+    # Implementation
 
     def _entry_numbers(self) -> range:
         return range(1, self.deployment.entries + 1)
@@ -406,7 +406,7 @@
         return Document(services_by_name=services)
 
     async def _ready_revisions(self) -> dict[str, int] | None:
-        """Return the revision of each roster, None until all are ready."""
+        """Return the revision of each roster, or None until all agents are ready."""
         revisions = {}
         for service in self._services:
             item = await self.store.get(documents.roster_key(service))
@@ -432,7 +432,7 @@
 
 
 async def _call(url: str, body: dict[str, Any] | None = None) -> dict[str, Any]:
-    """GET, or POST a JSON body, and return the JSON answer."""
+    """Send a GET request, or POST a JSON body, and return the JSON answer."""
     client = AsyncHTTPClient()
     if body is None:
         answer = await client.fetch(url)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/demo.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/demo.py
@@ -1,9 +1,9 @@
-"""Both deployments under load while things change: ``make demo``.
+"""Run both deployments under load with a fault and planned changes: ``make demo``.
 
-Each deployment runs with the sizes of today. While feeds, tickets and exports
-go on, one entry is killed, one target drains and a configuration change is
-made. The figures come from the targets' and the callers' own records. The
-exit status is 1 if an invariant was broken.
+Each deployment has its current size. While feeds, tickets and exports
+run, an entry is killed, a target of each service drains and the configuration
+changes. The figures come from the records of targets and callers. The exit status
+is 1 if an invariant was violated.
 """
 
 from __future__ import annotations
@@ -29,28 +29,28 @@
 __all__ = ["Report", "main", "run"]
 
 WARMUP_SECONDS = 6.0
-"""Seconds before the load: fresh targets are given little work at first."""
+"""Time before the load, as new targets get little work at first."""
 
 STEADY_LOAD_SECONDS = 3.0
-"""Seconds of load before anything happens."""
+"""Time of load before the first change."""
 
 CHANGE_INTERVAL_SECONDS = 1.5
-"""Seconds between the changes."""
+"""Time between two changes."""
 
 NO_NEW_WORK_SECONDS = 4.0
-"""Seconds after which a leaving target must receive no new work."""
+"""Time after which a leaving target must receive no new work."""
 
 MAX_IN_FORCE_SECONDS = 5.0
-"""Seconds within which a change must be in force everywhere."""
+"""Time within which a change must be in force on every daemon."""
 
 QUANTILE_NAMES = ("p50", "p99", "p100")
 
 MAX_LOG_CHARACTERS = 2000
-"""Characters of the log shown when something failed."""
+"""Length of the end of the log that is shown after a failure."""
 
 
 class Report(NamedTuple):
-    """What one deployment's run showed."""
+    """The results of one deployment's run."""
 
     summaries: tuple[Summary, ...]
     violations: tuple[Violation, ...]
@@ -60,16 +60,16 @@
 
 
 async def run(deployment: Deployment, folder: Path, seed: int) -> Report:
-    """Run one deployment through its changes.
+    """Run one deployment with its fault and changes.
 
     Parameters
     ----------
     deployment : Deployment
-        What to run.
+        The deployment to run.
     folder : Path
         An empty folder for certificates, settings and records.
     seed : int
-        Of load and faults.
+        Seed of load and faults.
     """
     began = time.monotonic()
     async with Cluster(deployment, folder, seed) as cluster:
@@ -92,7 +92,7 @@
         )
         left = {name: await cluster.ledger(name) for name in leaving}
         await asyncio.sleep(CHANGE_INTERVAL_SECONDS)
-        # While feeds go on elsewhere: nothing may hold a leaving target up.
+        # Feeds still run at other targets; no load may delay a leaving target.
         staying = await _still_running(cluster, dict(zip(leaving, agents, strict=True)))
         results = [result for load in loads for result in await load.finish()]
         ledgers = await cluster.ledgers()
@@ -134,7 +134,7 @@
     *deployments : str
         Names of the deployments to run; all of them if none is named.
     seed : int
-        Of load and faults.
+        Seed of load and faults.
     """
     broken = False
     for name in deployments or DEPLOYMENTS_BY_NAME:
@@ -152,9 +152,9 @@
 
 @contextlib.contextmanager
 def _standard_error_to(log: Path) -> Iterator[None]:
-    """Send what this process and its children report to a file.
+    """Redirect the standard error of this process and its children to a file.
 
-    The daemons' lines on changes of state would drown the figures.
+    The daemons' many log lines would hide the figures.
     """
     kept = os.dup(sys.stderr.fileno())
     with log.open("wb") as file:
@@ -178,7 +178,7 @@
 
 
 def _longer_queues(document: Document) -> Document:
-    """Return the document with the queue of every class twice as long."""
+    """Return the document with the queue limit of every class doubled."""
     services = {
         name: service._replace(
             classes_by_name={
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/experiments.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/experiments.py
@@ -1,6 +1,6 @@
-"""Experiments: a deployment under load while scheduled faults come.
+"""Experiments: a deployment under load with scheduled faults.
 
-What is measured comes from the callers' and the targets' own records.
+All figures come from the records of callers and targets.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 __all__ = ["ScheduledFault", "measure", "scale_down"]
 
 WARMUP_SECONDS = 5.0
-"""Seconds before the load: fresh targets are given little work at first."""
+"""Time before the load, as new targets get little work at first."""
 
 RECOVERY_SECONDS = 8.0
-"""Seconds of load after the last fault is over, at least: a caller gives a
-connection up that is silent for 7 s, and only then a feed counts as cut."""
+"""Minimum time of load after the last fault. A caller gives up a connection after
+7 s of silence, and only then is its feed considered cut."""
 
 INJECTION_TIMEOUT_SECONDS = 60.0
 
@@ -58,17 +58,17 @@
     deployment : str
         ``thies`` or ``nairobi``.
     faults : sequence
-        For each fault its time in seconds, its name and its arguments.
+        For each fault, its time in seconds, its name and its arguments.
     seconds : float
-        How long the load lasts at least.
+        Minimum duration of the load.
     scale : float
-        Part of today's endpoints, callers and rates that is started.
+        Factor on the deployment's numbers of targets and callers and its rates.
     rate : float
-        Further factor on the rates of tickets and exports.
+        Additional factor on the rates of tickets and exports.
     loads : sequence of str
-        The kinds of load that run.
+        The kinds of load to run.
     seed : int
-        Of load, targets and fabric.
+        Seed of load, targets and fabric.
 
     Raises
     ------
@@ -87,7 +87,7 @@
 def scale_down(
     deployment: Deployment, scale: float, rate: float, loads: Iterable[str]
 ) -> Deployment:
-    """Return a smaller deployment with some of its loads."""
+    """Return a smaller deployment with the given kinds of load."""
     kinds = set(loads)
     services = tuple(
         service._replace(
@@ -145,7 +145,7 @@
 
 
 def _violation_figures(evidence: Evidence) -> list[Figure]:
-    """Count the breaches of each invariant, zero ones too."""
+    """Return the number of violations of each invariant, including zeros."""
     found = Counter(violation.rule for violation in check(evidence))
     return [Figure(rule, found[rule], "count") for rule in checks_by_rule]
 
@@ -165,7 +165,7 @@
 
 
 def _load_figures(evidence: Evidence, stage: Stage) -> list[Figure]:
-    """Return the figures of the first service, where the faults are."""
+    """Return the figures of the first service, which the faults affect."""
     service = stage.cluster.deployment.services[0]
     records = [
         record for name, record in evidence.records("tickets") if name == service.name
@@ -200,7 +200,7 @@
 
 
 def _imbalance(evidence: Evidence, service: ServicePlan, hit: set[str]) -> list[Figure]:
-    """Compare the slot-seconds and feeds of the targets that no fault has hit."""
+    """Compare the slot-seconds and feeds of the targets without a fault."""
     ledgers = [
         ledger
         for ledger in evidence.ledgers
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/fabric.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/fabric.py
@@ -1,9 +1,9 @@
 """Stand-in for the platform's fabric: a UDP relay that sprays packets.
 
 Run ``python -m zinniahook_testkit.fabric '<settings as JSON>'``. The fabric
-owns the public address of every service. Each datagram of a caller goes to a
-random live entry, whatever flow it belongs to; what any entry answers goes
-back from the public address. Faults are drawn from one seeded generator.
+owns the public address of every service. It sends each datagram of a caller to a
+random running entry, whatever its flow, and sends the answers of any entry from
+the public address. Faults are drawn from one seeded generator.
 
 When ready it prints ``{"ready": {"admin": ..., "services": {name: ...}}}``.
 """
@@ -44,11 +44,11 @@
 
 
 class Faults(NamedTuple):
-    """Faults of each direction; shares from 0 to 1, times in seconds.
+    """Faults in each direction; shares from 0 to 1, times in seconds.
 
-    ``latency`` is one way. A reordered datagram waits ``reorder_delay``
-    longer than the others, ``jitter`` is the upper end of a uniform extra
-    wait of every datagram.
+    ``latency`` is one way. A reordered datagram is delayed by ``reorder_delay``
+    more than the others. ``jitter`` is the maximum of a uniform extra delay of
+    every datagram.
     """
 
     loss: float = 0.0
@@ -60,7 +60,7 @@
 
 
 class Caller:
-    """The socket that stands for one caller address towards the entries."""
+    """The socket that represents one caller address to the entries."""
 
     def __init__(self, address: tuple[str, int], relay: socket.socket) -> None:
         self.address = address
@@ -79,7 +79,7 @@
     services : list of str
         Names of the services; each gets a port picked by the system.
     entries : list of str
-        Loopback hosts of the live entries; each binds the same ports.
+        Loopback hosts of the running entries; each binds the same ports.
     rng : random.Random
         Source of every random choice.
     """
@@ -105,20 +105,20 @@
 
     @property
     def addresses_by_service(self) -> dict[str, str]:
-        """Public address of each service as ``host:port``."""
+        """The public address of each service as ``host:port``."""
         return {
             name: "{}:{}".format(*public.getsockname())
             for name, public in self.sockets_by_service.items()
         }
 
     def silence(self, count: int, address: tuple[str, int] | None = None) -> list[str]:
-        """Make caller addresses silent for good, in both directions.
+        """Drop all datagrams of some caller addresses for good, in both directions.
 
         Returns
         -------
         list of str
-            The addresses chosen: ``address`` if given, else up to ``count``
-            of those in use, at random.
+            The affected addresses: ``address`` if given, else up to ``count``
+            random ones of those in use.
         """
         if address is not None:
             chosen = [address] if address in self.callers_by_address else []
@@ -175,7 +175,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # An entry was killed: ICMP may be reported on the next read.
+                # An entry was killed: its ICMP error is reported on a later read.
                 continue
             self.counts["from_entries"] += 1
             public = self._sockets_by_port.get(port)
@@ -197,7 +197,7 @@
         return caller
 
     def _draw_delays(self) -> list[float]:
-        """Draw the fate of one datagram: when each of its copies is sent."""
+        """Draw the faults of one datagram and return the delay of each copy."""
         faults, rng = self.faults, self._rng
         if faults.loss and rng.random() < faults.loss:
             self.counts["lost"] += 1
@@ -250,19 +250,20 @@
 
 
 class AdminHandler(tornado.web.RequestHandler):
-    """Control of a running fabric over HTTP with JSON bodies.
+    """Controls a running fabric over HTTP with JSON bodies.
 
     ``POST /faults`` replaces the faults, ``POST /entries`` takes ``add`` and
-    ``remove``, ``POST /silence`` takes ``count`` or ``caller``; each answers
-    with the status, which ``GET /status`` gives too.
+    ``remove``, ``POST /silence`` takes ``count`` or ``caller``. ``GET /status``
+    and the first two return the status; ``/silence`` returns the affected
+    addresses.
     """
 
     def initialize(self, fabric: Fabric) -> None:
-        """Keep the fabric that is controlled."""
+        """Store the fabric to control."""
         self.fabric = fabric
 
     def get(self, action: str) -> None:
-        """Answer with the status."""
+        """Return the status."""
         self._finish_status()
 
     def post(self, action: str) -> None:
@@ -320,8 +321,8 @@
     try:
         via.sendto(data, to)
     except OSError:
-        # A full socket buffer or a socket that was swept: the network may
-        # drop any datagram, so the relay may too.
+        # The socket's buffer is full, or the socket was closed as idle. A
+        # network may drop any datagram, so the relay may too.
         pass
 
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/faults.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/faults.py
@@ -3,11 +3,11 @@
 Run ``python -m zinniahook_testkit.faults UPSTREAM``. When ready it prints
 ``{"ready": {"address": ..., "admin": ...}}``. The admin address takes::
 
-    POST /faults    any fields of `ProxyFaults`; the others stay as they are
-    POST /silence   {"direction": "up", "down" or "both"}: the connections open
-                    now bring nothing more that way, for good; new ones work
-    POST /cut       reset the connections open now
-    GET  /state     faults, connections taken and open, bytes passed each way
+    POST /faults    any fields of `ProxyFaults`; the others stay unchanged
+    POST /silence   {"direction": "up", "down" or "both"}: open connections
+                    forward no more bytes this way, for good; new ones work
+    POST /cut       reset the open connections
+    GET  /state     faults, accepted and open connections, bytes forwarded each way
 
 "up" is from the connecting side to the upstream. `start` runs it as a process
 for tests.
@@ -32,27 +32,28 @@
 
 READ_BYTES = 65536
 MAX_QUEUED_CHUNKS = 64
-"""Pieces on their way in one direction; more aren't read meanwhile."""
+"""Limit on the chunks in transit in one direction; reading stops at it."""
 
 DIRECTIONS = {"up": {"up"}, "down": {"down"}, "both": {"up", "down"}, "": set()}
 
 LINGER_RESET = struct.pack("ii", 1, 0)
-"""Socket option that makes a close a reset."""
+"""Value of SO_LINGER with which a close sends a reset."""
 
 
 class ProxyFaults(NamedTuple):
-    """How the proxy misbehaves.
+    """The injected faults of the proxy.
 
     Attributes
     ----------
     delay : float
-        Seconds that each piece is held back, in each direction.
+        Delay of each chunk in each direction, in seconds.
     hang : bool
-        Nothing passes meanwhile; it does afterwards.
+        Chunks are held back while this is set, and forwarded afterwards.
     refuse : bool
         New connections are refused.
     silent : str
-        Direction that connections made meanwhile are silent in, for good.
+        Direction in which connections opened while this is set forward nothing,
+        for good.
     """
 
     delay: float = 0.0
@@ -70,7 +71,7 @@
         self._writers = [down]
 
     async def run(self, reader: asyncio.StreamReader) -> None:
-        """Pass bytes until either side ends the connection."""
+        """Forward bytes until either side ends the connection."""
         host, port = self._proxy.upstream
         try:
             upstream, writer = await asyncio.open_connection(host, port)
@@ -103,8 +104,8 @@
     async def _forward(
         self, direction: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        # A queue between reading and writing lets a delay hold each piece
-        # back without limiting how many are on their way.
+        # With a queue between reading and writing, a delay applies to each
+        # chunk without limiting the number of chunks in transit.
         chunks: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_QUEUED_CHUNKS)
         writing = asyncio.ensure_future(self._write(direction, chunks, writer))
         try:
@@ -130,8 +131,8 @@
             await asyncio.sleep(max(0.0, due - loop.time()))
             await self._proxy.unblocked.wait()
             if direction in self.silent:
-                # Also the end of the stream is swallowed: the other side
-                # must not notice anything.
+                # The end of the stream is dropped too, as the other side must
+                # not notice that the connection is dead.
                 if not data:
                     await asyncio.Event().wait()
                 continue
@@ -144,7 +145,7 @@
 
 
 class Proxy:
-    """The listening side, its faults and its connections."""
+    """The listening socket with its faults and connections."""
 
     def __init__(self, upstream: Address, host: str, port: int) -> None:
         self.upstream = upstream
@@ -158,13 +159,13 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Take connections, always on the same address."""
+        """Accept connections, always on the same address."""
         host, port = self.address
         self._server = await asyncio.start_server(self._serve, host, port)
         self.address = Address(*self._server.sockets[0].getsockname()[:2])
 
     async def set_faults(self, faults: ProxyFaults) -> None:
-        """Change the faults and what follows from them."""
+        """Set the faults and apply their effects."""
         self.faults = faults
         if faults.hang:
             self.unblocked.clear()
@@ -177,12 +178,12 @@
             await self.listen()
 
     def silence(self, direction: str) -> None:
-        """Make the connections open now silent for good."""
+        """Make the open connections silent for good."""
         for connection in self.connections:
             connection.silent |= DIRECTIONS[direction]
 
     def cut(self) -> None:
-        """Reset the connections open now."""
+        """Reset the open connections."""
         for connection in list(self.connections):
             connection.reset()
 
@@ -195,22 +196,22 @@
         try:
             await connection.run(reader)
         except asyncio.CancelledError:
-            # Only the end of the process cancels; asyncio's streams would
-            # print a traceback for each connection then.
+            # Tasks are cancelled only when the process ends; asyncio's streams
+            # would then print a traceback for each connection.
             pass
         finally:
             self.connections.discard(connection)
 
 
 class AdminHandler(tornado.web.RequestHandler):
-    """Steers the proxy."""
+    """Controls the proxy over HTTP."""
 
     def initialize(self, proxy: Proxy) -> None:
-        """Take the proxy."""
+        """Store the proxy to control."""
         self.proxy = proxy
 
     def get(self, action: str) -> None:
-        """Answer with the state."""
+        """Return the state."""
         proxy = self.proxy
         self.finish(
             {
@@ -222,7 +223,7 @@
         )
 
     async def post(self, action: str) -> None:
-        """Change the faults, or act on the open connections."""
+        """Change the faults, or silence or reset the open connections."""
         fields = json.loads(self.request.body)
         try:
             if action == "faults":
@@ -243,7 +244,7 @@
 
 
 class ProxyProcess(processes.StandIn):
-    """The proxy as a process, as tests drive it."""
+    """A process of the proxy, controlled by tests."""
 
     def __init__(self, process: processes.Process) -> None:
         super().__init__(process)
@@ -254,11 +255,11 @@
         self.post("faults", **fields)
 
     def silence(self, direction: str = "both") -> None:
-        """Make the connections open now silent for good."""
+        """Make the open connections silent for good."""
         self.post("silence", direction=direction)
 
     def cut(self) -> None:
-        """Reset the connections open now."""
+        """Reset the open connections."""
         self.post("cut")
 
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/injections.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/injections.py
@@ -1,8 +1,8 @@
-"""Faults that an experiment injects into a running cluster, by their names.
+"""Faults that an experiment injects into a running cluster, by name.
 
 Each is an `Injection`: a coroutine function that takes the `Stage` and the
-arguments that the schedule gives. It ends once the fault is over, or at once
-if the fault stays.
+arguments from the schedule. It returns when the fault is over, or at once if the
+fault is permanent.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Stage:
-    """A cluster under load, and what the injections note about it.
+    """A cluster under load, and the records of the injections.
 
     Parameters
     ----------
@@ -38,16 +38,16 @@
     Attributes
     ----------
     hit : set of str
-        Targets that a fault made unlike the others.
+        Targets whose figures a fault distorts.
     ledgers_of_killed : list of dict
-        Last ledgers of targets that were killed.
+        Final ledgers of killed targets.
     last_work_by_leaving : dict of str to float
-        Seconds from a target's leave to the last work that it started.
+        Seconds from the drain of a target to the last work that it started.
     seconds_to_in_force : list of float
-        Of each change of the configuration.
+        For each change of the configuration, the time until it was in force.
     changes_refused, changes_lost : int
-        Racing changes that were refused, and accepted ones that are not what
-        is stored afterwards.
+        Concurrent changes that were refused, and accepted changes that aren't
+        stored afterwards.
     """
 
     def __init__(self, cluster: Cluster) -> None:
@@ -61,11 +61,11 @@
         self._watchers: list[asyncio.Task[None]] = []
 
     def name(self, service: str, number: int) -> str:
-        """Return the name of a target; the first service's if none is named."""
+        """Return the name of a target, by default of the first service."""
         return f"{service or self.cluster.deployment.services[0].name}-{number}"
 
     def watch_leaving(self, target: str) -> None:
-        """Note from now on when a leaving target last started work."""
+        """Start to record when a leaving target last started work."""
         self.affected_targets.add(target)
         self._watchers.append(asyncio.create_task(self._watch(target)))
 
@@ -75,7 +75,7 @@
         await asyncio.to_thread(store.set_faults, **fields)
 
     async def end(self) -> None:
-        """End the watching."""
+        """Stop to watch the leaving targets."""
         for watcher in self._watchers:
             watcher.cancel()
         results = await asyncio.gather(*self._watchers, return_exceptions=True)
@@ -129,7 +129,7 @@
 async def _kill_agent(
     stage: Stage, service: str = "", number: int = 1, back: float = 0.0
 ) -> None:
-    """Kill an agent; start it again after ``back`` seconds, never if 0."""
+    """Kill an agent; restart it after ``back`` seconds, or never if 0."""
     name = stage.name(service, number)
     stage.affected_targets.add(name)
     await asyncio.to_thread(stage.cluster.agents_by_name.pop(name).kill)
@@ -187,7 +187,7 @@
     seconds: float = 4.0,
     **behaviour: Any,
 ) -> None:
-    """Change a target's behaviour, such as slow or shedding, for a while."""
+    """Change a target's behaviour, such as its speed or shedding, for a while."""
     name = stage.name(service, number)
     stage.affected_targets.add(name)
     await stage.cluster.control_target(name, **behaviour)
@@ -214,7 +214,7 @@
             await stage.cluster.wait_for_generation(generation)
             return
         except (OSError, GRPCError, StreamTerminatedError):
-            # A daemon that was asked has just been killed by another fault.
+            # Another fault has just killed a queried daemon.
             await asyncio.sleep(WATCH_INTERVAL_SECONDS)
 
 
@@ -242,7 +242,7 @@
     accepted = [each for each in outcomes if isinstance(each, Committed)]
     stage.changes_refused += len(outcomes) - len(accepted)
     stored = await configurations.read(store)
-    # All start from the same base: of two that are accepted one is gone.
+    # All changes have the same base: of two accepted ones, one is lost.
     stage.changes_lost += sum(each.generation != stored.generation for each in accepted)
     await _wait_for_generation(stage, stored.generation)
 
@@ -312,7 +312,7 @@
 
 
 def _change_drain(document: Document, mark: str) -> Document:
-    """Return a document that differs from those of the other operators."""
+    """Return a document whose drain time differs between operators' marks."""
     drain = float(60 + zlib.crc32(mark.encode()) % 1000)
     services = {
         name: service._replace(drain=drain)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/load.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/load.py
@@ -1,8 +1,7 @@
-"""A process of open-loop load and its callers' own records.
+"""A process that generates open-loop load and records the callers' results.
 
-Run ``python -m zinniahook_testkit.load '<plan as JSON>'``. It runs until
-SIGTERM, lets what is due finish, and writes its records to the file that the
-plan names as ``result``.
+Run ``python -m zinniahook_testkit.load '<plan as JSON>'``. It runs until SIGTERM,
+finishes the due calls, and writes its records to the plan's ``result`` file.
 """
 
 from __future__ import annotations
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/loads.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/loads.py
@@ -1,8 +1,8 @@
-"""What all loads share: plans, records, open-loop arrivals, the registry.
+"""Common parts of all loads: plans, records, open-loop arrivals, the registry.
 
-Calls start at the times of a seeded Poisson process, whether or not earlier
-ones have ended, and latency counts from the time that a call was due: a slow
-answer can't hide the wait of those behind it (coordinated omission).
+Calls start at the times of a seeded Poisson process, whether or not earlier calls
+have ended. Latency counts from the time when a call was due, so that a slow answer
+can't hide the delay of the calls behind it (coordinated omission).
 """
 
 from __future__ import annotations
@@ -36,12 +36,12 @@
 
 
 class LoadPlan(TypedDict, total=False):
-    """One load: what to ask of which service, how often.
+    """One load: which requests to send to which service, and how often.
 
-    ``rate`` is calls a second of all ``callers`` together; ``every`` the
-    seconds between the lines of a feed or the datagrams of a flow; ``size``
-    the bytes of an export; ``spread`` the seconds over which the feeds of a
-    leaving target are opened anew, 2 if not given.
+    ``rate`` is the calls per second of all ``callers`` together; ``every`` the
+    seconds between the events of a feed or the datagrams of a flow; ``size`` the
+    bytes of an export; ``spread`` the seconds over which callers reopen the feeds
+    of a leaving target, 2 by default.
     """
 
     kind: str
@@ -57,7 +57,7 @@
 
 
 class Plan(TypedDict):
-    """What a load process does; ``result`` names the file for its records."""
+    """The plan of a load process; ``result`` is the file for its records."""
 
     ca: str
     seed: int
@@ -66,7 +66,7 @@
 
 
 class Record(NamedTuple):
-    """How one call ended, as its caller saw it.
+    """The result of one call, as its caller saw it.
 
     ``outcome`` is a value of ``OutcomeKind``, or ``cut`` for a feed, flow or
     export that broke. ``seconds`` count from when the call was due.
@@ -83,7 +83,7 @@
 
 
 class LoadResult(TypedDict):
-    """The records of one load and what sums them up; quantiles in seconds."""
+    """The records of one load and their summary; quantiles in seconds."""
 
     kind: str
     service: str
@@ -100,11 +100,11 @@
     Parameters
     ----------
     plan : LoadPlan
-        What to do.
+        The load to run.
     ca : str
         PEM file of the authority of the services.
     rng : random.Random
-        Source of arrivals and jitter.
+        Source of the random arrivals and jitter.
     """
 
     def __init__(self, plan: LoadPlan, ca: str, rng: random.Random) -> None:
@@ -119,7 +119,7 @@
 
     @abc.abstractmethod
     async def run(self) -> None:
-        """Make calls until ``stopping`` is set, then finish those due."""
+        """Make calls until ``stopping`` is set, then finish the due calls."""
 
     def result(self) -> LoadResult:
         """Return the records."""
@@ -153,7 +153,7 @@
         return session
 
     def record(self, record: Record) -> None:
-        """Keep a record."""
+        """Store the record of a call and count its latency."""
         self.records.append(record)
         self.counts[record.outcome] += 1
         micros = int(record.seconds * MICROSECONDS)
@@ -176,7 +176,7 @@
         await asyncio.gather(*running)
 
     async def stopped_within(self, seconds: float) -> bool:
-        """Sleep, and return whether the load was stopped meanwhile."""
+        """Sleep, and return whether the load has been stopped."""
         if seconds <= 0:
             return self.stopping.is_set()
         try:
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/processes.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/processes.py
@@ -1,7 +1,7 @@
-"""Starts Python modules as real processes for tests and benchmarks.
+"""Start Python modules as real processes for tests and benchmarks.
 
-A module that can be started here prints one JSON line, ``{"ready": {...}}``,
-on its standard output once it is ready; its standard error is passed through.
+Once it is ready, such a module prints one JSON line, ``{"ready": {...}}``, on its
+standard output. Its standard error is passed through.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 ]
 
 READY_TIMEOUT = 20.0
-"""Seconds that a process has to print its ready line."""
+"""Seconds until a process must have printed its ready line."""
 
 STOP_TIMEOUT = 10.0
-"""Seconds that a terminated process has before it is killed."""
+"""Seconds from SIGTERM until a process is killed."""
 
 ADMIN_TIMEOUT = 10.0
-"""Seconds that an admin address has to answer."""
+"""Seconds until an admin address must have answered."""
 
 READ_BYTES = 65536
 
@@ -47,7 +47,7 @@
 
 
 class NotReadyError(RuntimeError):
-    """A process ended, or said nothing in time, before it was ready."""
+    """A process ended or timed out before it was ready."""
 
 
 class Process:
@@ -56,7 +56,7 @@
     Attributes
     ----------
     ready : dict
-        What the ready line says (the value of "ready" in it).
+        The value of "ready" in the ready line.
     pid : int
         The process id; signals go to this process only.
     """
@@ -89,12 +89,12 @@
         return status
 
     def kill(self) -> int:
-        """End the process at once, without any cleanup of its own."""
+        """Send SIGKILL, wait for the end and return the exit status."""
         self._send(signal.SIGKILL)
         return self.wait()
 
     def terminate(self, timeout: float = STOP_TIMEOUT) -> int:
-        """Ask for a graceful shutdown, and kill after ``timeout`` seconds."""
+        """Request a graceful shutdown, and kill after ``timeout`` seconds."""
         self.ask_to_stop()
         try:
             return self.wait(timeout)
@@ -103,16 +103,16 @@
 
     def ask_to_stop(self) -> None:
         """Send SIGTERM and return at once."""
-        # A stopped process would keep SIGTERM pending for ever.
+        # SIGTERM stays pending while a process is stopped.
         self._send(signal.SIGCONT)
         self._send(signal.SIGTERM)
 
     def pause(self) -> None:
-        """Stop the process where it stands."""
+        """Suspend the process with SIGSTOP."""
         self._send(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Resume a paused process with SIGCONT."""
         self._send(signal.SIGCONT)
 
     def resident(self) -> int:
@@ -121,7 +121,7 @@
             return int(statm.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
     def private(self) -> int:
-        """Return the resident memory that no other process shares, in bytes."""
+        """Return the resident memory not shared with other processes, in bytes."""
         kilobytes = 0
         with open(f"/proc/{self.pid}/smaps_rollup") as rollup:
             for line in rollup:
@@ -197,16 +197,16 @@
     module : str
         Name of the module to run.
     *args : object
-        Command line arguments, turned into text.
+        Command line arguments, converted to text.
     timeout : float
         Seconds until the process must be ready.
     env : mapping, optional
-        Variables added to the environment.
+        Variables to add to the environment.
 
     Raises
     ------
     NotReadyError
-        If the process ends or stays silent; the process is ended then.
+        If the process ends or isn't ready in time; it is killed then.
     """
     popen = subprocess.Popen(
         [sys.executable, "-m", module, *map(str, args)],
@@ -231,17 +231,17 @@
 
 
 def _die_with_parent() -> None:
-    """Have the kernel kill this process when the one that started it ends.
+    """Make the kernel kill this process when its parent ends.
 
-    A test run that is killed runs no cleanup, and what it started would go on
-    for ever, seen as load on the machine and as ports in use. The kernel acts
-    on the end of the starting thread, so only the main thread may ask for it.
+    A killed test run performs no cleanup, so its processes would go on for ever,
+    load the machine and occupy ports. The kernel reacts to the end of the
+    starting thread, so only the main thread may set this.
     """
     _libc.prctl(SET_PARENT_DEATH_SIGNAL, signal.SIGKILL)
 
 
 def _read_line(popen: subprocess.Popen[bytes], timeout: float) -> bytes:
-    """Read the first line without waiting longer than ``timeout``."""
+    """Return the first line of output, read within ``timeout`` seconds."""
     deadline = time.monotonic() + timeout
     data = b""
     with selectors.DefaultSelector() as selector:
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/soak/__init__.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/soak/__init__.py
@@ -1,8 +1,8 @@
-"""A randomized soak: faults by a seed while promises are checked.
+"""Parts of a randomized soak: seeded faults while guarantees are checked.
 
-`schedules` draws what goes wrong and when, `relays` disturbs datagrams and
-connections, `judges` finds broken promises in what clients and targets saw. The
-deployment of real processes is the caller's.
+`schedules` draws the faults, `relays` disturbs datagrams and connections, and
+`verification` finds violated guarantees in the records of clients and targets.
+The caller provides the deployment of real processes.
 """
 
 from .relays import Disturbance, Relays
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/soak/relays.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/soak/relays.py
@@ -1,7 +1,8 @@
-"""Relays between processes that delay, lose, double, reorder and cut.
+"""Relays between daemons that delay, drop, duplicate and reorder datagrams.
 
-Each daemon is reached by others at its own IP address and a port of the relays,
-which pass datagrams on from the sender's IP address, as if they came straight.
+Other daemons reach a daemon at its own IP address and the relays' port. The
+relays forward datagrams from the sender's IP address, so that they seem to come
+directly from the sender.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 
 MAX_DATAGRAM_BYTES = 65_536
 DATAGRAMS_PER_READ = 64
-"""Datagrams read from a socket at a time, so that none has to wait for long."""
+"""Limit for one socket, so that the other sockets don't have to wait for long."""
 
 
 class Disturbance(NamedTuple):
-    """What happens to datagrams between two daemons.
+    """Faults of the datagrams between two daemons.
 
-    ``lost`` and ``duplicated`` are shares, ``delay`` is the longest in seconds; each
-    datagram's is drawn, so they overtake each other.
+    ``lost`` and ``duplicated`` are shares; ``delay`` is the maximum delay in
+    seconds. The delay is drawn for each datagram, so datagrams are reordered.
     """
 
     lost: float = 0.0
@@ -36,14 +37,14 @@
     Parameters
     ----------
     rng : random.Random
-        Source of chance.
+        Source of all random choices.
     port : int
-        Where the daemons reach each other.
+        Port at which daemons reach each other.
     inner_port : int
-        Where they listen.
+        Port at which the daemons listen.
     out_port : int
-        Where datagrams are passed on from, at the sender's address. A port of
-        chance could be one that a daemon wants there.
+        Source port of forwarded datagrams, at the sender's address. It is fixed,
+        as a port picked by the system could be one that a daemon needs.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
     ) -> None:
         self.disturbance = Disturbance()
         self.cut: set[tuple[str, str]] = set()
-        """Pairs of sender and receiver whose datagrams are lost, one way."""
+        """Pairs of sender and receiver whose datagrams are dropped, one way."""
 
         self._rng = rng
         self.port = port
@@ -62,7 +63,7 @@
         self._servers: list[asyncio.Server] = []
 
     async def add(self, address: str) -> None:
-        """Relay to the daemon at an address."""
+        """Start to relay to the daemon at an address."""
         opened = self._bind(address, self.port)
         asyncio.get_running_loop().add_reader(opened, self._read, opened, address)
 
@@ -114,13 +115,13 @@
         try:
             out.sendto(data, (address, self._inner_port))
         except OSError:
-            # Nobody listens there now; a network would lose it too.
+            # No process listens at the address; a network would drop it too.
             return
 
     async def _forward_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, address: str
     ) -> None:
-        """Pass the bytes of a connection on in both directions."""
+        """Forward the bytes of a connection in both directions."""
         try:
             onward = await asyncio.open_connection(address, self._inner_port)
         except OSError:
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/soak/schedules.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/soak/schedules.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a soak, and when."""
+"""Random schedules of the faults of a soak."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 __all__ = ["Fault", "draw", "shrink"]
 
 FAULTS_PER_SECOND = 0.7
-"""So that most of them overlap with another one."""
+"""High enough that most faults overlap with another one."""
 
 OUTAGE_SECONDS = (0.0, 0.05, 0.3, 1.0, 2.5)
-"""Seconds that something is away; flows may be lost after 4 s of silence."""
+"""Durations of a fault; flows may be lost after 4 s of silence."""
 
 
 class Fault(NamedTuple):
-    """One thing that goes wrong.
+    """One scheduled fault.
 
-    ``at`` is in seconds of the soak, ``place`` chooses among what the kind may
-    strike, ``duration`` is in seconds.
+    ``at`` is in seconds from the start of the soak, ``place`` selects one of the
+    possible targets of this kind, and ``duration`` is in seconds.
     """
 
     at: float
@@ -29,7 +29,7 @@
 
 
 def draw(seed: int, seconds: float, kinds: Sequence[str]) -> list[Fault]:
-    """Return the faults of a seed, the first one first."""
+    """Return the faults of a seed in order of time."""
     rng = random.Random(seed)
     faults = []
     at = rng.expovariate(FAULTS_PER_SECOND)
@@ -41,7 +41,11 @@
 
 
 def shrink(faults: list[Fault], fails: Callable[[list[Fault]], bool]) -> list[Fault]:
-    """Return as few faults as still fail, by leaving out ever smaller parts."""
+    """Return a minimal failing list of faults.
+
+    Leaves out parts of the list for which ``fails`` still holds, halving the
+    size of the parts each time.
+    """
     size = len(faults) // 2
     while size:
         at = 0
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/soak/verification.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/soak/verification.py
@@ -1,8 +1,8 @@
-"""Which promises were broken, from what clients and targets saw alone.
+"""Verify the guarantees of a soak from the records of clients and targets alone.
 
-A promise with a time holds only where nothing unplanned has happened lately: a
-daemon that was killed, paused or cut off may know too little for some seconds.
-Planned work is no excuse.
+A guarantee with a time limit holds only where no unplanned fault has occurred
+lately: a daemon that was killed, paused or cut off may lack information for some
+seconds. Planned operations are no exception to a guarantee.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 __all__ = ["Verifier", "Disruption"]
 
 RECOVERY_SECONDS = 4.0
-"""Seconds after the end of a fault in which daemons may know too little."""
+"""Time after the end of a fault in which daemons may lack information."""
 
 EVACUATION_SPREAD_SECONDS = 5.0
 DRAIN_SPREAD_SECONDS = 3.0
-"""Seconds in which an order, or a target that leaves, is known everywhere."""
+"""Time until every daemon knows of an evacuation, or of a target that leaves."""
 
 
 class Disruption(NamedTuple):
-    """That something unplanned happened to a daemon, "" for all of them."""
+    """An unplanned fault of the daemon at an address, or of all if it is ""."""
 
     address: str
     begun: float
@@ -30,7 +30,7 @@
 
 
 class Reset(NamedTuple):
-    """A reset that a client got on an open flow, and where it came from."""
+    """A reset that a client received on an open flow, and its sender."""
 
     at: float
     flow: bytes
@@ -39,7 +39,7 @@
 
 
 class Opening(NamedTuple):
-    """An opening that a target took."""
+    """An opening that a target accepted."""
 
     at: float
     flow: bytes
@@ -47,7 +47,7 @@
 
 
 class Exclusion(NamedTuple):
-    """That nothing new may come to a target from some moment on, and why."""
+    """A period in which a target may get no new flow, and the reason."""
 
     address: str
     begun: float
@@ -68,35 +68,35 @@
         self.other_violations: list[str] = []
 
     def record_disruption(self, address: str, begun: float, ended: float) -> None:
-        """Note that something unplanned happened."""
+        """Record an unplanned fault."""
         self.disruptions.append(Disruption(address, begun, ended))
 
     def record_reset(self, at: float, flow: bytes, sender: str, holder: str) -> None:
-        """Note that a client got a reset though a target holds its flow."""
+        """Record that a client got a reset although a target holds its flow."""
         self.resets.append(Reset(at, flow, sender, holder))
 
     def record_opening(self, at: float, flow: bytes, address: str) -> None:
-        """Note that a target took an opening."""
+        """Record that a target accepted an opening."""
         self.openings.append(Opening(at, flow, address))
 
     def record_leaving(self, address: str, begun: float, ended: float) -> None:
-        """Note for how long a target was there that had said that it leaves."""
+        """Record from when to when a target ran after announcing that it leaves."""
         known = begun + DRAIN_SPREAD_SECONDS
         self.exclusions.append(Exclusion(address, known, ended, "leaving target"))
 
     def record_evacuation(self, address: str, begun: float, ended: float) -> None:
-        """Note for how long a target's data centre was evacuated."""
+        """Record from when to when a target's data centre was evacuated."""
         known = begun + EVACUATION_SPREAD_SECONDS
         self.exclusions.append(
             Exclusion(address, known, ended, "evacuated data centre")
         )
 
     def record_violation(self, what: str) -> None:
-        """Note a broken promise that needs no further judgement."""
+        """Record a violation that needs no further check."""
         self.other_violations.append(what)
 
     def is_undisrupted(self, at: float, *addresses: str) -> bool:
-        """Tell whether nothing unplanned happened to daemons of late."""
+        """Return whether the daemons had no unplanned fault recently."""
         return not any(
             disruption.begun <= at <= disruption.ended + RECOVERY_SECONDS
             for disruption in self.disruptions
@@ -104,9 +104,10 @@
         )
 
     def violations(self, now: float, holders_by_flow: dict[bytes, str]) -> list[str]:
-        """Return which promises were broken.
+        """Return every violated guarantee.
 
-        ``holders_by_flow`` tells at which address a living target holds a flow.
+        ``holders_by_flow`` maps each flow that a running target holds to the
+        target's address.
         """
         return [
             *self.other_violations,
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/stores.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/stores.py
@@ -3,9 +3,9 @@
 Run ``python -m zinniahook_testkit.stores``. When ready it prints
 ``{"ready": {"address": ..., "admin": ...}}``. The admin address takes::
 
-    POST /faults    any fields of `StoreFaults`; the others stay as they are
-    POST /compact   forget all revisions but the present one
-    POST /reset     set the counts of calls to zero
+    POST /faults    any fields of `StoreFaults`; the others stay unchanged
+    POST /compact   discard all revisions but the current one
+    POST /reset     reset the counts of calls
     GET  /state     counts of calls by kind, faults, revision, open watches
 
 `start` runs it as a process for tests.
@@ -42,24 +42,24 @@
 
 
 class StoreFaults(NamedTuple):
-    """How the stand-in misbehaves.
+    """The injected faults of the stand-in.
 
     Attributes
     ----------
     outage : str
-        ``"refuse"`` closes every connection and refuses new ones, ``"hang"``
-        takes calls and never answers nor runs them, empty for none.
+        ``"refuse"`` closes every connection and refuses new ones; ``"hang"``
+        accepts calls but neither runs nor answers them; empty for none.
     delay : float
-        Seconds that each call and each message of a watch is held back.
+        Delay of each call and each message of a watch, in seconds.
     lose : int
-        How many of the next writes take effect while their answer is lost.
+        How many of the next writes take effect but lose their answer.
     lose_prefix : str
-        Only writes to keys that start so are lost.
+        Only answers of writes to keys with this prefix are lost.
     late : float
         Seconds after which a write whose answer was lost takes effect.
     silent : bool
-        Watches that are open now or get opened meanwhile stay silent for
-        good.
+        Watches that are open when this is set, or opened while it is set, send
+        nothing for good.
     """
 
     outage: str = ""
@@ -71,7 +71,7 @@
 
 
 class Server:
-    """The service, its faults and its counts."""
+    """The key-value service with its faults and counts of calls."""
 
     def __init__(self, host: str, port: int) -> None:
         self.keyspace = Keyspace()
@@ -93,7 +93,7 @@
         self._listen()
 
     async def set_faults(self, faults: StoreFaults) -> None:
-        """Change the faults and what follows from them."""
+        """Set the faults and apply their effects."""
         before, self.faults = self.faults, faults
         if faults.silent:
             for watch in self.watches:
@@ -104,7 +104,7 @@
             self._listen()
 
     def should_lose_answer(self, keys: Iterable[bytes]) -> bool:
-        """Tell whether the answer of a write to these keys is to be lost."""
+        """Return whether to lose the answer of a write to these keys."""
         prefix = self.faults.lose_prefix.encode()
         if not self.faults.lose or not any(key.startswith(prefix) for key in keys):
             return False
@@ -112,7 +112,7 @@
         return True
 
     async def expire(self) -> None:
-        """End lapsed leases, for ever."""
+        """Remove expired leases periodically, until cancelled."""
         while True:
             self.keyspace.expire(time.monotonic())
             await asyncio.sleep(EXPIRY_INTERVAL_SECONDS)
@@ -136,7 +136,7 @@
 
 
 class CallHandler(tornado.web.RequestHandler):
-    """Every call with one answer."""
+    """Handles every call with a single answer."""
 
     def initialize(self, server: Server) -> None:
         """Take the server."""
@@ -270,7 +270,7 @@
 
 
 class WatchHandler(tornado.web.RequestHandler):
-    """One waiting watch."""
+    """Handles one open watch."""
 
     def initialize(self, server: Server) -> None:
         """Take the server."""
@@ -280,7 +280,7 @@
         self._range = b"", b""
 
     async def post(self) -> None:
-        """Serve the watch until either side ends it."""
+        """Send events until either side ends the watch."""
         server = self.server
         server.calls_by_kind["watch"] += 1
         create = json.loads(self.request.body)["create_request"]
@@ -303,7 +303,7 @@
             server.watches.discard(self)
 
     def publish(self, events: Sequence[Event]) -> None:
-        """Queue the events that are watched."""
+        """Queue the events of watched keys."""
         watched = [event for event in events if within(event.key, *self._range)]
         if watched:
             self._send(events=[event_of(event) for event in watched])
@@ -327,14 +327,14 @@
 
 
 class AdminHandler(tornado.web.RequestHandler):
-    """Faults and counts."""
+    """Serves the admin address."""
 
     def initialize(self, server: Server) -> None:
         """Take the server."""
         self.server = server
 
     def get(self, action: str) -> None:
-        """Answer with the state."""
+        """Return the state."""
         server = self.server
         self.finish(
             {
@@ -363,7 +363,7 @@
 
 
 class StoreProcess(processes.StandIn):
-    """The stand-in as a process, as tests drive it."""
+    """A process of the stand-in, controlled by tests."""
 
     def __init__(self, process: processes.Process) -> None:
         super().__init__(process)
@@ -374,11 +374,11 @@
         self.post("faults", **fields)
 
     def compact(self) -> None:
-        """Forget all revisions but the present one."""
+        """Discard all revisions but the current one."""
         self.post("compact")
 
     def reset(self) -> None:
-        """Set the counts of calls to zero."""
+        """Reset the counts of calls."""
         self.post("reset")
 
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/target.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/target.py
@@ -1,12 +1,12 @@
 """Stand-in for one target: feeds, tickets, exports and a UDP counter.
 
 Run ``python -m zinniahook_testkit.target '<settings as JSON>'``. Callers are
-served on one address; a second one (admin) changes the behaviour and shows
-what really ran. The stand-in counts for itself, so that its ledger can
-convict the system in front of it.
+served on one address; a second one (admin) changes the behaviour and returns the
+ledger. The ledger counts what the target has run, independently of the system in
+front of it, so that tests can detect that system's errors.
 
 When ready it prints ``{"ready": {"target": ..., "admin": ..., "udp": ...}}``.
-UDP is served on the same port as HTTP, so that health is asked there too.
+UDP and HTTP share a port, so that health checks of a UDP target reach it too.
 """
 
 from __future__ import annotations
@@ -35,22 +35,22 @@
 MAX_BODY_BYTES = 1 << 20
 EVENT_STREAM = "text/event-stream"
 MAX_RESUMED_EVENTS = 10_000
-"""Events of the past that a feed can be resumed from."""
+"""Limit on the past events that a resumed feed repeats."""
 
 BIND_ATTEMPTS = 20
 LOOPBACK = "127.0.0.1"
 
 
 class TargetHandler(tornado.web.RequestHandler):
-    """Base of the handlers that do work for callers."""
+    """Base class of the handlers for callers' requests."""
 
     def initialize(self, target: Target) -> None:
-        """Keep the target that serves the request."""
+        """Store the target that serves the request."""
         self.target = target
         self.cancelled = asyncio.Event()
 
     def on_connection_close(self) -> None:
-        """Notice that the request was cancelled."""
+        """Mark the request as cancelled."""
         self.cancelled.set()
 
     def refuse(self, reason: str) -> None:
@@ -62,7 +62,7 @@
         self.finish({"error": reason})
 
     async def admit(self) -> bool:
-        """Take a slot, unless the request is shed, cancelled or too late."""
+        """Take a slot, unless the request is shed, cancelled or expired."""
         if self.target.shed():
             self.refuse("shed")
             return False
@@ -80,7 +80,7 @@
         return True
 
     async def work_for(self, seconds: float) -> bool:
-        """Work, and return whether the work was finished, not cancelled."""
+        """Work for some seconds; return False if the request was cancelled."""
         began = time.monotonic()
         try:
             await asyncio.wait_for(self.cancelled.wait(), seconds)
@@ -94,8 +94,8 @@
 class TicketHandler(TargetHandler):
     """Non-idempotent work: load tickets, loans and renewals.
 
-    The body is a JSON object; ``ticket`` names the piece of business, so
-    that a second run shows even under another Idempotency-Key.
+    The body is a JSON object; ``ticket`` identifies the piece of business, so that
+    a second run is detected even under another Idempotency-Key.
     """
 
     async def post(self, kind: str) -> None:
@@ -133,13 +133,16 @@
 class FeedHandler(TargetHandler):
     """A long-lived stream, as server-sent events or as numbered JSON lines.
 
-    Events go to whoever accepts ``text/event-stream``. Their ids come from
-    the clock that all targets share: event n is due ``n * every`` seconds
-    after the epoch. So any target can go on after any ``Last-Event-ID``.
+    Clients that accept ``text/event-stream`` get events. Their ids come from the
+    clock that all targets share: event n is due ``n * every`` seconds after the
+    epoch. So any target can continue after any ``Last-Event-ID``.
     """
 
     async def get(self) -> None:
-        """Send one ``every`` so many seconds, ``count`` lines or for ever."""
+        """Send an event or a line every ``every`` seconds.
+
+        Lines end after ``count``, or never if it is 0; events never end.
+        """
         every = float(self.get_query_argument("every", "0.5"))
         count = int(self.get_query_argument("count", "0"))
         target = self.target
@@ -194,10 +197,10 @@
 
 
 class ExportHandler(TargetHandler):
-    """A large export, written only as fast as it is taken."""
+    """A large export, written only as fast as the client reads."""
 
     async def get(self, _: str) -> None:
-        """Send ``size`` bytes; ``x-digest`` is their SHA-256."""
+        """Send ``size`` bytes; the header ``x-digest`` is their SHA-256."""
         size = int(self.get_query_argument("size", str(CHUNK_BYTES)))
         if not await self.admit():
             return
@@ -231,10 +234,10 @@
 
 
 class HealthHandler(TargetHandler):
-    """The health and load endpoints, which may lag or mislead."""
+    """The health and load endpoints, which may report old or false values."""
 
     def get(self, kind: str) -> None:
-        """Answer as the behaviour says."""
+        """Return health or load according to the behaviour."""
         if self.target.behaviour[kind] == "failing":
             raise tornado.web.HTTPError(503)
         self.finish({"healthy": True} if kind == "health" else self.target.load())
@@ -244,16 +247,16 @@
     """``GET /ledger-of-runs``, ``POST /behaviour`` and ``POST /die``."""
 
     def get(self, action: str) -> None:
-        """Show the ledger."""
+        """Return the ledger."""
         if action != "ledger-of-runs":
             raise tornado.web.HTTPError(404)
         self.finish(self.target.ledger())
 
     def post(self, action: str) -> None:
-        """Change the behaviour, or die and leave the ledger behind."""
+        """Change the behaviour, or return the ledger and exit."""
         if action == "die":
-            # In one step: work that ends between the ledger and the death
-            # would look like an answer without a run.
+            # Both in one step: work that finished between the ledger and the
+            # exit would look like an answer without a run.
             self.finish(self.target.ledger())
             os._exit(1)
         if action != "behaviour":
@@ -266,10 +269,10 @@
 
 
 class UdpCounter(asyncio.DatagramProtocol):
-    """Answers each datagram with service, target, its number and itself.
+    """Answers each datagram with service, target, its number and its payload.
 
-    Numbers count the datagrams of one source, so a flow that changed its
-    target or lost its state there starts again at 1.
+    Numbers count the datagrams of one source, so a flow starts again at 1 if it
+    changes its target or the target loses its state.
     """
 
     def __init__(self, target: Target) -> None:
@@ -277,7 +280,7 @@
         self.count_by_source: Counter[Any] = Counter()
 
     def connection_made(self, transport: Any) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, source: Any) -> None:
@@ -292,7 +295,7 @@
 
 
 def application(target: Target) -> tornado.web.Application:
-    """Return the application that callers reach."""
+    """Return the web application for callers."""
     arguments = {"target": target}
     return tornado.web.Application(
         [
@@ -314,7 +317,7 @@
         try:
             counter.bind(public.getsockname())
         except OSError:
-            # Another process got the UDP port of that number: try the next.
+            # Another process uses this UDP port: try another one.
             public.close()
             counter.close()
             continue
