--- a/packages/zinniahook-testkit/src/zinniahook_testkit/demo.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/demo.py
@@ -1,9 +1,9 @@
-"""Both deployments under load while things change: ``make demo``.
+"""Run both deployments under load with a fault and planned changes: ``make demo``.
 
-Each deployment runs with the sizes of today. While feeds, tickets and exports
-go on, one entry is killed, one target drains and a configuration change is
-made. The figures come from the targets' and the callers' own records. The
-exit status is 1 if an invariant was broken.
+Each deployment has its current size. While feeds, tickets and exports
+run, an entry is killed, a target of each service drains and the configuration
+changes. The figures come from the records of targets and callers. The exit status
+is 1 if an invariant was violated.
 """
 
 from __future__ import annotations
@@ -28,29 +28,29 @@
 
 __all__ = ["Report", "main", "run"]
 
-WARMING = 6.0
-"""Seconds before the load: fresh targets are given little work at first."""
+WARMUP_SECONDS = 6.0
+"""Time before the load, as new targets get little work at first."""
 
-SETTLED = 3.0
-"""Seconds of load before anything happens."""
+STEADY_LOAD_SECONDS = 3.0
+"""Time of load before the first change."""
 
-BETWEEN = 1.5
-"""Seconds between the changes."""
+CHANGE_INTERVAL_SECONDS = 1.5
+"""Time between two changes."""
 
-NO_NEW_WORK = 4.0
-"""Seconds after which a leaving target must receive no new work."""
+NO_NEW_WORK_SECONDS = 4.0
+"""Time after which a leaving target must receive no new work."""
 
-IN_FORCE = 5.0
-"""Seconds within which a change must be in force everywhere."""
+MAX_IN_FORCE_SECONDS = 5.0
+"""Time within which a change must be in force on every daemon."""
 
-QUANTILES = ("p50", "p99", "p100")
+QUANTILE_NAMES = ("p50", "p99", "p100")
 
-LOG_SHOWN = 2000
-"""Characters of the log shown when something failed."""
+MAX_LOG_CHARACTERS = 2000
+"""Length of the end of the log that is shown after a failure."""
 
 
 class Report(NamedTuple):
-    """What one deployment's run showed."""
+    """The results of one deployment's run."""
 
     summaries: tuple[Summary, ...]
     violations: tuple[Violation, ...]
@@ -60,37 +60,39 @@
 
 
 async def run(deployment: Deployment, folder: Path, seed: int) -> Report:
-    """Run one deployment through its changes.
+    """Run one deployment with its fault and changes.
 
     Parameters
     ----------
     deployment : Deployment
-        What to run.
+        The deployment to run.
     folder : Path
         An empty folder for certificates, settings and records.
     seed : int
-        Of load and faults.
+        Seed of load and faults.
     """
     began = time.monotonic()
     async with Cluster(deployment, folder, seed) as cluster:
-        await asyncio.sleep(WARMING)
+        await asyncio.sleep(WARMUP_SECONDS)
         loads = [
             await cluster.run_loads([service.name]) for service in deployment.services
         ]
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(STEADY_LOAD_SECONDS)
         await cluster.kill_entry("entry-1")
-        await asyncio.sleep(BETWEEN)
+        await asyncio.sleep(CHANGE_INTERVAL_SECONDS)
         leaving = [f"{service.name}-1" for service in deployment.services]
         agents = [cluster.drain_agent(name) for name in leaving]
-        await asyncio.sleep(BETWEEN)
+        await asyncio.sleep(CHANGE_INTERVAL_SECONDS)
         changed_at = time.monotonic()
         generation = await cluster.change(_longer_queues)
         await cluster.wait_for_generation(generation)
         in_force = time.monotonic() - changed_at
-        await asyncio.sleep(max(0.0, NO_NEW_WORK - BETWEEN - in_force))
+        await asyncio.sleep(
+            max(0.0, NO_NEW_WORK_SECONDS - CHANGE_INTERVAL_SECONDS - in_force)
+        )
         left = {name: await cluster.ledger(name) for name in leaving}
-        await asyncio.sleep(BETWEEN)
-        # While feeds go on elsewhere: nothing may hold a leaving target up.
+        await asyncio.sleep(CHANGE_INTERVAL_SECONDS)
+        # Feeds still run at other targets; no load may delay a leaving target.
         staying = await _still_running(cluster, dict(zip(leaving, agents, strict=True)))
         results = [result for load in loads for result in await load.finish()]
         ledgers = await cluster.ledgers()
@@ -99,7 +101,7 @@
     violations += [
         Violation("a drained target ends", name, "still running") for name in staying
     ]
-    if in_force > IN_FORCE:
+    if in_force > MAX_IN_FORCE_SECONDS:
         detail = f"generation {generation} took {in_force:.1f} s"
         violations.append(
             Violation("an accepted configuration is in force soon", "all", detail)
@@ -132,7 +134,7 @@
     *deployments : str
         Names of the deployments to run; all of them if none is named.
     seed : int
-        Of load and faults.
+        Seed of load and faults.
     """
     broken = False
     for name in deployments or DEPLOYMENTS_BY_NAME:
@@ -150,9 +152,9 @@
 
 @contextlib.contextmanager
 def _standard_error_to(log: Path) -> Iterator[None]:
-    """Send what this process and its children report to a file.
+    """Redirect the standard error of this process and its children to a file.
 
-    The daemons' lines on changes of state would drown the figures.
+    The daemons' many log lines would hide the figures.
     """
     kept = os.dup(sys.stderr.fileno())
     with log.open("wb") as file:
@@ -160,7 +162,7 @@
     try:
         yield
     except BaseException:
-        os.write(kept, log.read_bytes()[-LOG_SHOWN:])
+        os.write(kept, log.read_bytes()[-MAX_LOG_CHARACTERS:])
         raise
     finally:
         os.dup2(kept, sys.stderr.fileno())
@@ -172,11 +174,11 @@
     errors = [line for line in lines if '"level": "error"' in line]
     if errors:
         print(f"  the daemons logged {len(errors)} errors, such as")
-        print(f"    {errors[-1][-LOG_SHOWN:]}")
+        print(f"    {errors[-1][-MAX_LOG_CHARACTERS:]}")
 
 
 def _longer_queues(document: Document) -> Document:
-    """Return the document with the queue of every class twice as long."""
+    """Return the document with the queue limit of every class doubled."""
     services = {
         name: service._replace(
             classes_by_name={
@@ -219,7 +221,7 @@
             f" variation {summary.work_variation:.2f}{_streams(summary)}"
         )
         for path, quantiles in summary.quantiles_by_path.items():
-            figures = " ".join(f"{q} {quantiles[q] * 1000:.1f}" for q in QUANTILES)
+            figures = " ".join(f"{q} {quantiles[q] * 1000:.1f}" for q in QUANTILE_NAMES)
             print(f"    {path}: latency in ms {figures}")
     print(
         f"  generation {report.generation} in force everywhere after"
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/fabric.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/fabric.py
@@ -1,9 +1,9 @@
 """Stand-in for the platform's fabric: a UDP relay that sprays packets.
 
 Run ``python -m zinniahook_testkit.fabric '<settings as JSON>'``. The fabric
-owns the public address of every service. Each datagram of a caller goes to a
-random live entry, whatever flow it belongs to; what any entry answers goes
-back from the public address. Faults are drawn from one seeded generator.
+owns the public address of every service. It sends each datagram of a caller to a
+random running entry, whatever its flow, and sends the answers of any entry from
+the public address. Faults are drawn from one seeded generator.
 
 When ready it prints ``{"ready": {"admin": ..., "services": {name: ...}}}``.
 """
@@ -26,11 +26,11 @@
 __all__ = ["Fabric", "FabricSettings", "Faults", "main"]
 
 MAX_CALLERS = 4096
-MAX_IDLE = 300.0
-MAX_DATAGRAM = 65535
-BATCH = 64
-SOCKET_BUFFER = 1 << 21
-SWEEP_INTERVAL = 5.0
+MAX_IDLE_SECONDS = 300.0
+MAX_DATAGRAM_BYTES = 65535
+DATAGRAMS_PER_READ = 64
+SOCKET_BUFFER_BYTES = 1 << 21
+SWEEP_INTERVAL_SECONDS = 5.0
 
 
 class FabricSettings(TypedDict, total=False):
@@ -44,11 +44,11 @@
 
 
 class Faults(NamedTuple):
-    """Faults of each direction; shares from 0 to 1, times in seconds.
+    """Faults in each direction; shares from 0 to 1, times in seconds.
 
-    ``latency`` is one way. A reordered datagram waits ``reorder_delay``
-    longer than the others, ``jitter`` is the upper end of a uniform extra
-    wait of every datagram.
+    ``latency`` is one way. A reordered datagram is delayed by ``reorder_delay``
+    more than the others. ``jitter`` is the maximum of a uniform extra delay of
+    every datagram.
     """
 
     loss: float = 0.0
@@ -60,7 +60,7 @@
 
 
 class Caller:
-    """The socket that stands for one caller address towards the entries."""
+    """The socket that represents one caller address to the entries."""
 
     def __init__(self, address: tuple[str, int], relay: socket.socket) -> None:
         self.address = address
@@ -79,7 +79,7 @@
     services : list of str
         Names of the services; each gets a port picked by the system.
     entries : list of str
-        Loopback hosts of the live entries; each binds the same ports.
+        Loopback hosts of the running entries; each binds the same ports.
     rng : random.Random
         Source of every random choice.
     """
@@ -101,24 +101,24 @@
         self._timer: asyncio.TimerHandle | None = None
         for service in services:
             self._bind(service)
-        self._sweeper = self._loop.call_later(SWEEP_INTERVAL, self._sweep)
+        self._sweeper = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     @property
     def addresses_by_service(self) -> dict[str, str]:
-        """Public address of each service as ``host:port``."""
+        """The public address of each service as ``host:port``."""
         return {
             name: "{}:{}".format(*public.getsockname())
             for name, public in self.sockets_by_service.items()
         }
 
     def silence(self, count: int, address: tuple[str, int] | None = None) -> list[str]:
-        """Make caller addresses silent for good, in both directions.
+        """Drop all datagrams of some caller addresses for good, in both directions.
 
         Returns
         -------
         list of str
-            The addresses chosen: ``address`` if given, else up to ``count``
-            of those in use, at random.
+            The affected addresses: ``address`` if given, else up to ``count``
+            random ones of those in use.
         """
         if address is not None:
             chosen = [address] if address in self.callers_by_address else []
@@ -153,9 +153,9 @@
 
     def _read_callers(self, public: socket.socket) -> None:
         port = public.getsockname()[1]
-        for _ in range(BATCH):
+        for _ in range(DATAGRAMS_PER_READ):
             try:
-                data, address = public.recvfrom(MAX_DATAGRAM)
+                data, address = public.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             self.counts["from_callers"] += 1
@@ -163,26 +163,26 @@
             if caller is None or caller.silent or not self.entries:
                 self.counts["swallowed"] += 1
                 continue
-            for wait in self._waits():
+            for wait in self._draw_delays():
                 entry = self._rng.choice(self.entries)
                 self.counts[f"to_entry_{entry}"] += 1
                 self._send(wait, caller.relay, data, (entry, port))
 
     def _read_entries(self, caller: Caller) -> None:
-        for _ in range(BATCH):
+        for _ in range(DATAGRAMS_PER_READ):
             try:
-                data, (_, port) = caller.relay.recvfrom(MAX_DATAGRAM)
+                data, (_, port) = caller.relay.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError:
-                # An entry was killed: ICMP may be reported on the next read.
+                # An entry was killed: its ICMP error is reported on a later read.
                 continue
             self.counts["from_entries"] += 1
             public = self._sockets_by_port.get(port)
             if public is None or caller.silent:
                 self.counts["swallowed"] += 1
                 continue
-            for wait in self._waits():
+            for wait in self._draw_delays():
                 self._send(wait, public, data, caller.address)
 
     def _caller(self, address: tuple[str, int]) -> Caller | None:
@@ -196,8 +196,8 @@
         caller.last_used = self._loop.time()
         return caller
 
-    def _waits(self) -> list[float]:
-        """Draw the fate of one datagram: when each of its copies is sent."""
+    def _draw_delays(self) -> list[float]:
+        """Draw the faults of one datagram and return the delay of each copy."""
         faults, rng = self.faults, self._rng
         if faults.loss and rng.random() < faults.loss:
             self.counts["lost"] += 1
@@ -220,9 +220,9 @@
         self._sequence += 1
         due = self._loop.time() + wait
         heapq.heappush(self._waiting, (due, self._sequence, via, data, to))
-        self._arm()
+        self._schedule_timer()
 
-    def _arm(self) -> None:
+    def _schedule_timer(self) -> None:
         due = self._waiting[0][0]
         if self._timer is not None:
             if self._timer.when() <= due:
@@ -237,32 +237,33 @@
             _, _, via, data, to = heapq.heappop(self._waiting)
             _send_now(via, data, to)
         if self._waiting:
-            self._arm()
+            self._schedule_timer()
 
     def _sweep(self) -> None:
-        oldest = self._loop.time() - MAX_IDLE
+        oldest = self._loop.time() - MAX_IDLE_SECONDS
         for address, caller in list(self.callers_by_address.items()):
             if caller.last_used < oldest:
                 self._loop.remove_reader(caller.relay)
                 caller.relay.close()
                 del self.callers_by_address[address]
-        self._sweeper = self._loop.call_later(SWEEP_INTERVAL, self._sweep)
+        self._sweeper = self._loop.call_later(SWEEP_INTERVAL_SECONDS, self._sweep)
 
 
 class AdminHandler(tornado.web.RequestHandler):
-    """Control of a running fabric over HTTP with JSON bodies.
+    """Controls a running fabric over HTTP with JSON bodies.
 
     ``POST /faults`` replaces the faults, ``POST /entries`` takes ``add`` and
-    ``remove``, ``POST /silence`` takes ``count`` or ``caller``; each answers
-    with the status, which ``GET /status`` gives too.
+    ``remove``, ``POST /silence`` takes ``count`` or ``caller``. ``GET /status``
+    and the first two return the status; ``/silence`` returns the affected
+    addresses.
     """
 
     def initialize(self, fabric: Fabric) -> None:
-        """Keep the fabric that is controlled."""
+        """Store the fabric to control."""
         self.fabric = fabric
 
     def get(self, action: str) -> None:
-        """Answer with the status."""
+        """Return the status."""
         self._finish_status()
 
     def post(self, action: str) -> None:
@@ -311,7 +312,7 @@
 def _udp_socket(host: str) -> socket.socket:
     result = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     result.setblocking(False)
-    result.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER)
+    result.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
     result.bind((host, 0))
     return result
 
@@ -320,8 +321,8 @@
     try:
         via.sendto(data, to)
     except OSError:
-        # A full socket buffer or a socket that was swept: the network may
-        # drop any datagram, so the relay may too.
+        # The socket's buffer is full, or the socket was closed as idle. A
+        # network may drop any datagram, so the relay may too.
         pass
 
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/faults.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/faults.py
@@ -3,11 +3,11 @@
 Run ``python -m zinniahook_testkit.faults UPSTREAM``. When ready it prints
 ``{"ready": {"address": ..., "admin": ...}}``. The admin address takes::
 
-    POST /faults    any fields of `ProxyFaults`; the others stay as they are
-    POST /silence   {"direction": "up", "down" or "both"}: the connections open
-                    now bring nothing more that way, for good; new ones work
-    POST /cut       reset the connections open now
-    GET  /state     faults, connections taken and open, bytes passed each way
+    POST /faults    any fields of `ProxyFaults`; the others stay unchanged
+    POST /silence   {"direction": "up", "down" or "both"}: open connections
+                    forward no more bytes this way, for good; new ones work
+    POST /cut       reset the open connections
+    GET  /state     faults, accepted and open connections, bytes forwarded each way
 
 "up" is from the connecting side to the upstream. `start` runs it as a process
 for tests.
@@ -30,29 +30,30 @@
 
 __all__ = ["ProxyFaults", "ProxyProcess", "main", "start"]
 
-READ_SIZE = 65536
-QUEUE_SIZE = 64
-"""Pieces on their way in one direction; more aren't read meanwhile."""
+READ_BYTES = 65536
+MAX_QUEUED_CHUNKS = 64
+"""Limit on the chunks in transit in one direction; reading stops at it."""
 
 DIRECTIONS = {"up": {"up"}, "down": {"down"}, "both": {"up", "down"}, "": set()}
 
 LINGER_RESET = struct.pack("ii", 1, 0)
-"""Socket option that makes a close a reset."""
+"""Value of SO_LINGER with which a close sends a reset."""
 
 
 class ProxyFaults(NamedTuple):
-    """How the proxy misbehaves.
+    """The injected faults of the proxy.
 
     Attributes
     ----------
     delay : float
-        Seconds that each piece is held back, in each direction.
+        Delay of each chunk in each direction, in seconds.
     hang : bool
-        Nothing passes meanwhile; it does afterwards.
+        Chunks are held back while this is set, and forwarded afterwards.
     refuse : bool
         New connections are refused.
     silent : str
-        Direction that connections made meanwhile are silent in, for good.
+        Direction in which connections opened while this is set forward nothing,
+        for good.
     """
 
     delay: float = 0.0
@@ -70,7 +71,7 @@
         self._writers = [down]
 
     async def run(self, reader: asyncio.StreamReader) -> None:
-        """Pass bytes until either side ends the connection."""
+        """Forward bytes until either side ends the connection."""
         host, port = self._proxy.upstream
         try:
             upstream, writer = await asyncio.open_connection(host, port)
@@ -78,16 +79,16 @@
             self.reset()
             return
         self._writers.append(writer)
-        passing = [
-            asyncio.ensure_future(self._pass("up", reader, writer)),
-            asyncio.ensure_future(self._pass("down", upstream, self._writers[0])),
+        forwarding = [
+            asyncio.ensure_future(self._forward("up", reader, writer)),
+            asyncio.ensure_future(self._forward("down", upstream, self._writers[0])),
         ]
         try:
-            await asyncio.gather(*passing)
+            await asyncio.gather(*forwarding)
         except OSError:
             self.reset()
         finally:
-            for task in passing:
+            for task in forwarding:
                 task.cancel()
             for writer in self._writers:
                 writer.close()
@@ -100,18 +101,18 @@
                 end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             writer.transport.abort()
 
-    async def _pass(
-        self, way: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _forward(
+        self, direction: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        # A queue between reading and writing lets a delay hold each piece
-        # back without limiting how many are on their way.
-        pieces: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(QUEUE_SIZE)
-        writing = asyncio.ensure_future(self._write(way, pieces, writer))
+        # With a queue between reading and writing, a delay applies to each
+        # chunk without limiting the number of chunks in transit.
+        chunks: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_QUEUED_CHUNKS)
+        writing = asyncio.ensure_future(self._write(direction, chunks, writer))
         try:
             while True:
-                data = await reader.read(READ_SIZE)
+                data = await reader.read(READ_BYTES)
                 due = asyncio.get_running_loop().time() + self._proxy.faults.delay
-                await pieces.put((due, data))
+                await chunks.put((due, data))
                 if not data:
                     break
             await writing
@@ -120,56 +121,56 @@
 
     async def _write(
         self,
-        way: str,
-        pieces: asyncio.Queue[tuple[float, bytes]],
+        direction: str,
+        chunks: asyncio.Queue[tuple[float, bytes]],
         writer: asyncio.StreamWriter,
     ) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due, data = await pieces.get()
+            due, data = await chunks.get()
             await asyncio.sleep(max(0.0, due - loop.time()))
-            await self._proxy.passable.wait()
-            if way in self.silent:
-                # Also the end of the stream is swallowed: the other side
-                # must not notice anything.
+            await self._proxy.unblocked.wait()
+            if direction in self.silent:
+                # The end of the stream is dropped too, as the other side must
+                # not notice that the connection is dead.
                 if not data:
                     await asyncio.Event().wait()
                 continue
             if not data:
                 writer.write_eof()
                 return
-            self._proxy.bytes_by_direction[way] += len(data)
+            self._proxy.bytes_by_direction[direction] += len(data)
             writer.write(data)
             await writer.drain()
 
 
 class Proxy:
-    """The listening side, its faults and its connections."""
+    """The listening socket with its faults and connections."""
 
     def __init__(self, upstream: Address, host: str, port: int) -> None:
         self.upstream = upstream
         self.faults = ProxyFaults()
         self.address = Address(host, port)
         self.connections: set[Connection] = set()
-        self.taken = 0
+        self.accepted = 0
         self.bytes_by_direction = {"up": 0, "down": 0}
-        self.passable = asyncio.Event()
-        self.passable.set()
+        self.unblocked = asyncio.Event()
+        self.unblocked.set()
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Take connections, always on the same address."""
+        """Accept connections, always on the same address."""
         host, port = self.address
         self._server = await asyncio.start_server(self._serve, host, port)
         self.address = Address(*self._server.sockets[0].getsockname()[:2])
 
     async def set_faults(self, faults: ProxyFaults) -> None:
-        """Change the faults and what follows from them."""
+        """Set the faults and apply their effects."""
         self.faults = faults
         if faults.hang:
-            self.passable.clear()
+            self.unblocked.clear()
         else:
-            self.passable.set()
+            self.unblocked.set()
         if faults.refuse and self._server is not None:
             self._server.close()
             self._server = None
@@ -177,12 +178,12 @@
             await self.listen()
 
     def silence(self, direction: str) -> None:
-        """Make the connections open now silent for good."""
+        """Make the open connections silent for good."""
         for connection in self.connections:
             connection.silent |= DIRECTIONS[direction]
 
     def cut(self) -> None:
-        """Reset the connections open now."""
+        """Reset the open connections."""
         for connection in list(self.connections):
             connection.reset()
 
@@ -190,39 +191,39 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         connection = Connection(self, writer)
-        self.taken += 1
+        self.accepted += 1
         self.connections.add(connection)
         try:
             await connection.run(reader)
         except asyncio.CancelledError:
-            # Only the end of the process cancels; asyncio's streams would
-            # print a traceback for each connection then.
+            # Tasks are cancelled only when the process ends; asyncio's streams
+            # would then print a traceback for each connection.
             pass
         finally:
             self.connections.discard(connection)
 
 
 class AdminHandler(tornado.web.RequestHandler):
-    """Steers the proxy."""
+    """Controls the proxy over HTTP."""
 
     def initialize(self, proxy: Proxy) -> None:
-        """Take the proxy."""
+        """Store the proxy to control."""
         self.proxy = proxy
 
     def get(self, action: str) -> None:
-        """Answer with the state."""
+        """Return the state."""
         proxy = self.proxy
         self.finish(
             {
                 "faults": proxy.faults._asdict(),
                 "open": len(proxy.connections),
-                "taken": proxy.taken,
+                "taken": proxy.accepted,
                 "bytes": proxy.bytes_by_direction,
             }
         )
 
     async def post(self, action: str) -> None:
-        """Change the faults, or act on the open connections."""
+        """Change the faults, or silence or reset the open connections."""
         fields = json.loads(self.request.body)
         try:
             if action == "faults":
@@ -243,7 +244,7 @@
 
 
 class ProxyProcess(processes.StandIn):
-    """The proxy as a process, as tests drive it."""
+    """A process of the proxy, controlled by tests."""
 
     def __init__(self, process: processes.Process) -> None:
         super().__init__(process)
@@ -254,11 +255,11 @@
         self.post("faults", **fields)
 
     def silence(self, direction: str = "both") -> None:
-        """Make the connections open now silent for good."""
+        """Make the open connections silent for good."""
         self.post("silence", direction=direction)
 
     def cut(self) -> None:
-        """Reset the connections open now."""
+        """Reset the open connections."""
         self.post("cut")
 
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/stores.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/stores.py
@@ -3,9 +3,9 @@
 Run ``python -m zinniahook_testkit.stores``. When ready it prints
 ``{"ready": {"address": ..., "admin": ...}}``. The admin address takes::
 
-    POST /faults    any fields of `StoreFaults`; the others stay as they are
-    POST /compact   forget all revisions but the present one
-    POST /reset     set the counts of calls to zero
+    POST /faults    any fields of `StoreFaults`; the others stay unchanged
+    POST /compact   discard all revisions but the current one
+    POST /reset     reset the counts of calls
     GET  /state     counts of calls by kind, faults, revision, open watches
 
 `start` runs it as a process for tests.
@@ -34,32 +34,32 @@
 
 __all__ = ["StoreFaults", "StoreProcess", "main", "start"]
 
-BODY_LIMIT = 64 * 1024 * 1024
-OPERATIONS_LIMIT = 128
-EXPIRE_INTERVAL = 0.1
+MAX_BODY_BYTES = 64 * 1024 * 1024
+MAX_TXN_OPERATIONS = 128
+EXPIRY_INTERVAL_SECONDS = 0.1
 
 COMPACTED = "etcdserver: mvcc: required revision has been compacted"
 
 
 class StoreFaults(NamedTuple):
-    """How the stand-in misbehaves.
+    """The injected faults of the stand-in.
 
     Attributes
     ----------
     outage : str
-        ``"refuse"`` closes every connection and refuses new ones, ``"hang"``
-        takes calls and never answers nor runs them, empty for none.
+        ``"refuse"`` closes every connection and refuses new ones; ``"hang"``
+        accepts calls but neither runs nor answers them; empty for none.
     delay : float
-        Seconds that each call and each message of a watch is held back.
+        Delay of each call and each message of a watch, in seconds.
     lose : int
-        How many of the next writes take effect while their answer is lost.
+        How many of the next writes take effect but lose their answer.
     lose_prefix : str
-        Only writes to keys that start so are lost.
+        Only answers of writes to keys with this prefix are lost.
     late : float
         Seconds after which a write whose answer was lost takes effect.
     silent : bool
-        Watches that are open now or get opened meanwhile stay silent for
-        good.
+        Watches that are open when this is set, or opened while it is set, send
+        nothing for good.
     """
 
     outage: str = ""
@@ -71,7 +71,7 @@
 
 
 class Server:
-    """The service, its faults and its counts."""
+    """The key-value service with its faults and counts of calls."""
 
     def __init__(self, host: str, port: int) -> None:
         self.keyspace = Keyspace()
@@ -93,7 +93,7 @@
         self._listen()
 
     async def set_faults(self, faults: StoreFaults) -> None:
-        """Change the faults and what follows from them."""
+        """Set the faults and apply their effects."""
         before, self.faults = self.faults, faults
         if faults.silent:
             for watch in self.watches:
@@ -103,8 +103,8 @@
         elif before.outage == "refuse":
             self._listen()
 
-    def loses(self, keys: Iterable[bytes]) -> bool:
-        """Tell whether the answer of a write to these keys is to be lost."""
+    def should_lose_answer(self, keys: Iterable[bytes]) -> bool:
+        """Return whether to lose the answer of a write to these keys."""
         prefix = self.faults.lose_prefix.encode()
         if not self.faults.lose or not any(key.startswith(prefix) for key in keys):
             return False
@@ -112,16 +112,16 @@
         return True
 
     async def expire(self) -> None:
-        """End lapsed leases, for ever."""
+        """Remove expired leases periodically, until cancelled."""
         while True:
             self.keyspace.expire(time.monotonic())
-            await asyncio.sleep(EXPIRE_INTERVAL)
+            await asyncio.sleep(EXPIRY_INTERVAL_SECONDS)
 
     def _listen(self) -> None:
         host, port = self.address
         sockets = bind_sockets(port, host, socket.AF_INET)
         self.address = sockets[0].getsockname()[:2]
-        self._http = HTTPServer(self._application, max_body_size=BODY_LIMIT)
+        self._http = HTTPServer(self._application, max_body_size=MAX_BODY_BYTES)
         self._http.add_sockets(sockets)
 
     async def _refuse(self) -> None:
@@ -136,7 +136,7 @@
 
 
 class CallHandler(tornado.web.RequestHandler):
-    """Every call with one answer."""
+    """Handles every call with a single answer."""
 
     def initialize(self, server: Server) -> None:
         """Take the server."""
@@ -151,7 +151,9 @@
         if server.faults.outage:
             await self._hang()
             return
-        if kind in ("put", "txn", "deleterange") and server.loses(written_keys(body)):
+        if kind in ("put", "txn", "deleterange") and server.should_lose_answer(
+            written_keys(body)
+        ):
             if server.faults.late:
                 loop = asyncio.get_running_loop()
                 loop.call_later(server.faults.late, self._run, kind, body)
@@ -174,7 +176,7 @@
 
     async def _hang(self) -> None:
         while self.server.faults.outage == "hang":
-            await asyncio.sleep(EXPIRE_INTERVAL)
+            await asyncio.sleep(EXPIRY_INTERVAL_SECONDS)
         self._drop()
 
     def _drop(self) -> None:
@@ -220,7 +222,7 @@
         compares = [compare_of(item) for item in body.get("compare", ())]
         succeeded = all(keyspace.holds(compare) for compare in compares)
         operations = body.get("success" if succeeded else "failure", ())
-        if max(len(compares), len(operations)) > OPERATIONS_LIMIT:
+        if max(len(compares), len(operations)) > MAX_TXN_OPERATIONS:
             raise ValueError("etcdserver: too many operations in txn request")
         puts = [
             put_of(item["request_put"]) for item in operations if "request_put" in item
@@ -268,7 +270,7 @@
 
 
 class WatchHandler(tornado.web.RequestHandler):
-    """One waiting watch."""
+    """Handles one open watch."""
 
     def initialize(self, server: Server) -> None:
         """Take the server."""
@@ -278,7 +280,7 @@
         self._range = b"", b""
 
     async def post(self) -> None:
-        """Serve the watch until either side ends it."""
+        """Send events until either side ends the watch."""
         server = self.server
         server.calls_by_kind["watch"] += 1
         create = json.loads(self.request.body)["create_request"]
@@ -301,7 +303,7 @@
             server.watches.discard(self)
 
     def publish(self, events: Sequence[Event]) -> None:
-        """Queue the events that are watched."""
+        """Queue the events of watched keys."""
         watched = [event for event in events if within(event.key, *self._range)]
         if watched:
             self._send(events=[event_of(event) for event in watched])
@@ -325,14 +327,14 @@
 
 
 class AdminHandler(tornado.web.RequestHandler):
-    """Faults and counts."""
+    """Serves the admin address."""
 
     def initialize(self, server: Server) -> None:
         """Take the server."""
         self.server = server
 
     def get(self, action: str) -> None:
-        """Answer with the state."""
+        """Return the state."""
         server = self.server
         self.finish(
             {
@@ -361,7 +363,7 @@
 
 
 class StoreProcess(processes.StandIn):
-    """The stand-in as a process, as tests drive it."""
+    """A process of the stand-in, controlled by tests."""
 
     def __init__(self, process: processes.Process) -> None:
         super().__init__(process)
@@ -372,11 +374,11 @@
         self.post("faults", **fields)
 
     def compact(self) -> None:
-        """Forget all revisions but the present one."""
+        """Discard all revisions but the current one."""
         self.post("compact")
 
     def reset(self) -> None:
-        """Set the counts of calls to zero."""
+        """Reset the counts of calls."""
         self.post("reset")
 
 
--- a/tests/operator_runs.py
+++ b/tests/operator_runs.py
@@ -1,4 +1,4 @@
-"""A small deployment, its load and an operator, for tests with daemons."""
+"""A small deployment with its load and an operator, for tests with daemons."""
 
 import asyncio
 import collections
@@ -14,15 +14,16 @@
 from zinniahook_testkit.clusters import Cluster
 from zinniahook_testkit.deployments import TALLY, Deployment, ServicePlan
 
-BOUND = 120.0
-"""Seconds that a test may take; nothing in it waits for a fixed time."""
+TEST_TIMEOUT_SECONDS = 120.0
+"""Limit for a whole test; the tests wait for conditions, not for fixed times."""
 
 FEEDS = {"kind": "feeds", "path": "/tally/feed", "callers": 6, "every": 0.2}
 TICKETS = {"kind": "tickets", "path": "/tickets", "callers": 4, "rate": 10.0}
 PLAN = TALLY._replace(targets=3, loads=(FEEDS, TICKETS))
 DEPLOYMENT = Deployment("small", ("east", "west"), 2, 0.0, (PLAN,))
 
-# Here a feed holds a slot like any other request, so peers share them.
+# Without classes a feed takes a slot like any other request, so agents relay
+# feeds to their peers.
 WITHOUT_CLASSES = DEPLOYMENT._replace(services=(PLAN._replace(classes=()),))
 
 PULSE = ServicePlan(name="pulse", number=2, targets=2, slots=4, protocol="udp")
@@ -30,16 +31,16 @@
 
 
 class Operator:
-    """An operator's session at a cluster."""
+    """An operator's command line session with a cluster."""
 
     def __init__(self, cluster, name="amina", patience=30.0):
         self.cluster = cluster
-        self.said = []
+        self.messages = []
         store = cluster.store_process.ready["address"]
         files = cluster.authority.issue(name)
         self.settings = ClientSettings((Address.parse(store),), *files, 2.0, patience)
         self.session = Session(
-            self.settings, Store([store]), self.said.append, wait=True
+            self.settings, Store([store]), self.messages.append, wait=True
         )
 
     async def run(self, text):
@@ -49,42 +50,43 @@
         return answer
 
 
-def runner(tmp_path):
-    """Run a scenario that takes a cluster and an operator."""
+def scenario_runner(tmp_path):
+    """Return a function that runs a scenario with a cluster and an operator."""
 
     def start(scenario, deployment=DEPLOYMENT, kind=Cluster):
-        async def whole():
+        async def run_scenario():
             async with (
-                asyncio.timeout(BOUND),
+                asyncio.timeout(TEST_TIMEOUT_SECONDS),
                 kind(deployment, tmp_path) as cluster,
             ):
                 await scenario(cluster, Operator(cluster))
 
-        asyncio.run(whole())
+        asyncio.run(run_scenario())
 
     return start
 
 
-async def load(cluster):
-    """Start the load and wait until all of it has begun."""
+async def start_load(cluster):
+    """Start the load and wait until every feed is open and tickets are filed."""
     running = await cluster.run_loads(["tally"])
     (plan,) = cluster.deployment.services
     feeds = FEEDS["callers"] if FEEDS in plan.loads else 0
 
-    async def begun():
+    async def load_begun():
         replies = await cluster.statuses()
         streams = sum(reply.streams for reply in replies)
         requests = sum(reply.counters_by_name["agent.requests"] for reply in replies)
         return streams >= feeds and requests > feeds
 
-    await cluster.until(begun, "the load has begun")
+    await cluster.until(load_begun, "the load has begun")
     return running
 
 
-async def violations(cluster, running, reopened=0):
-    """End the load; return every breach that targets and callers recorded.
+async def finish_and_check(cluster, running, reopened=0):
+    """End the load and return every violation that targets and callers recorded.
 
-    Nothing may have been cut, and feeds opened anew at least so often.
+    No attempt may have been cut, and callers must have reopened at least
+    ``reopened`` feeds.
     """
     results = await running.finish()
     assert all(result["records"] for result in results)
@@ -96,8 +98,8 @@
     return check(Evidence(tuple(await cluster.ledgers()), tuple(results)))
 
 
-class PartedCluster(Cluster):
-    """A cluster whose entry-2 reaches the store by way of a fault proxy."""
+class PartitionedCluster(Cluster):
+    """A cluster whose entry-2 reaches the store through a fault proxy."""
 
     proxy = None
 
@@ -115,13 +117,13 @@
 
 
 class TreeCluster(Cluster):
-    """A cluster in which agents learn from entries, as by default."""
+    """A cluster whose agents get their configuration from entries, as by default."""
 
     watchers = 2
 
 
-async def newcomers(address):
-    """Open a plain UDP flow after the other."""
+async def open_flows(address):
+    """Open one plain UDP flow after another."""
     loop = asyncio.get_running_loop()
     while True:
         transport, _ = await loop.create_datagram_endpoint(
@@ -132,8 +134,8 @@
         await asyncio.sleep(0.02)
 
 
-async def follow(feed):
-    """Read a feed, whose events must come once and in order."""
+async def read_in_order(feed):
+    """Read a feed and check that each event comes once and in order."""
     last = None
     async for event in feed:
         number = int(event.id)
@@ -141,14 +143,14 @@
         last = number
 
 
-async def busiest(cluster):
-    """Name the agent with the most open streams."""
+async def busiest_agent(cluster):
+    """Return the name of the agent with the most open streams."""
     replies = await cluster.statuses()
     return max(replies, key=lambda reply: reply.streams).name
 
 
 async def supervise(cluster):
-    """Start again what ends, as the platform does."""
+    """Restart each daemon that ends, as the platform does."""
     while True:
         for name, process in list(cluster.agents_by_name.items()):
             if not process.running:
@@ -159,7 +161,7 @@
         await asyncio.sleep(0.05)
 
 
-def unreadable(replies):
-    """Add up the datagrams dropped for want of a key."""
+def count_unknown_key_drops(replies):
+    """Return how many datagrams were dropped because their key was unknown."""
     codes = (Code.CONNECTION_ID_UNKNOWN, Code.TUNNEL_KEY_UNKNOWN)
     return sum(reply.drops_by_code.get(code, 0) for reply in replies for code in codes)
--- a/tests/test_agent_failures.py
+++ b/tests/test_agent_failures.py
@@ -1,4 +1,4 @@
-"""Agents that pause, die or hear nothing, as real processes."""
+"""Agents that are paused or killed, and entries that stop answering."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from agent_deployments import Deployment, until
+from agent_deployments import Deployment, wait_until
 from zinniahook_caller import NotRunError, OutcomeError, Session
 from zinniahook_core.models import AgentState
 
@@ -19,16 +19,16 @@
 def deployment(tmp_path: Path) -> Iterator[Deployment]:
     deployment = Deployment(tmp_path)
     with deployment.stack:
-        deployment.entries = [deployment.entry(number) for number in range(3)]
+        deployment.entries = [deployment.start_entry(number) for number in range(3)]
         yield deployment
 
 
-class Clerks:
-    """File tickets without end and note what they are told of each."""
+class TicketLoad:
+    """Callers that file tickets until stopped and record the reported outcomes."""
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
-        self.told: dict[str, str] = {}
+        self.outcomes_by_ticket: dict[str, str] = {}
         self.stopping = asyncio.Event()
 
     async def file(self, session: Session, name: int) -> None:
@@ -40,14 +40,16 @@
                 answer = await session.post(
                     "/tickets", json={"ticket": ticket}, deadline=10
                 )
-                self.told[ticket] = "done" if answer.status == 200 else "failed"
+                self.outcomes_by_ticket[ticket] = (
+                    "done" if answer.status == 200 else "failed"
+                )
             except NotRunError:
-                self.told[ticket] = "not run"
+                self.outcomes_by_ticket[ticket] = "not run"
             except OutcomeError:
-                self.told[ticket] = "unknown"
+                self.outcomes_by_ticket[ticket] = "unknown"
 
     async def run(self, scenario: Callable[[], Awaitable[None]]) -> None:
-        """File before, during and after a scenario."""
+        """File tickets before, during and after a scenario."""
         async with contextlib.AsyncExitStack() as stack:
             sessions = [
                 await stack.enter_async_context(self.deployment.session())
@@ -57,93 +59,101 @@
                 asyncio.ensure_future(self.file(session, name))
                 for name, session in enumerate(sessions)
             ]
-            await until(lambda: len(self.told) > 20)
+            await wait_until(lambda: len(self.outcomes_by_ticket) > 20)
             await scenario()
-            seen = len(self.told)
-            await until(lambda: len(self.told) > seen + 20)
+            seen = len(self.outcomes_by_ticket)
+            await wait_until(lambda: len(self.outcomes_by_ticket) > seen + 20)
             self.stopping.set()
             await asyncio.gather(*filing)
 
     def check(self) -> None:
-        """Hold what was told against the targets' own records."""
+        """Compare the reported outcomes with the targets' own records."""
         runs: Counter[str] = Counter()
         for member in self.deployment.members:
             runs.update(member.ledger()["runs_by_ticket"])
-        words_by_ticket = self.told.items()
+        outcomes = self.outcomes_by_ticket.items()
         assert max(runs.values()) == 1
-        assert not [t for t, word in words_by_ticket if word == "done" and not runs[t]]
-        assert not [t for t, word in words_by_ticket if word == "not run" and runs[t]]
+        assert not [t for t, outcome in outcomes if outcome == "done" and not runs[t]]
+        assert not [t for t, outcome in outcomes if outcome == "not run" and runs[t]]
 
 
 class TestFailure:
     def test_a_paused_agent_runs_nothing_twice(self, deployment: Deployment):
-        """An agent sleeps, is given up, and wakes with old work in hand.
+        """A paused agent resumes with requests that its peers have taken over.
 
-        Symptom: a ticket runs twice, or runs after its caller was told that
-        it hasn't. Sequence: tickets without end, SIGSTOP, the peer marks the
-        agent down and goes on, SIGCONT. Cause: a process that wakes acts on
-        an authority that it has lost.
+        Callers file tickets; the agent is stopped with SIGSTOP, its peer marks
+        it down and takes its place, then SIGCONT resumes it. If it goes on
+        without its lease, a ticket runs twice, or runs after its caller got
+        "not run".
         """
         members = [
-            deployment.member(f"tally-{number}", service_time=0.1)
+            deployment.add_member(f"tally-{number}", service_time=0.1)
             for number in range(2)
         ]
         paused = members[0].agent
 
         async def scenario() -> None:
-            _, incarnation = await asyncio.to_thread(deployment.stored, "tally-0")
+            _, incarnation = await asyncio.to_thread(
+                deployment.stored_member, "tally-0"
+            )
             paused.pause()
-            await until(lambda: deployment.stored("tally-0")[0] is AgentState.DOWN)
+            await wait_until(
+                lambda: deployment.stored_member("tally-0")[0] is AgentState.DOWN
+            )
             paused.resume()
-            await until(lambda: deployment.stored("tally-0")[0] is AgentState.READY)
-            _, later = await asyncio.to_thread(deployment.stored, "tally-0")
+            await wait_until(
+                lambda: deployment.stored_member("tally-0")[0] is AgentState.READY
+            )
+            _, later = await asyncio.to_thread(deployment.stored_member, "tally-0")
             assert later > incarnation
 
         async def main() -> None:
-            clerks = Clerks(deployment)
-            await clerks.run(scenario)
-            clerks.check()
+            load = TicketLoad(deployment)
+            await load.run(scenario)
+            load.check()
 
         asyncio.run(main())
 
     def test_a_killed_agent_and_its_successor(self, deployment: Deployment):
-        """An agent dies with tickets in hand, and another takes its place.
+        """An agent is killed while it runs tickets, and a new one replaces it.
 
-        Symptom: a ticket runs twice, or its caller is told "not run" though
-        it ran. Sequence: tickets without end, SIGKILL, a new agent beside
-        the same target at once. Cause: what the dead agent had claimed and
-        what it ran is known to nobody for certain.
+        Callers file tickets; the agent gets SIGKILL, and a new agent starts at
+        once for the same target. No process knows for certain which tickets
+        the killed agent had claimed or run, so a ticket could run twice, or be
+        reported as "not run" though it ran.
         """
         members = [
-            deployment.member(f"tally-{number}", service_time=0.1)
+            deployment.add_member(f"tally-{number}", service_time=0.1)
             for number in range(3)
         ]
 
         async def scenario() -> None:
             members[0].agent.kill()
             members[0].agent = await asyncio.to_thread(
-                deployment.agent, "tally-0", members[0].target
+                deployment.start_agent, "tally-0", members[0].target
+            )
+            await wait_until(
+                lambda: deployment.stored_member("tally-0")[0] is AgentState.READY
             )
-            await until(lambda: deployment.stored("tally-0")[0] is AgentState.READY)
 
         async def main() -> None:
-            clerks = Clerks(deployment)
-            await clerks.run(scenario)
-            clerks.check()
+            load = TicketLoad(deployment)
+            await load.run(scenario)
+            load.check()
 
         asyncio.run(main())
 
 
 class TestSilence:
     def test_answers_leave_an_entry_that_loses_them(self, deployment: Deployment):
-        """An entry takes datagrams and sends none; the fabric doesn't notice.
+        """An entry accepts datagrams but sends none, and the fabric keeps using it.
 
-        Symptom: feeds stop for good though their callers are heard.
-        Sequence: feeds are open, one entry of three is stopped, the fabric
-        goes on spraying to it. Cause: an agent answers by way of the entry
-        that it heard last, and nothing tells it that this one is mute.
+        Feeds are open, and one of three entries is stopped with SIGSTOP. An
+        agent answers through the entry that it last received from, and gets
+        no error if that entry no longer sends. Feeds then stop for good,
+        although the callers' packets still arrive.
         """
-        member = deployment.member("tally-0")
+        member = deployment.add_member("tally-0")
         path = "/tally/feed?every=0.1&count=60"
 
         async def feed(session: Session, begun: asyncio.Event) -> list[int]:
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -1,4 +1,4 @@
-"""Drains and restarts by operators, under feeds and tickets."""
+"""Drains and restarts by operators while feeds and tickets run."""
 
 import asyncio
 import contextlib
@@ -10,12 +10,12 @@
     FEEDS,
     WITHOUT_CLASSES,
     Operator,
-    busiest,
-    follow,
-    load,
-    runner,
+    busiest_agent,
+    finish_and_check,
+    read_in_order,
+    scenario_runner,
+    start_load,
     supervise,
-    violations,
 )
 from zinniahook_cli.answers import Status
 from zinniahook_core.codes import Code, ZinniahookError
@@ -23,42 +23,40 @@
 
 @pytest.fixture
 def run(tmp_path):
-    return runner(tmp_path)
+    return scenario_runner(tmp_path)
 
 
 class TestDrain:
     def test_feeds_and_tickets_go_on_through_a_drain(self, run):
-        """
-        Symptom: tallies break off and tickets fail when a target is stopped.
-        Sequence: feeds are open and tickets filed while the target with the
-        most feeds drains, to its end.
-        Cause: the agent waited only so long for feeds, which last for hours,
-        and then closed their connections.
+        """Feeds break off and tickets fail when a target is drained.
+
+        Feeds are open and tickets are filed while the target with the most
+        feeds drains to its end. An agent that waits for feeds only for a fixed
+        time closes their connections, as feeds last for hours.
         """
 
         async def scenario(cluster, amina):
-            running = await load(cluster)
-            name = await busiest(cluster)
+            running = await start_load(cluster)
+            name = await busiest_agent(cluster)
             answer = await amina.run(f"drain target {name}")
             assert answer.status is Status.OK, answer.text
             assert answer.data["safe"] == [name]
             cluster.agents_by_name.pop(name)
             replies = await cluster.statuses()
             assert sum(reply.streams for reply in replies) == FEEDS["callers"]
-            assert await violations(cluster, running, reopened=1) == []
+            assert await finish_and_check(cluster, running, reopened=1) == []
 
         run(scenario)
 
     def test_a_drain_waits_for_a_caller_that_stays(self, run):
-        """
-        Symptom: a feed is cut when its target is stopped.
-        Sequence: a caller that opens nothing anew has a feed; its target
-        drains for longer than the operator waits.
-        Cause: the agent ended before what it ran was finished.
+        """A feed is cut because the agent ends before its requests are finished.
+
+        A caller that doesn't reopen its feed holds one open; its target drains
+        for longer than the operator waits.
         """
 
         async def scenario(cluster, amina):
-            hasty = Operator(cluster, patience=1.0)
+            impatient = Operator(cluster, patience=1.0)
             address = cluster.addresses_by_service["tally"]
             ca = str(cluster.authority.file)
             async with (
@@ -67,16 +65,16 @@
             ):
                 lines = stream.iter_lines()
                 numbers = [json.loads(await anext(lines))["n"]]
-                name = await busiest(cluster)
-                answer = await hasty.run(f"drain target {name}")
+                name = await busiest_agent(cluster)
+                answer = await impatient.run(f"drain target {name}")
                 assert answer.status is Status.UNFINISHED
                 assert answer.data["draining"] == [name]
-                assert any("leaving" in line for line in hasty.said)
+                assert any("leaving" in line for line in impatient.messages)
                 for _ in range(40):
                     numbers.append(json.loads(await anext(lines))["n"])
                 assert numbers == list(range(1, 42))
                 assert caller.cuts == 0
-            # Now the feed ends, as its caller wants it to.
+            # The caller has closed its feed, so the drain can end.
             answer = await amina.run(f"drain target {name}")
             assert answer.status is Status.OK
             assert answer.data["safe"] == [name]
@@ -84,11 +82,11 @@
         run(scenario)
 
     def test_feeds_that_a_peer_runs_go_on_too(self, run):
-        """
-        Symptom: a drain doesn't end though every caller follows GOAWAY.
-        Sequence: one caller's feeds arrive at one agent, which passes some on
-        to its peers; a peer drains.
-        Cause: the peer asked only the callers of its own connections to go.
+        """A drain doesn't end although every caller follows GOAWAY.
+
+        One caller's feeds arrive at one agent, which relays some to its peers;
+        a peer drains. If the peer sends GOAWAY only on its own connections,
+        the callers of relayed feeds never move.
         """
 
         async def scenario(cluster, amina):
@@ -101,12 +99,13 @@
                 for _ in range(8):
                     opening = caller.events("/tally/feed?every=0.1")
                     feeds.append(await stack.enter_async_context(opening))
-                readings = [asyncio.create_task(follow(feed)) for feed in feeds]
+                readings = [asyncio.create_task(read_in_order(feed)) for feed in feeds]
                 replies = await cluster.statuses()
-                # The caller has one connection: here are only passed feeds.
+                # The caller has one connection, so agents without flows have
+                # only relayed feeds.
                 peer = max(
-                    (one for one in replies if not one.flows),
-                    key=lambda one: one.busy,
+                    (reply for reply in replies if not reply.flows),
+                    key=lambda reply: reply.busy,
                 )
                 assert peer.busy
                 answer = await amina.run(f"drain target {peer.name}")
@@ -122,15 +121,15 @@
         run(scenario, WITHOUT_CLASSES)
 
     def test_an_operator_ends_a_drain_sooner(self, run):
-        """
-        Symptom: a target can't be replaced for a day.
-        Sequence: a caller keeps its feed open; the drain setting is lowered
-        and the drain asked for again.
-        Cause: the end of a drain was fixed when it began.
+        """A target can't be replaced for a day, as its drain can't be shortened.
+
+        A caller keeps its feed open; the operator lowers the drain setting and
+        requests the drain again. This fails if the end of a drain is fixed
+        when it begins.
         """
 
         async def scenario(cluster, amina):
-            hasty = Operator(cluster, patience=1.0)
+            impatient = Operator(cluster, patience=1.0)
             address = cluster.addresses_by_service["tally"]
             ca = str(cluster.authority.file)
             async with (
@@ -138,8 +137,8 @@
                 caller.stream("GET", "/tally/feed?every=0.05") as stream,
             ):
                 await anext(stream.iter_lines())
-                name = await busiest(cluster)
-                answer = await hasty.run(f"drain target {name}")
+                name = await busiest_agent(cluster)
+                answer = await impatient.run(f"drain target {name}")
                 assert answer.status is Status.UNFINISHED
                 await amina.run("set tally.drain = 0.5")
                 answer = await amina.run(f"drain target {name}")
@@ -151,8 +150,7 @@
     def test_an_operator_stops_only_what_serves_her_services(self, run):
         async def scenario(cluster, amina):
             await amina.run(
-                "begin; create operator moussa services = ledger;"
-                "create operator amina services = '*'; commit"
+                "begin; create operator moussa services = ledger;create operator amina services = '*'; commit"
             )
             moussa = Operator(cluster, "moussa")
             for text in ("drain target tally-1", "drain entry entry-1"):
@@ -160,7 +158,7 @@
                     await moussa.run(text)
                 assert caught.value.code is Code.NOT_PERMITTED
             replies = await cluster.statuses()
-            assert {one.state for one in replies} == {"ready", "serving"}
+            assert {reply.state for reply in replies} == {"ready", "serving"}
 
         run(scenario)
 
@@ -180,31 +178,32 @@
 
 class TestRestart:
     def test_everything_is_restarted_under_feeds_and_tickets(self, run):
-        """
-        Symptom: tickets are lost and feeds break off, or their events come
-        twice, during an upgrade of the whole system.
-        Sequence: each daemon drains, ends, is started again by its platform.
-        Cause: the next one was drained before the last one was back, or an
-        agent closed the connections of feeds when it ended.
+        """A rolling upgrade loses tickets, cuts feeds or repeats their events.
+
+        Each daemon drains, ends and is restarted by the platform. This fails
+        if the next daemon drains before the previous one is back, or if an
+        agent closes the connections of feeds when it ends.
         """
 
         async def scenario(cluster, amina):
-            running = await load(cluster)
-            before = {one.name: one.incarnation for one in await cluster.statuses()}
-            keeper = asyncio.create_task(supervise(cluster))
+            running = await start_load(cluster)
+            before = {
+                reply.name: reply.incarnation for reply in await cluster.statuses()
+            }
+            supervision = asyncio.create_task(supervise(cluster))
             try:
                 answer = await amina.run("restart rolling")
             finally:
-                keeper.cancel()
+                supervision.cancel()
                 with contextlib.suppress(asyncio.CancelledError):
-                    await keeper
+                    await supervision
             assert answer.status is Status.OK, answer.text
             assert answer.data["restarted"] == 5
-            after = {one.name: one for one in await cluster.statuses()}
+            after = {reply.name: reply for reply in await cluster.statuses()}
             for name in cluster.agents_by_name:
                 assert after[name].incarnation > before[name]
-            # Every agent was left, so every feed had to move.
+            # Every agent was restarted, so every feed had to move.
             reopened = FEEDS["callers"]
-            assert await violations(cluster, running, reopened) == []
+            assert await finish_and_check(cluster, running, reopened) == []
 
         run(scenario)
--- a/tests/test_entry_path.py
+++ b/tests/test_entry_path.py
@@ -1,4 +1,4 @@
-"""Entries as real processes: killed, stopped, restarted and reconfigured."""
+"""Entries that are killed, stopped, restarted and reconfigured, as real processes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class LearningCluster(Cluster):
-    """A cluster whose later daemons may learn from earlier ones."""
+    """A cluster whose daemons may get their configuration from earlier entries."""
 
     def _settings(self, name: str, role: str) -> dict[str, Any]:
         settings = super()._settings(name, role)
@@ -42,7 +42,7 @@
         return settings
 
     async def store_faults(self, **faults: Any) -> None:
-        """Change how the store misbehaves."""
+        """Set the store's injected faults."""
         admin = self.store_process.ready["admin"]
         request = urllib.request.Request(
             f"http://{admin}/faults", json.dumps(faults).encode()
@@ -51,7 +51,7 @@
 
 
 class TreeCluster(LearningCluster):
-    """A cluster in which two entries watch the store for all daemons."""
+    """A cluster in which two entries watch the store on behalf of all daemons."""
 
     def _settings(self, name: str, role: str) -> dict[str, Any]:
         settings = super()._settings(name, role)
@@ -60,17 +60,17 @@
         return settings
 
 
-def under_load(
+def run_under_load(
     folder: Path,
     act: Callable[[LearningCluster], Awaitable[None]],
     kind: type[LearningCluster] = LearningCluster,
 ) -> list[LoadResult]:
-    """Run a cluster, act while callers are at work, check the invariants."""
+    """Run ``act`` on a cluster under load and check the invariants."""
 
     async def run() -> list[LoadResult]:
         async with kind(DEPLOYMENT, folder) as cluster:
             load = await cluster.run_loads(["tally"])
-            await flows_open(cluster)
+            await wait_for_tickets(cluster)
             await act(cluster)
             results = await load.finish()
             ledgers = tuple(await cluster.ledgers())
@@ -80,8 +80,8 @@
     return asyncio.run(run())
 
 
-def not_broken(results: list[LoadResult]) -> None:
-    """Hold that no flow was cut and each caller got its answer."""
+def assert_no_flow_cut(results: list[LoadResult]) -> None:
+    """Assert that no flow was cut and every request was answered."""
     for result in results:
         counts = result["counts"]
         assert counts["cut_attempts"] == 0, result["path"]
@@ -89,22 +89,25 @@
         assert counts["done"] == len(result["records"]) > 0
 
 
-async def flows_open(cluster: Cluster) -> None:
+async def wait_for_tickets(cluster: Cluster) -> None:
     """Wait until the targets have run some tickets."""
 
     async def running() -> bool:
-        return sum(len(one["runs_by_ticket"]) for one in await cluster.ledgers()) >= 5
+        return (
+            sum(len(ledger["runs_by_ticket"]) for ledger in await cluster.ledgers())
+            >= 5
+        )
 
     await cluster.until(running, "callers at work")
 
 
 class TestEntryDies:
     def test_kill_breaks_no_flow(self, tmp_path):
-        """Symptom: feeds break and tickets fail as an entry dies.
+        """Feeds break and tickets fail when an entry is killed.
 
-        Sequence: two of three entries are killed under load, one after the
-        other; the fabric goes on sending to each for a while; one returns.
-        Cause: an entry would hold something of a flow that no other has.
+        Two of three entries are killed in turn under load, and one returns;
+        the fabric keeps sending to a killed entry for a while. This fails if
+        an entry holds state of a flow that no other process has.
         """
 
         async def act(cluster: LearningCluster) -> None:
@@ -113,15 +116,15 @@
             await cluster.start_entry("entry-1")
             await cluster.kill_entry("entry-3")
 
-        not_broken(under_load(tmp_path, act))
+        assert_no_flow_cut(run_under_load(tmp_path, act))
 
 
 class TestEntryStops:
     def test_sigterm_breaks_no_flow(self, tmp_path):
-        """Symptom: a planned stop of an entry costs callers their answers.
+        """A planned stop of an entry loses answers.
 
-        Sequence: every entry is stopped and started again under load.
-        Cause: datagrams on their way to a stopping entry would be lost.
+        Every entry is stopped and started again under load. This fails if
+        datagrams on their way to a stopping entry are lost.
         """
 
         async def act(cluster: LearningCluster) -> None:
@@ -129,16 +132,16 @@
                 assert await cluster.stop_entry(name) == 0
                 await cluster.start_entry(name)
 
-        not_broken(under_load(tmp_path, act))
+        assert_no_flow_cut(run_under_load(tmp_path, act))
 
 
 class TestStoreDown:
     def test_a_new_entry_learns_from_another(self, tmp_path):
-        """Symptom: during an outage of the store no entry can be replaced.
+        """No entry can be replaced during an outage of the store.
 
-        Sequence: the store goes down under load, an entry is killed, another
-        one starts and must serve; the store comes back and a change is made.
-        Cause: the new entry would wait for the store.
+        The store goes down under load, an entry is killed, and a new one must
+        start and serve; the store comes back and a change is made. This fails
+        if the new entry waits for the store.
         """
 
         async def act(cluster: LearningCluster) -> None:
@@ -153,15 +156,15 @@
             generation = await cluster.change(lambda document: document)
             await cluster.wait_for_generation(generation)
 
-        not_broken(under_load(tmp_path, act))
+        assert_no_flow_cut(run_under_load(tmp_path, act))
 
 
 class TestConfigurationChanges:
     def test_a_silent_watch_is_noticed(self, tmp_path):
-        """Symptom: an accepted change is in force on no daemon.
+        """An accepted change comes into force on no daemon.
 
-        Sequence: every open watch goes silent for good, then a change is
-        made. Cause: a connection lost track of looks like a quiet store.
+        Every open watch goes silent for good, then a change is made. A dead
+        connection looks like a store without changes.
         """
 
         async def act(cluster: LearningCluster) -> None:
@@ -169,30 +172,30 @@
             generation = await cluster.change(lambda document: document)
             await cluster.wait_for_generation(generation)
 
-        not_broken(under_load(tmp_path, act))
+        assert_no_flow_cut(run_under_load(tmp_path, act))
 
     def test_changes_go_through_few_watches(self, tmp_path):
-        """Symptom: daemons that don't watch the store keep an old generation.
+        """Daemons that don't watch the store keep an old generation.
 
-        Sequence: two entries watch for all; one of them is killed, then the
-        watches go silent, then the store is out for a while; each time a
-        change follows. Cause: those who learn from others would depend on
-        one way.
+        Two entries watch for all daemons. One of them is killed, then the
+        watches go silent, then the store is down for a while; a change follows
+        each time. This fails if a daemon depends on a single source of
+        configuration.
         """
 
         async def act(cluster: LearningCluster) -> None:
             await cluster.kill_entry("entry-1")
-            await changed(cluster)
+            await make_change(cluster)
             await cluster.start_entry("entry-1")
             await cluster.kill_entry("entry-2")
-            await changed(cluster)
+            await make_change(cluster)
             await cluster.store_faults(silent=True)
-            await changed(cluster)
+            await make_change(cluster)
             await cluster.store_faults(silent=False, outage="refuse")
             await cluster.store_faults(outage="")
-            await changed(cluster)
+            await make_change(cluster)
 
-        not_broken(under_load(tmp_path, act, TreeCluster))
+        assert_no_flow_cut(run_under_load(tmp_path, act, TreeCluster))
 
     def test_services_come_and_go(self, tmp_path):
         async def act(cluster: LearningCluster) -> None:
@@ -206,7 +209,7 @@
                 )
             )
             await cluster.wait_for_generation(generation)
-            await is_bound(cluster, port, True)
+            await assert_bound(cluster, port, True)
             generation = await cluster.change(
                 lambda document: document._replace(
                     services_by_name={
@@ -218,19 +221,19 @@
                 )
             )
             await cluster.wait_for_generation(generation)
-            await is_bound(cluster, port, False)
+            await assert_bound(cluster, port, False)
 
-        not_broken(under_load(tmp_path, act))
+        assert_no_flow_cut(run_under_load(tmp_path, act))
 
 
-async def changed(cluster: Cluster) -> None:
-    """Make a change and wait until every daemon has it in force."""
+async def make_change(cluster: Cluster) -> None:
+    """Commit a change and wait until it is in force on every daemon."""
     generation = await cluster.change(lambda document: document)
     await cluster.wait_for_generation(generation)
 
 
-async def is_bound(cluster: Cluster, port: int, expected: bool) -> None:
-    """Check whether the entries hold a port on their own addresses."""
+async def assert_bound(cluster: Cluster, port: int, expected: bool) -> None:
+    """Assert whether the entries have bound a port on their own addresses."""
     for number in range(1, DEPLOYMENT.entries + 1):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
             try:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""What fails, with real processes: crashes, pauses, outages, restarts."""
+"""Crashes, pauses, outages and restarts of real processes."""
 
 import asyncio
 import contextlib
@@ -9,14 +9,16 @@
 from zinniahook_testkit.stores import StoreProcess
 from zinniahook_wire import documents
 
-QUICK = Backoff(0.02, 0.2)
-PATIENT = 25.0
-OUTAGE_DEADLINE = 6.0
+SHORT_BACKOFF = Backoff(0.02, 0.2)
+DEADLINE_SECONDS = 25.0
+OUTAGE_DEADLINE_SECONDS = 6.0
 
 
 def session(cluster, **kwargs):
     address = cluster.addresses_by_service["tally"]
-    return Session(address, ca=str(cluster.authority.file), backoff=QUICK, **kwargs)
+    return Session(
+        address, ca=str(cluster.authority.file), backoff=SHORT_BACKOFF, **kwargs
+    )
 
 
 @contextlib.asynccontextmanager
@@ -29,8 +31,8 @@
             await caller.close()
 
 
-async def file(caller, ticket, deadline=PATIENT):
-    """File a ticket; return it and what the caller was told."""
+async def file_ticket(caller, ticket, deadline=DEADLINE_SECONDS):
+    """File a ticket and return it with the outcome that the caller got."""
     try:
         answer = await caller.post(
             "/tickets", json={"ticket": ticket}, key=ticket, deadline=deadline
@@ -42,8 +44,8 @@
     return ticket, "done"
 
 
-async def hold_to_true(cluster, outcomes):
-    """Compare what callers were told with what the targets ran."""
+async def check_outcomes(cluster, outcomes):
+    """Compare the outcomes that callers got with the targets' records."""
     ledgers = await cluster.ledgers()
     for ticket, outcome in outcomes:
         runs = sum(ledger["runs_by_ticket"].get(ticket, 0) for ledger in ledgers)
@@ -55,28 +57,31 @@
 
 
 async def member(cluster, name):
-    """Return a member of the tally service's roster, None if it isn't in it."""
+    """Return a member of the tally service's roster, or None if it is absent."""
     item = await cluster.store.get(documents.roster_key("tally"))
     roster = documents.roster_from_json("tally", item.revision, item.value)
     return roster.by_name.get(name)
 
 
-async def started(cluster, name):
+async def started_tickets(cluster, name):
     ledger = await cluster.ledger(name)
     return ledger["counts"].get("started_tickets", 0)
 
 
 async def busy_agent(cluster, tickets):
-    """Return the first agent of the tally service that has begun so many tickets.
+    """Return the first agent of the tally service that has started ``tickets``.
 
-    Which one that is depends on where keys and connections fall: in 16 runs
-    one agent named beforehand got one ticket of 16 once, and no more ever.
+    The agent depends on how keys and connections hash: in one of 16 runs, an agent
+    named beforehand got one of 16 tickets and never another one.
     """
     found = []
 
     async def any_is_busy():
         for name in cluster.targets_by_name:
-            if name.startswith("tally") and await started(cluster, name) >= tickets:
+            if (
+                name.startswith("tally")
+                and await started_tickets(cluster, name) >= tickets
+            ):
                 found.append(name)
                 return True
         return False
@@ -86,12 +91,11 @@
 
 
 async def queueing_agent(cluster):
-    """Return the first agent of the tally service whose target works and that has
-    requests waiting."""
+    """Return the first agent of the tally service with running and queued requests."""
     found = []
 
     async def queued(name):
-        running = await started(cluster, name) > 0
+        running = await started_tickets(cluster, name) > 0
         return running and (await cluster.status(cluster.agents_by_name[name])).queued
 
     async def any_has_queue():
@@ -105,26 +109,25 @@
     return found[0]
 
 
-async def slow_down(cluster, seconds):
+async def set_service_time(cluster, seconds):
     for name in cluster.targets_by_name:
         await cluster.control_target(name, service_time=seconds)
 
 
 class TestKilledAgent:
     def test_a_successor_runs_no_ticket_again(self, fresh):
-        """
-        Symptom: a ticket that was in progress bills a haulier twice.
-        Sequence: the agent that runs tickets is killed and started again at
-        once; the callers go on with the same keys and reach the new one.
-        Cause: it knows nothing of its predecessor's claims and takes the
-        tickets for new ones.
+        """A ticket that was in progress during a crash runs twice.
+
+        The agent that runs tickets is killed and restarted at once; the
+        callers retry with the same keys and reach the new agent. This fails if
+        it doesn't know its predecessor's claims and runs the tickets as new.
         """
 
         async def check(cluster):
-            await slow_down(cluster, 1.0)
+            await set_service_time(cluster, 1.0)
             async with sessions(cluster, 8) as callers:
                 filing = [
-                    asyncio.create_task(file(caller, f"killed-{number}-{copy}"))
+                    asyncio.create_task(file_ticket(caller, f"killed-{number}-{copy}"))
                     for number, caller in enumerate(callers)
                     for copy in range(2)
                 ]
@@ -133,7 +136,7 @@
                 await asyncio.to_thread(cluster.agents_by_name.pop(busy).kill)
                 await cluster.start_agent(busy)
                 outcomes = await asyncio.gather(*filing)
-            await hold_to_true(cluster, outcomes)
+            await check_outcomes(cluster, outcomes)
             assert "done" in {outcome for _, outcome in outcomes}
 
         fresh.run(check(fresh.cluster))
@@ -141,19 +144,19 @@
 
 class TestPausedAgent:
     def test_what_was_queued_is_not_run_past_the_fence(self, fresh):
-        """
-        Symptom: a ticket runs at a target long after its caller was told
-        otherwise, or after another target ran it.
-        Sequence: an agent with a full queue is paused; its peers mark it
-        down and take its place; callers go on elsewhere; it is resumed.
-        Cause: it goes on with its queue by an authority that it lost.
+        """A resumed agent runs queued tickets after it has lost its lease.
+
+        An agent with queued requests is paused; its peers mark it down and
+        take its place; callers go on elsewhere; it is resumed. If it goes on
+        with its queue, a ticket runs after its caller got another outcome, or
+        after another target ran it.
         """
 
         async def check(cluster):
-            await slow_down(cluster, 1.5)
+            await set_service_time(cluster, 1.5)
             async with sessions(cluster, 8) as callers:
                 filing = [
-                    asyncio.create_task(file(caller, f"paused-{number}-{copy}"))
+                    asyncio.create_task(file_ticket(caller, f"paused-{number}-{copy}"))
                     for number, caller in enumerate(callers)
                     for copy in range(4)
                 ]
@@ -168,7 +171,7 @@
                         return now is None or now.state is not AgentState.READY
 
                     await cluster.until(down, "the paused agent is marked down")
-                    await slow_down(cluster, 0.05)
+                    await set_service_time(cluster, 0.05)
                 finally:
                     agent.resume()
 
@@ -182,8 +185,10 @@
 
                 await cluster.until(back, "the agent is back under a new incarnation")
                 outcomes = await asyncio.gather(*filing)
-                await hold_to_true(cluster, outcomes)
-                late = [file(caller, f"late-{n}") for n, caller in enumerate(callers)]
+                await check_outcomes(cluster, outcomes)
+                late = [
+                    file_ticket(caller, f"late-{n}") for n, caller in enumerate(callers)
+                ]
                 after = await asyncio.gather(*late)
             assert {outcome for _, outcome in after} == {"done"}
 
@@ -192,13 +197,12 @@
 
 class TestStoreOutage:
     def test_an_agent_restarts_while_the_store_is_down(self, fresh):
-        """
-        Symptom: an outage of the store cuts feeds, doubles tickets, or leaves
-        a restarted agent out for good.
-        Sequence: the store goes down; an agent is killed and started again;
-        callers file tickets and read a feed; the store comes back.
-        Cause: serving waited for the store, the claims of the killed agent
-        were taken over without a proof, or the start was given up.
+        """An outage of the store cuts feeds, repeats tickets or loses an agent.
+
+        The store goes down; an agent is killed and restarted; callers file
+        tickets and read a feed; the store comes back. This fails if serving
+        waits for the store, if the claims of the killed agent are taken over
+        without proof, or if the restarted agent gives up.
         """
 
         async def check(cluster):
@@ -207,14 +211,16 @@
                 async with reader.stream("GET", "/tally/feed?every=0.05") as feed:
                     lines = feed.iter_lines()
                     target = json.loads(await anext(lines))["target"]
-                    used = {target, await owner(cluster)}
-                    gone = min({"tally-1", "tally-2", "tally-3"} - used)
+                    used = {target, await streaming_agent(cluster)}
+                    restarted = min({"tally-1", "tally-2", "tally-3"} - used)
                     await asyncio.to_thread(store.set_faults, outage="refuse")
-                    process = cluster.agents_by_name.pop(gone)
+                    process = cluster.agents_by_name.pop(restarted)
                     await asyncio.to_thread(process.kill)
-                    starting = asyncio.create_task(cluster.start_agent(gone))
+                    starting = asyncio.create_task(cluster.start_agent(restarted))
                     filing = [
-                        file(caller, f"outage-{number}-{copy}", OUTAGE_DEADLINE)
+                        file_ticket(
+                            caller, f"outage-{number}-{copy}", OUTAGE_DEADLINE_SECONDS
+                        )
                         for number, caller in enumerate(callers)
                         for copy in range(4)
                     ]
@@ -224,17 +230,20 @@
                     await asyncio.to_thread(store.set_faults, outage="")
                     await starting
                     await cluster.settle()
-                await hold_to_true(cluster, outcomes)
+                await check_outcomes(cluster, outcomes)
                 assert "done" in {outcome for _, outcome in outcomes}
-                late = [file(caller, f"after-{n}") for n, caller in enumerate(callers)]
+                late = [
+                    file_ticket(caller, f"after-{n}")
+                    for n, caller in enumerate(callers)
+                ]
                 after = await asyncio.gather(*late)
                 assert {outcome for _, outcome in after} == {"done"}
 
         fresh.run(check(fresh.cluster))
 
 
-async def owner(cluster):
-    """Name the agent that holds the only open connection."""
+async def streaming_agent(cluster):
+    """Return the name of the agent that has an open stream."""
     for name in ("tally-1", "tally-2", "tally-3"):
         if (await cluster.status(cluster.agents_by_name[name])).streams:
             return name
@@ -243,12 +252,12 @@
 
 class TestRollingRestart:
     def test_streams_and_tickets_outlast_a_restart_of_all_agents(self, fresh):
-        """
-        Symptom: an upgrade cuts feeds, or bills a haulier twice.
-        Sequence: every agent of a service drains and is started again, one
-        by one, while callers file tickets and read feeds.
-        Cause: a drain ended before the streams did, or what the leaving one
-        knew of finished tickets left with it.
+        """A rolling restart cuts feeds or runs a ticket twice.
+
+        Every agent of a service drains and is restarted in turn, while callers
+        file tickets and read feeds. This fails if a drain ends before its
+        streams do, or if the results of finished tickets are lost with the
+        draining agent.
         """
 
         async def check(cluster):
@@ -267,20 +276,23 @@
                 assert caller.cuts == 0
                 return count
 
-            async def clerk(caller, number):
+            async def file_repeatedly(caller, number):
                 copy = 0
                 while not ended.is_set():
                     copy += 1
                     ticket = f"rolling-{number}-{copy}"
-                    outcomes.append(await file(caller, ticket))
-                    # A late copy has to find the answer wherever it arrives.
-                    assert await file(caller, ticket) == (ticket, "done")
+                    outcomes.append(await file_ticket(caller, ticket))
+                    # A late copy must get the same answer from any agent.
+                    assert await file_ticket(caller, ticket) == (ticket, "done")
                 assert caller.cuts == 0
 
-            async with sessions(cluster, 4) as readers, sessions(cluster, 4) as clerks:
+            async with sessions(cluster, 4) as readers, sessions(cluster, 4) as filers:
                 work = asyncio.gather(
                     *map(read, readers),
-                    *(clerk(caller, number) for number, caller in enumerate(clerks)),
+                    *(
+                        file_repeatedly(caller, number)
+                        for number, caller in enumerate(filers)
+                    ),
                 )
                 for name in ("tally-1", "tally-2", "tally-3"):
                     leaving = cluster.drain_agent(name)
@@ -291,6 +303,6 @@
                 counts = await work
             assert all(counts[: len(readers)])
             assert {outcome for _, outcome in outcomes} == {"done"}
-            await hold_to_true(cluster, outcomes)
+            await check_outcomes(cluster, outcomes)
 
         fresh.run(check(fresh.cluster))
--- a/tests/test_import_circles.py
+++ b/tests/test_import_cycles.py
@@ -1,4 +1,4 @@
-"""Modules of a package depend on each other in one direction."""
+"""Packages have no import cycles between their modules."""
 
 import ast
 from graphlib import CycleError, TopologicalSorter
@@ -7,11 +7,11 @@
 import pytest
 
 PACKAGES = Path(__file__).parents[1] / "packages"
-FREE_OF_CIRCLES = ("caller", "cli", "core", "store", "wire")
+ACYCLIC_PACKAGES = ("caller", "cli", "core", "store", "wire")
 
 
 def imports(package):
-    """Return the modules of a package that each one imports, by name."""
+    """Return the modules of a package that each module imports, by module name."""
     root = PACKAGES / f"zinniahook-{package}" / "src" / f"zinniahook_{package}"
     paths_by_name = {
         ".".join(path.relative_to(root).with_suffix("").parts): path
@@ -25,24 +25,24 @@
 
 
 def imported(name, path):
-    """Return the relative imports of a module, also those for types alone."""
+    """Yield the relative imports of a module, including those only for types."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.level:
             parents = name.split(".")[: -node.level]
             base = [*parents, *(node.module or "").split(".")]
             module = ".".join(part for part in base if part)
             yield module
-            yield from (f"{module}.{each.name}".lstrip(".") for each in node.names)
+            yield from (f"{module}.{alias.name}".lstrip(".") for alias in node.names)
 
 
-class TestImportCircles:
-    @pytest.mark.parametrize("package", FREE_OF_CIRCLES)
+class TestImportCycles:
+    @pytest.mark.parametrize("package", ACYCLIC_PACKAGES)
     def test_a_package_has_none(self, package):
-        """A module that needs one which needs it can be read only with it.
+        """Modules in a cycle can only be understood together.
 
-        Imports for types alone count: a reader follows them too.
+        Imports only for types count too, as a reader follows them.
         """
         try:
             TopologicalSorter(imports(package)).prepare()
         except CycleError as error:
-            pytest.fail(f"circle: {' -> '.join(error.args[1])}")
+            pytest.fail(f"import cycle: {' -> '.join(error.args[1])}")
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes, as callers and targets see it."""
+"""The whole path from callers to targets, with real processes."""
 
 import asyncio
 import hashlib
@@ -22,15 +22,15 @@
 MEGABYTE = 1 << 20
 
 
-TRIES = 3
+MAX_ATTEMPTS = 3
 
 
-class ThreeTries(Backoff):
-    """Waits beyond any deadline after the third refusal."""
+class LimitedBackoff(Backoff):
+    """A backoff that waits beyond any deadline after `MAX_ATTEMPTS` refusals."""
 
     def wait(self, attempt, least, rng):
-        """Return how long to wait after an attempt."""
-        return super().wait(attempt, least, rng) if attempt < TRIES else 1e6
+        """Return the seconds to wait after an attempt."""
+        return super().wait(attempt, least, rng) if attempt < MAX_ATTEMPTS else 1e6
 
 
 def session(cluster, service, **kwargs):
@@ -38,8 +38,8 @@
     return Session(address, ca=str(cluster.authority.file), **kwargs)
 
 
-async def work_started(cluster, service):
-    """Return how often any target of a service has started any work."""
+async def count_started_work(cluster, service):
+    """Return how much work the targets of a service have started."""
     return sum(
         count
         for ledger in await cluster.ledgers()
@@ -49,14 +49,14 @@
     )
 
 
-async def runs_of(cluster, ticket):
+async def count_runs(cluster, ticket):
     return sum(
         ledger["runs_by_ticket"].get(ticket, 0) for ledger in await cluster.ledgers()
     )
 
 
 class PlainClient(QuicConnectionProtocol):
-    """An ordinary HTTP/3 client; it knows nothing of zinniahook."""
+    """An HTTP/3 client without any code of zinniahook."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
@@ -115,17 +115,16 @@
                 answer = await caller.get(f"/ledger?size={MEGABYTE}")
                 digest = hashlib.sha256(answer.content).hexdigest()
                 assert digest == export_digest("ledger", MEGABYTE)
-            assert await runs_of(cluster, "first") == 1
+            assert await count_runs(cluster, "first") == 1
 
         deployed.run(check(deployed.cluster))
 
     def test_copies_of_one_ticket_run_once(self, deployed):
-        """A doubled ticket bills a haulier twice.
+        """Copies of a ticket run twice, so a load is billed twice.
 
-        Symptom: the same load is billed twice.
-        Sequence: a device sends a ticket, hears nothing, and sends it again
-        under the same key over another connection while the first still runs.
-        Cause: two targets each took the copy that reached them for a new one.
+        A device sends a ticket, gets no answer, and sends it again with the
+        same key over another connection while the first copy still runs. Two
+        targets could each run the copy that reached them as a new ticket.
         """
 
         async def check(cluster):
@@ -138,31 +137,31 @@
             assert {answer.content for answer in answers} == {answers[0].content}
             for caller in callers:
                 await caller.close()
-            assert await runs_of(cluster, "copied") == 1
+            assert await count_runs(cluster, "copied") == 1
 
         deployed.run(check(deployed.cluster))
 
-    def test_shed_ticket_is_told_as_not_run(self, deployed):
-        """A ticket that was told as not run bills a haulier after all.
+    def test_shed_ticket_is_reported_as_not_run(self, deployed):
+        """A ticket that was reported as not run is run after all.
 
-        Symptom: a clerk enters a refused ticket on paper; it is billed twice.
-        Sequence: every target sheds; the caller gives up after a refusal, as
-        it would have to wait beyond its deadline. (One whose deadline passes
-        while a try is under way is rightly told that the outcome is unknown.)
-        Cause: a copy still ran after the last refusal.
+        Every target sheds, and the caller gives up after a refusal, as the
+        next backoff would exceed its deadline. (If the deadline passes during
+        an attempt, the outcome is correctly reported as unknown.) If a copy
+        still runs after the last refusal, a clerk who has entered the ticket
+        on paper bills it twice.
         """
 
         async def check(cluster):
             tallies = [name for name in cluster.targets_by_name if "tally" in name]
             for name in tallies:
                 await cluster.control_target(name, shed_share=1.0)
-            async with session(cluster, "tally", backoff=ThreeTries()) as caller:
+            async with session(cluster, "tally", backoff=LimitedBackoff()) as caller:
                 with pytest.raises(NotRunError) as raised:
                     await caller.post("/tickets", json={"ticket": "shed"})
-                assert raised.value.attempts == TRIES
+                assert raised.value.attempts == MAX_ATTEMPTS
             for name in tallies:
                 await cluster.control_target(name, shed_share=0.0)
-            assert await runs_of(cluster, "shed") == 0
+            assert await count_runs(cluster, "shed") == 0
 
         deployed.run(check(deployed.cluster))
 
@@ -180,19 +179,17 @@
                 status, body = await client.request(b"POST", b"/tickets", sent)
                 assert status == b"200"
                 assert json.loads(body)["ticket"] == "plain"
-            assert await runs_of(cluster, "plain") == 1
+            assert await count_runs(cluster, "plain") == 1
 
         deployed.run(check(deployed.cluster))
 
 
 class TestServices:
     def test_packet_of_another_service_is_dropped(self, deployed):
-        """A tally packet reaches the ledger service.
+        """A packet of the tally service reaches a target of the ledger service.
 
-        Symptom: a target serves what is not its own.
-        Sequence: datagrams of an established tally connection arrive at the
-        ledger's address.
-        Cause: the entry routed by connection id alone.
+        Datagrams of an established tally connection arrive at the ledger's
+        address. This fails if the entry routes by connection id alone.
         """
         sent = []
 
@@ -215,7 +212,10 @@
 
         async def check(cluster):
             ledger = cluster.addresses_by_service["ledger"].rpartition(":")
-            work, before = await work_started(cluster, "ledger"), await drops(cluster)
+            work, before = (
+                await count_started_work(cluster, "ledger"),
+                await drops(cluster),
+            )
             async with plain_client(cluster, "tally", Recording) as client:
                 await client.request(b"GET", b"/tally/feed?every=0.01&count=3")
                 short = [data for data in sent if not data[0] & 0x80]
@@ -231,19 +231,18 @@
                 await cluster.until(dropped, "all foreign datagrams dropped")
                 status, _ = await client.request(b"GET", b"/tally/feed?count=1")
                 assert status == b"200"
-            assert await work_started(cluster, "ledger") == work
+            assert await count_started_work(cluster, "ledger") == work
 
         deployed.run(check(deployed.cluster))
 
 
 class TestDrain:
     def test_the_rest_of_an_answer_still_goes_out(self, fresh):
-        """A planned stop cuts a ledger whose last bytes are on their way.
+        """A planned stop cuts an export whose last bytes are still unsent.
 
-        Symptom: a regulator's ledger ends early when a target is replaced.
-        Sequence: the target has written all of a ledger and the agent still
-        holds the rest, as the path is long; the agent is told to leave.
-        Cause: a connection counted as idle once its target had finished.
+        The target has written a whole ledger, and the agent still holds the
+        rest because the path is slow; then the agent drains. This fails if a
+        connection is considered idle as soon as its target has finished.
         """
 
         async def check(cluster):
@@ -259,7 +258,8 @@
                     )
 
                 await cluster.until(target_done, "the target has finished")
-                # One has the caller's connection, perhaps another the target.
+                # The agent with the caller's connection may not be the agent
+                # of the target that serves it.
                 for name in ("ledger-1", "ledger-2"):
                     cluster.drain_agent(name)
                 answer = await reading
@@ -270,13 +270,11 @@
         fresh.run(check(fresh.cluster))
 
     def test_an_ordinary_clients_feed_is_not_cut(self, fresh):
-        """A planned stop cuts the feed of a client that heeds no GOAWAY.
+        """A planned stop cuts the feed of a client that ignores GOAWAY.
 
-        Symptom: a foreman's tally ends when a target is replaced.
-        Sequence: a feed of aioquic's plain client is open; the agents that
-        could have its connection or its target are told to leave.
-        Cause: a leaving agent closed what was open after a deadline that was
-        shorter than a feed.
+        A feed of aioquic's plain client is open; every agent that could have
+        its connection or its target drains. This fails if a draining agent
+        closes open connections after a deadline that is shorter than a feed.
         """
 
         async def check(cluster):
@@ -289,7 +287,7 @@
                     return sum(body.count(b"\n") for body in bodies) >= least
 
                 await cluster.until(lambda: lines(10), "the feed has begun")
-                # One has its connection, perhaps another its target.
+                # The connection and the target may be at different agents.
                 agents = [cluster.drain_agent(f"tally-{n}") for n in (1, 2, 3)]
 
                 async def left():
@@ -306,13 +304,11 @@
 
 class TestSilence:
     def test_feed_goes_on_from_a_new_port(self, deployed):
-        """An open feed goes silent for good while new ones work.
+        """An open feed goes silent for good, while new feeds work.
 
-        Symptom: a foreman's screen stands still; nothing reports an error.
-        Sequence: the path loses track of one caller's port, in both
-        directions.
-        Cause: nobody looked for silence, or the flow's owner was found by
-        the caller's address.
+        The path stops forwarding one caller's port in both directions. The
+        feed stops without an error if the caller doesn't detect the silence,
+        or if the flow's owner is found by the caller's address.
         """
 
         async def check(cluster):
@@ -338,18 +334,17 @@
 
 class TestCrashes:
     def test_a_feed_goes_on_after_its_agent_was_killed(self, fresh):
-        """A feed has a gap, or shows a request twice, after a crash.
+        """A feed misses or repeats an event after a crash.
 
-        Symptom: a librarian misses requests, or files one a second time.
-        Sequence: the agent of an open feed is killed; its connection falls
-        silent; the feed is opened anew at another target.
-        Cause: the new answer began with what was due then.
+        The agent of an open feed is killed; its connection goes silent, and
+        the caller reopens the feed at another target. This fails if the new
+        answer begins with the current event instead of the next one.
         """
 
         async def check(cluster):
-            quick = Silence(probe=0.25, move=0.5, give_up=1.0)
+            short_silence = Silence(probe=0.25, move=0.5, give_up=1.0)
             async with (
-                session(cluster, "tally", silence=quick) as caller,
+                session(cluster, "tally", silence=short_silence) as caller,
                 caller.events("/tally/feed?every=0.05") as feed,
             ):
                 events = aiter(feed)
@@ -366,13 +361,11 @@
         fresh.run(check(fresh.cluster))
 
     def test_killed_agent_never_doubles_a_ticket(self, fresh):
-        """A crash between start and answer doubles or loses a ticket.
+        """A crash between start and answer repeats or loses a ticket.
 
-        Symptom: a ticket is billed twice, or told as not run though it ran.
-        Sequence: the agent that runs a ticket dies; the caller goes on with
-        the same key at another agent.
-        Cause: the survivors know nothing of the claim and run it again, or
-        refuse it as not run.
+        The agent that runs a ticket is killed; the caller retries with the
+        same key at another agent. If the other agents don't know of the claim,
+        they run the ticket again or report it as not run though it ran.
         """
 
         async def file(caller, ticket):
@@ -388,8 +381,10 @@
         async def check(cluster):
             for name in cluster.targets_by_name:
                 await cluster.control_target(name, service_time=1.5)
-            quick = Backoff(0.02, 0.2)
-            callers = [session(cluster, "tally", backoff=quick) for _ in range(8)]
+            short_backoff = Backoff(0.02, 0.2)
+            callers = [
+                session(cluster, "tally", backoff=short_backoff) for _ in range(8)
+            ]
             filing = [
                 asyncio.create_task(file(caller, f"crash-{number}-{copy}"))
                 for number, caller in enumerate(callers)
@@ -404,7 +399,7 @@
             await asyncio.to_thread(cluster.agents_by_name.pop("tally-1").kill)
             outcomes = await asyncio.gather(*filing)
             for ticket, outcome in outcomes:
-                runs = await runs_of(cluster, ticket)
+                runs = await count_runs(cluster, ticket)
                 assert runs <= 1, (ticket, outcome)
                 assert runs == 1 or outcome != "done", ticket
                 assert runs == 0 or outcome != "not run", ticket
