--- a/packages/zinniahook-cli/src/zinniahook_cli/rotations.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/rotations.py
@@ -161,7 +161,8 @@
     age = time.time() - oldest_used_until
     if age < OLD_KEY_AGE_SECONDS:
         raise ZinniahookError(
-            f"the oldest key was in use {age / 3600:.1f} h ago and flows may still use it; wait until {OLD_KEY_AGE_SECONDS / 3600:.0f} h, or force",
+            f"the oldest key was in use {age / 3600:.1f} h ago and flows may still "
+            f"use it; wait until {OLD_KEY_AGE_SECONDS / 3600:.0f} h, or force",
             Code.NOT_PERMITTED,
         )
 
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -150,7 +150,8 @@
     def test_an_operator_stops_only_what_serves_her_services(self, run):
         async def scenario(cluster, amina):
             await amina.run(
-                "begin; create operator moussa services = ledger;create operator amina services = '*'; commit"
+                "begin; create operator moussa services = ledger;"
+                "create operator amina services = '*'; commit"
             )
             moussa = Operator(cluster, "moussa")
             for text in ("drain target tally-1", "drain entry entry-1"):
