--- a/packages/zinniahook-store/src/zinniahook_store/__init__.py
+++ b/packages/zinniahook-store/src/zinniahook_store/__init__.py
@@ -1,4 +1,4 @@
-"""Client of the platform's key-value service."""
+"""Client of the platform's key-value store."""
 
 from .client import TIMEOUT, Store
 from .outcomes import (
--- a/packages/zinniahook-store/src/zinniahook_store/client.py
+++ b/packages/zinniahook-store/src/zinniahook_store/client.py
@@ -90,7 +90,7 @@
         Raises
         ------
         StoreError
-            If the store gives no answer.
+            If the store doesn't answer.
         """
         answer = await self._read({"key": encode_key(key)})
         return next(items_of(answer), None)
@@ -101,7 +101,7 @@
         Raises
         ------
         StoreError
-            If the store gives no answer.
+            If the store doesn't answer.
         """
         found: dict[str, Item] = {}
         names = list(dict.fromkeys(keys))
@@ -119,7 +119,7 @@
         Raises
         ------
         StoreError
-            If the store gives no answer.
+            If the store doesn't answer.
         """
         snapshot = await self.snapshot(prefix)
         return list(snapshot.items_by_key.values())
@@ -137,7 +137,7 @@
         Raises
         ------
         StoreError
-            If the store gives no answer.
+            If the store doesn't answer.
         """
         items: dict[str, Item] = {}
         body: dict[str, Any] = {
@@ -167,7 +167,7 @@
         Raises
         ------
         StoreError
-            If the store gives no answer.
+            If the store doesn't answer.
         """
         answer = await self._read(
             {
@@ -323,7 +323,7 @@
         Raises
         ------
         StoreError
-            If the store gives no answer.
+            If the store doesn't answer.
         """
         body = {"TTL": str(seconds)}
         answer = await self._call_to_read("lease", "/v3/lease/grant", body)
@@ -335,7 +335,7 @@
         Raises
         ------
         StoreError
-            If the store gives no answer; the lease may have been renewed.
+            If the store doesn't answer. The lease may have been renewed.
         """
         body = {"ID": str(lease)}
         answer = await self._call_to_read("lease", "/v3/lease/keepalive", body)
--- a/packages/zinniahook-store/src/zinniahook_store/configurations.py
+++ b/packages/zinniahook-store/src/zinniahook_store/configurations.py
@@ -1,8 +1,8 @@
 """Commits generations of the configuration to the store.
 
-A commit first writes the values that the new generation adds, then moves the
-pointer in one transaction that compares the pointer's revision. Moved means
-accepted; not moved means that nothing happened.
+A commit first writes the values that the new generation adds. It then moves the
+pointer in one transaction that compares the pointer's revision. If the pointer moves,
+the change is accepted; otherwise nothing has changed.
 """
 
 from __future__ import annotations
@@ -52,23 +52,23 @@
 ]
 
 HISTORY_KEPT = 200
-"""Generations that can be shown, compared and rolled back to."""
+"""Number of generations kept, to show, compare and roll back to."""
 
 PRUNE_EVERY = 20
-"""Generations between two prunings; each reads the whole history once."""
+"""Generations between two prunings. Each pruning reads the whole history."""
 
 DELETES_LIMIT = 100
-"""Deletes of one transaction; the service bounds its operations."""
+"""Maximum deletes in one transaction, as the store limits its operations."""
 
 ATTEMPTS = 3
-"""Times that a transaction is sent while its answers are lost."""
+"""Attempts at a transaction whose answers are lost."""
 
 SECRET_BYTES = 32
 OPERATION_ID_BYTES = 8
 
 
 class Stage(NamedTuple):
-    """Where a generation is in force while ``previous`` is so elsewhere."""
+    """Where a generation is in force; ``previous`` is in force elsewhere."""
 
     previous: int
     instances: tuple[str, ...] = ()
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """The change is accepted as this generation."""
+    """The change was accepted as this generation."""
 
     generation: int
 
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The answer was lost; ``command`` settles later what became of it."""
+    """The answer was lost; running ``command`` later determines the outcome."""
 
     operation: str
     command: str
@@ -102,12 +102,12 @@
 
 
 def new_operation() -> str:
-    """Draw an operation id."""
+    """Return a new random operation id."""
     return secrets.token_hex(OPERATION_ID_BYTES)
 
 
 def new_keys(number: int = 1) -> KeyRing:
-    """Draw the ring of a first generation, with one key of each kind."""
+    """Return a new key ring with one random key of each kind."""
     flow = Key(number, secrets.token_bytes(SECRET_BYTES))
     tunnel = Key(number, secrets.token_bytes(SECRET_BYTES))
     return KeyRing({number: flow}, {number: tunnel}, number, number)
@@ -131,22 +131,23 @@
     store
         The store.
     base
-        The generation that the change was made on, as `read`.
+        The generation that the change is based on, as returned by `read`.
     document
-        The document to be in force; validated here as a whole.
+        The new document; validated here as a whole.
     author, operation
-        Who makes the change, and the id by which a lost answer is settled.
+        The author of the change, and the id that identifies it if the answer is lost.
     keys
-        The new ring; that of the base, or a first one, if None.
+        The new key ring. If None, the ring of the base is kept, or created if it has
+        none.
     stage
-        Where it is to be in force; everywhere if None.
+        Where the generation comes into force; everywhere if None.
     take_over
-        Whether to end a rollout in stages that is under way.
+        Whether to end a staged rollout that is in progress.
 
     Returns
     -------
     Committed, Refused or Unknown
-        Never an exception for what the store or another operator does.
+        Failures of the store and conflicts with other operators don't raise.
     """
     problems = configuration.validate(document, base.document)
     if problems:
@@ -186,11 +187,11 @@
     Parameters
     ----------
     store : Store
-        Holds the pointer.
+        The store with the pointer.
     generation : int
-        The generation being rolled out; refused if another is by now.
+        The generation being rolled out. If another one is now, the move is refused.
     stage : Stage or None
-        Where it comes into force; None is everywhere.
+        Where the generation comes into force; everywhere if None.
     """
     try:
         pointer, revision = await read_pointer(store)
@@ -206,11 +207,11 @@
 
 
 async def settle(store: Store, operation: str) -> Outcome:
-    """Tell for certain what became of an operation whose answer was lost.
+    """Determine the outcome of an operation whose answer was lost.
 
-    A transaction that was sent may still be on its way, and would be accepted
-    long after its operator was told that nothing had happened. So the pointer
-    is written anew, unchanged: what compares its older revision then fails.
+    The transaction may still be in transit. It could be accepted long after its
+    operator was informed that nothing had changed. The pointer is therefore rewritten
+    unchanged, so that a transaction that compares its older revision fails.
     """
     command = f"settle {operation}"
     try:
@@ -219,7 +220,7 @@
             return found
         item = await store.get(documents.POINTER_KEY)
         if item is None:
-            # Nothing can be written anew in place of what isn't there.
+            # There is no pointer to rewrite.
             return Unknown(operation, command)
         fenced = await store.compare_and_swap(item.key, item.revision, item.value)
         found = await _find_operation(store, operation)
@@ -236,7 +237,7 @@
 async def _put_values(
     store: Store, base: Stored, parts: documents.Parts
 ) -> Refused | None:
-    """Write what the base doesn't have yet; nothing refers to it so far."""
+    """Write the values that the base lacks. Nothing refers to them yet."""
     known: set[str] = set()
     if base.manifest is not None:
         known = set(map(documents.chunk_key, base.manifest.chunks))
@@ -248,7 +249,7 @@
     for _ in range(ATTEMPTS - 1):
         if isinstance(written, Written):
             break
-        # A value is named by its content: writing it twice does no harm.
+        # Keys are digests of the content, so writing a value twice is harmless.
         written = await store.put_many(new)
     if isinstance(written, Written):
         return None
@@ -257,11 +258,11 @@
 
 
 async def _unreferenced_keys(store: Store, manifest: Manifest) -> list[str]:
-    """Return the keys that the transaction of this generation should delete.
+    """Return the keys to delete in the transaction of this generation.
 
-    Values are only deleted together with a move of the pointer. Deleted on
-    its own, a value could be one that another operator has just written for
-    a commit of the same content, whose generation would then lack it.
+    Values are only deleted in the transaction that moves the pointer. Otherwise a
+    deletion could remove a value that another operator has just written for a commit
+    of the same content, and the new generation would lack it.
     """
     if manifest.generation % PRUNE_EVERY:
         return []
@@ -288,10 +289,10 @@
     values: Mapping[str, bytes],
     deletes: list[str] | tuple[str, ...],
 ) -> Outcome:
-    """Move the pointer from ``before``, as it stands at ``revision``.
+    """Move the pointer from ``before``, which has this ``revision``, to ``after``.
 
-    Sent again while answers are lost, which is safe: once one copy took
-    effect, the revision that they all compare is gone for good.
+    The transaction is repeated while its answers are lost. This is safe: once one copy
+    has taken effect, the pointer never has the compared revision again.
     """
     values = {**values, documents.POINTER_KEY: documents.pointer_to_json(after)}
     lost = False
@@ -313,13 +314,13 @@
             return await _settle_lost(store, after, written.current)
         if found != before:
             return Refused(Code.CONFLICT, _conflict_reason(written.current))
-        # The pointer was only written anew, by `settle`.
+        # `settle` has rewritten the pointer unchanged.
         revision = written.current.revision
     return Unknown(after.operation, f"settle {after.operation}")
 
 
 async def _settle_lost(store: Store, after: Pointer, current: Item | None) -> Outcome:
-    """Tell which operation a generation belongs to, now that it is settled."""
+    """Return the outcome by the operation that the stored generation names."""
     try:
         manifest = await read_manifest(store, after.generation)
     except ZinniahookError:
--- a/packages/zinniahook-store/src/zinniahook_store/gateway.py
+++ b/packages/zinniahook-store/src/zinniahook_store/gateway.py
@@ -1,4 +1,4 @@
-"""JSON calls to the platform's service, over HTTP with failover."""
+"""JSON calls to the store over HTTP, with failover between its endpoints."""
 
 from __future__ import annotations
 
@@ -29,33 +29,33 @@
 ]
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-"""Seconds to connect to one endpoint before the next is tried."""
+"""Timeout to connect to an endpoint before the next one is tried."""
 
 MAX_CONCURRENT_CALLS = 64
-"""Calls in progress at once; more of them wait in order."""
+"""Further calls wait in a queue."""
 
 BACKOFF_BASE_SECONDS = 0.1
 BACKOFF_LIMIT_SECONDS = 2.0
-"""Bounds in seconds of the pause before a call is repeated."""
+"""Bounds of the backoff before a call is repeated."""
 
 SERVER_ERROR = 500
 COMPACTED_TEXT = "compacted"
 
 MALFORMED_ANSWER_ERRORS = (AttributeError, KeyError, TypeError, ValueError)
-"""What reading an answer of the wrong shape raises."""
+"""Exceptions raised when an answer of the wrong shape is read."""
 
 _FETCH_ERRORS = (OSError, HTTPError, HTTPInputError)
 
 
 class GatewayError(Exception):
-    """A call without a usable answer.
+    """A call that failed or whose answer is unusable.
 
     Attributes
     ----------
     sent : bool
-        Whether the request may have reached the service.
+        Whether the request may have reached the store.
     compacted : bool
-        Whether the service refused it because the revision is gone.
+        Whether the store refused the request because its revision was compacted.
     """
 
     def __init__(self, reason: str, *, sent: bool, compacted: bool = False) -> None:
@@ -65,25 +65,25 @@
 
 
 class Gateway:
-    """Calls one of several endpoints of the service.
+    """Calls one of several endpoints of the store.
 
     Attributes
     ----------
     calls_by_kind, failures_by_kind : Counter
-        Calls sent by kind, and those without a usable answer.
+        Calls sent and calls that failed, by kind.
     """
 
     def __init__(
         self, addresses: Sequence[object], timeout: float, rng: random.Random
     ) -> None:
         if not addresses:
-            raise ValueError("the store needs an address")
+            raise ValueError("addresses is empty, expected at least one of the store")
         self.calls_by_kind: collections.Counter[str] = collections.Counter()
         self.failures_by_kind: collections.Counter[str] = collections.Counter()
         self.timeout = timeout
         self.rng = rng
         self._endpoints = [f"http://{address}" for address in addresses]
-        # A fleet that starts together shouldn't all call the same endpoint.
+        # Instances that start together shouldn't all call the same endpoint.
         rng.shuffle(self._endpoints)
         self._current = 0
         self._client: SimpleAsyncHTTPClient | None = None
@@ -91,25 +91,25 @@
     async def call(
         self, kind: str, path: str, body: dict[str, Any], *, repeat: bool
     ) -> dict[str, Any]:
-        """Call the service and return its answer.
+        """Call the store and return its answer.
 
         Parameters
         ----------
         kind : str
-            Under what the call is counted.
+            Kind under which the call is counted.
         path : str
             Path of the method, such as ``/v3/kv/range``.
         body : dict
             The request.
         repeat : bool
-            Whether the request may run twice: if so, the next endpoint is
-            tried even after one that may have run it.
+            Whether the request may run twice. If so, the next endpoint is tried even
+            if the previous one may have run the request.
 
         Raises
         ------
         GatewayError
-            If no endpoint gave a usable answer; ``sent`` tells whether any
-            may have run it.
+            If no endpoint gave a usable answer. ``sent`` is true if any endpoint may
+            have run the request.
         """
         sent = False
         for _ in self._endpoints:
@@ -132,14 +132,14 @@
         return Stream(self._endpoints[self._current] + path, json.dumps(body))
 
     def use_next_endpoint(self) -> None:
-        """Go on with the next endpoint."""
+        """Switch to the next endpoint."""
         self._current = (self._current + 1) % len(self._endpoints)
 
     def pause(self, failures: int) -> float:
-        """Return how long to wait after this many failures in a row.
+        """Return the seconds to wait after a number of consecutive failures.
 
-        The whole range is drawn from, so that a fleet that lost the store
-        doesn't come back to it in step.
+        The wait is random over the whole range. Otherwise instances that lost the
+        store would all reconnect at the same time.
         """
         limit = min(
             BACKOFF_LIMIT_SECONDS, BACKOFF_BASE_SECONDS * 2 ** min(failures, 10)
@@ -147,7 +147,7 @@
         return self.rng.uniform(BACKOFF_BASE_SECONDS / 2, limit)
 
     def close(self) -> None:
-        """Release the client; calls in progress end by their timeout."""
+        """Close the client. Calls in progress end with their timeout."""
         if self._client is not None:
             self._client.close()
             self._client = None
@@ -180,12 +180,12 @@
 
 
 class Stream:
-    """The answer of one streaming call; aborting it closes the connection.
+    """The streamed answer of a call. Aborting it closes the connection.
 
     Parameters
     ----------
     url : str
-        Where to call.
+        URL of the call.
     body : str
         The request, as JSON.
     """
@@ -227,7 +227,7 @@
         return _parse(line)
 
     def abort(self) -> None:
-        """Close the connection, also one that is silent for good."""
+        """Close the connection, even if the store no longer responds."""
         self._client.abort()
 
     def _receive(self, chunk: bytes) -> None:
@@ -236,18 +236,18 @@
             self._lines.put_nowait(line)
 
     def _end(self, fetch: asyncio.Future[HTTPResponse]) -> None:
-        # How it ended doesn't matter to the reader, who opens it again.
+        # The reader opens a new stream, whatever ended this one.
         fetch.exception()
         self._client.close()
         self._lines.put_nowait(None)
 
 
 class _RequestBody:
-    """A request body that remembers whether any of it was handed out.
+    """A request body that records whether sending it has started.
 
-    Without that, a failed connect and a lost answer would look alike, and a
-    write that certainly never ran would have to be settled by reading. The
-    producer is called only once the connection is up.
+    This distinguishes a failed connection from a lost answer. Otherwise a write that
+    certainly never ran would have to be settled by reading. The producer is called
+    only once the connection is established.
     """
 
     def __init__(self, text: str) -> None:
@@ -264,7 +264,7 @@
 
 
 class _TrackingTcpClient(TCPClient):
-    """Remembers its streams, so that they can be closed."""
+    """A TCP client that keeps its streams, so that they can be closed."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
@@ -285,9 +285,9 @@
 
 
 class _AbortableClient(SimpleAsyncHTTPClient):
-    """An HTTP client whose request can be ended from outside.
+    """An HTTP client whose request can be aborted.
 
-    Without that, each watch that went silent would leave a connection behind.
+    Otherwise each watch that became silent would leak a connection.
     """
 
     def initialize(self, *args: Any, **kwargs: Any) -> None:
@@ -299,19 +299,19 @@
 
 
 def encode_key(key: str) -> str:
-    """Return a key as the gateway's JSON carries it."""
+    """Encode a key as in the JSON of the gateway."""
     return base64.b64encode(key.encode()).decode()
 
 
 def prefix_end(prefix: str) -> str:
-    """Return the end of the range of keys that start with ``prefix``."""
+    """Return the exclusive end of the range of keys with a prefix."""
     return prefix[:-1] + chr(ord(prefix[-1]) + 1)
 
 
 def _answer(response: HTTPResponse) -> dict[str, Any]:
     if response.code >= SERVER_ERROR:
-        # The service may have run it and failed to tell, e.g. on a timeout
-        # among its own replicas.
+        # The store may have run the request but failed to answer, for example after
+        # a timeout between its replicas.
         raise GatewayError(_reason(response), sent=True)
     if response.code >= 400:
         reason = _reason(response)
--- a/packages/zinniahook-store/src/zinniahook_store/generations.py
+++ b/packages/zinniahook-store/src/zinniahook_store/generations.py
@@ -1,4 +1,4 @@
-"""Reads generations of the configuration as stored."""
+"""Reads generations of the configuration from the store."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class Current(NamedTuple):
-    """The configuration in force, and the revision of the pointer to it."""
+    """The configuration in force and the revision of its pointer."""
 
     configuration: Configuration
     revision: int
 
 
 class Stored(NamedTuple):
-    """One generation as stored; ``revision`` is that of the pointer.
+    """One stored generation; ``revision`` is that of the pointer.
 
     Before the first commit the generation is 0, the document empty and
     ``manifest`` and ``keys`` None.
@@ -47,14 +47,14 @@
 
 
 async def load(store: Store, name: str = "", data_centre: str = "") -> Current | None:
-    """Return the configuration that is to be in force at one instance.
+    """Return the configuration that should be in force at an instance.
 
     Parameters
     ----------
     store
         The store.
     name, data_centre
-        Of the instance; they only matter while a change goes out in stages.
+        Name and data centre of the instance, which matter during a staged rollout.
 
     Returns
     -------
@@ -64,7 +64,7 @@
     Raises
     ------
     ZinniahookError
-        If the store gives no answer or holds what can't be read.
+        If the store doesn't answer or a stored value is invalid.
     """
     pointer, revision = await read_pointer(store)
     if pointer.generation == 0:
@@ -76,13 +76,13 @@
 
 
 async def read(store: Store, generation: int | None = None) -> Stored:
-    """Return a generation, the newest if none is named.
+    """Return a generation, by default the newest.
 
     Raises
     ------
     ZinniahookError
-        GENERATION_UNKNOWN if it isn't stored (any more), or a code of the
-        store or of a value that can't be read.
+        GENERATION_UNKNOWN if the generation isn't stored (any more), or a code of
+        the store or of an invalid value.
     """
     pointer, revision = await read_pointer(store)
     if generation is None:
@@ -93,12 +93,12 @@
 
 
 async def history(store: Store) -> tuple[Manifest, ...]:
-    """Return the kept generations, the newest first.
+    """Return the manifests of the kept generations, newest first.
 
     Raises
     ------
     ZinniahookError
-        If the store gives no answer or holds what can't be read.
+        If the store doesn't answer or a stored value is invalid.
     """
     items = await store.range(documents.GENERATION_PREFIX)
     manifests = [documents.manifest_from_json(item.value) for item in items]
@@ -106,12 +106,12 @@
 
 
 async def read_pointer(store: Store) -> tuple[Pointer, int]:
-    """Return the pointer and its revision; generation 0 if there is none.
+    """Return the pointer and its revision, with generation 0 if it doesn't exist.
 
     Raises
     ------
     ZinniahookError
-        If the store gives no answer or holds what can't be read.
+        If the store doesn't answer or a stored value is invalid.
     """
     item = await store.get(documents.POINTER_KEY)
     if item is None:
@@ -132,7 +132,8 @@
     items = await store.get_many([*wanted, ring_key])
     if ring_key not in items:
         raise ZinniahookError(
-            f"generation {generation} has lost its keys", Code.GENERATION_UNKNOWN
+            f"generation {generation}: its key ring is missing",
+            Code.GENERATION_UNKNOWN,
         )
     services = {
         digest: documents.services_from_json(digest, items[key].value)
@@ -150,12 +151,12 @@
 
 
 async def read_manifest(store: Store, generation: int) -> Manifest | None:
-    """Return the manifest of a generation, None if it isn't kept.
+    """Return the manifest of a generation, or None if it isn't kept.
 
     Raises
     ------
     ZinniahookError
-        If the store gives no answer or holds what can't be read.
+        If the store doesn't answer or a stored value is invalid.
     """
     item = await store.get(documents.generation_key(generation))
     return documents.manifest_from_json(item.value) if item else None
--- a/packages/zinniahook-store/src/zinniahook_store/messages.py
+++ b/packages/zinniahook-store/src/zinniahook_store/messages.py
@@ -1,6 +1,6 @@
-"""Requests to the platform's service and its answers, as their JSON carries them.
+"""Encodes requests to the store and decodes its answers, in their JSON form.
 
-Each function that reads raises `StoreError` if an answer has the wrong shape.
+Functions that decode raise `StoreError` if an answer has the wrong shape.
 """
 
 from __future__ import annotations
@@ -26,13 +26,16 @@
 
 BATCH_SIZE = 100
 BATCH_BYTES = 1_000_000
-"""Operations and bytes of values in one transaction of a batch."""
+"""Limits of one transaction: number of operations, and bytes of their values."""
 
 
 def first_conflict(
     answer: dict[str, Any], revisions_by_key: Mapping[str, int]
 ) -> Item | None:
-    """Find the first compared key whose revision differs."""
+    """Return the item of the first key whose revision differs from the expected one.
+
+    None if that key doesn't exist or all revisions are as expected.
+    """
     responses = responses_of(answer, len(revisions_by_key))
     for response, revision in zip(responses, revisions_by_key.values(), strict=True):
         item = next(items_of(response), None)
@@ -53,7 +56,7 @@
 
 
 def batches(values_by_key: Mapping[str, bytes]) -> Iterator[dict[str, bytes]]:
-    """Split values into what one transaction takes."""
+    """Split values into batches that each fit into one transaction."""
     batch: dict[str, bytes] = {}
     size = 0
     for key, value in values_by_key.items():
@@ -67,7 +70,7 @@
 
 
 def put_request(key: str, value: bytes, lease: int) -> dict[str, Any]:
-    """Return the write of a value, under a lease unless that is 0."""
+    """Encode the write of a value, attached to a lease unless ``lease`` is 0."""
     body = {"key": encode_key(key), "value": base64.b64encode(value).decode()}
     if lease:
         body["lease"] = str(lease)
@@ -75,7 +78,7 @@
 
 
 def read_request(key: str) -> dict[str, Any]:
-    """Return the read of one key within a transaction."""
+    """Encode the read of one key within a transaction."""
     return {"request_range": {"key": encode_key(key)}}
 
 
@@ -93,12 +96,12 @@
 
 
 def revision_of(answer: dict[str, Any]) -> int:
-    """Return the revision of the store that an answer tells."""
+    """Return the revision of the store from the header of an answer."""
     return parse_integer(answer.get("header"), "revision")
 
 
 def parse_integer(fields: Any, name: str) -> int:
-    """Return a number, which the JSON form carries as text."""
+    """Return an integer field, which the JSON form encodes as a string."""
     try:
         return int(fields[name])
     except MALFORMED_ANSWER_ERRORS:
--- a/packages/zinniahook-store/src/zinniahook_store/outcomes.py
+++ b/packages/zinniahook-store/src/zinniahook_store/outcomes.py
@@ -1,4 +1,4 @@
-"""What the store holds, and what becomes of a write."""
+"""Stored items and outcomes of writes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Item(NamedTuple):
-    """One stored value; ``revision`` is that of its last write."""
+    """A stored value; ``revision`` is that of its last write."""
 
     key: str
     value: bytes
@@ -31,10 +31,10 @@
 
 
 class Snapshot(NamedTuple):
-    """Values under a prefix as of one ``revision`` of the store.
+    """Items under a prefix as of one ``revision`` of the store.
 
-    ``count`` is how many values there are under the prefix, also when only
-    the later ones were asked for.
+    ``count`` is the number of all keys under the prefix, even if only later items were
+    requested.
     """
 
     revision: int
@@ -43,7 +43,7 @@
 
 
 class Change(NamedTuple):
-    """A key was written, or deleted if ``value`` is None."""
+    """A write of a key, or its deletion if ``value`` is None."""
 
     key: str
     value: bytes | None
@@ -59,10 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The write did not take effect: another one was first.
+    """The write did not take effect, as another one came first.
 
-    ``current`` is what is stored under the first compared key that differs,
-    or None if it does not exist.
+    ``current`` is the item of the first compared key whose revision differs, or None
+    if that key doesn't exist.
     """
 
     current: Item | None
@@ -70,14 +70,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NotWritten:
-    """The write certainly did not and will not take effect."""
+    """The write has certainly not taken effect and never will."""
 
     failure: Failure
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerLost:
-    """The write may have taken effect, or may still do so."""
+    """The write may have taken effect, or may still take effect."""
 
     failure: Failure
 
@@ -92,10 +92,10 @@
 
 
 class StoreRestoredError(StoreError):
-    """The store's revision fell: it came back from an older copy.
+    """The store's revision went back, as it was restored from an older copy.
 
-    What was read and written before is of a history that is over. The next read
-    is of the new one.
+    Earlier reads and writes belong to an obsolete history. The next read belongs to
+    the new one.
     """
 
     code = Code.STORE_RESTORED
--- a/packages/zinniahook-store/src/zinniahook_store/resolvers.py
+++ b/packages/zinniahook-store/src/zinniahook_store/resolvers.py
@@ -1,4 +1,4 @@
-"""Addresses of the service's endpoints, without a thread for IP addresses."""
+"""Resolves the store's endpoints, without a thread for IP addresses."""
 
 from __future__ import annotations
 
@@ -11,11 +11,10 @@
 
 
 class AddressResolver(DefaultLoopResolver):
-    """Resolves names as the loop does, and IP addresses at once.
+    """Resolves names in the loop's threads, and IP addresses immediately.
 
-    What goes wrong if addresses go through the loop's threads too: on a busy
-    instance, or while other work holds the threads, a call to an endpoint that is
-    fine ends as a timeout while resolving.
+    If IP addresses also used the threads, a call to a healthy endpoint could time out
+    while resolving, on a busy instance or while other work occupies the threads.
     """
 
     async def resolve(
--- a/packages/zinniahook-store/src/zinniahook_store/watches.py
+++ b/packages/zinniahook-store/src/zinniahook_store/watches.py
@@ -1,10 +1,10 @@
-"""Watches that notice when they have gone silent.
+"""Watches that detect when their connection has become silent.
 
-A watch is a hint that saves reads. Something between the two ends may lose
-track of its connection; the watch then waits for ever while the values move
-on. So after some seconds without a message one small read compares the newest
-revision under the prefix with the last one seen, and what the watch missed is
-read. Values thus arrive also while no watch of the service works at all.
+A watch only saves reads. A device between client and store may lose track of the
+connection; the watch then waits forever while values change. After some seconds
+without a message, a small read therefore compares the latest revision under the
+prefix with the last one received, and missed changes are read. Values arrive even if
+no watch of the store works at all.
 """
 
 from __future__ import annotations
@@ -28,50 +28,50 @@
 __all__ = ["SILENCE_SECONDS", "Watch"]
 
 SILENCE_SECONDS = 2.0
-"""Seconds without a message before a watch is checked."""
+"""Time without a message after which a watch is checked by a read."""
 
 GRACE_SECONDS = 0.3
-"""Seconds that a message already on its way has to arrive."""
+"""Time for a message that is already in transit to arrive."""
 
 RESTORED_ATTEMPTS = 2
-"""Reads of a store that was restored: the first tells so, the second what it holds."""
+"""The first read reports that the store was restored, the second one its content."""
 
 SILENCE_JITTER = 0.2
-"""Part by which the silence varies, so that watches don't check in step."""
+"""Fraction by which the silence varies, so that watches don't check simultaneously."""
 
 
 class Reader(Protocol):
-    """The reads by which a watch checks itself.
+    """The reads that a watch needs.
 
-    ``history`` counts how often the store came back from an older copy.
+    ``history`` counts how often the store was restored from an older copy.
     """
 
     history: int
 
     def observe(self, revision: int) -> None:
-        """Note the revision of an answer."""
+        """Record the revision of an answer."""
 
     async def newest(self, prefix: str) -> tuple[int, int]:
-        """Return the revision of the last write under a prefix, and the count."""
+        """Return the latest revision under a prefix and the number of keys."""
 
     async def snapshot(self, prefix: str, after: int = 0) -> Snapshot:
-        """Return the values under a prefix that were written after a revision."""
+        """Return the items under a prefix that were written after a revision."""
 
 
 class Watch:
     """Async iterator over the changes under a prefix; never ends by itself.
 
-    For each key the reported revisions only grow, in one history of the store.
-    Changes that follow each other while the watch is down are reported as the
-    last of them. A deletion is reported if the watch has seen the key. When the
-    store comes back from an older copy, all that it holds is reported anew.
+    Within one history of the store, the reported revisions of a key only increase. Of
+    several changes of a key while the watch is down, only the last one is reported. A
+    deletion is reported if the watch has reported the key. If the store is restored
+    from an older copy, its whole content is reported again.
 
     Attributes
     ----------
     heard : float
-        Monotonic time at which the store last answered.
+        Monotonic time of the store's last answer.
     revision : int
-        Revision of the store up to which everything was reported.
+        Revision of the store up to which all changes were reported.
     """
 
     def __init__(
@@ -132,7 +132,7 @@
         return self._gateway.open("watch", "/v3/watch", {"create_request": create})
 
     async def _follow(self, stream: Stream) -> AsyncIterator[Change]:
-        """Report what the stream brings until it ends or falls behind."""
+        """Yield changes from the stream until it ends or falls behind."""
         while True:
             message = await self._next_message(stream)
             if message is None:
@@ -140,7 +140,7 @@
             try:
                 changes = self._report(message["result"])
             except MALFORMED_ANSWER_ERRORS:
-                # An error, or nothing that this client understands.
+                # An error, or an unknown message.
                 self._behind = True
                 return
             self.heard = time.monotonic()
@@ -150,7 +150,7 @@
                 return
 
     async def _next_message(self, stream: Stream) -> dict[str, Any] | None:
-        """Return the next message, None if the stream is of no more use."""
+        """Return the next message, or None if the stream is no longer usable."""
         wait = self._silence
         while True:
             jitter = self._gateway.rng.uniform(1 - SILENCE_JITTER, 1)
@@ -167,7 +167,7 @@
             wait = GRACE_SECONDS if self._behind else self._silence
 
     async def _is_behind(self) -> bool:
-        """Compare what is stored with what was seen."""
+        """Return whether stored changes have not been received yet."""
         try:
             newest, count = await self._store.newest(self._prefix)
         except StoreRestoredError:
@@ -180,24 +180,25 @@
         return newest > self.revision or count != len(self._revisions_by_key)
 
     def _report(self, result: dict[str, Any]) -> list[Change]:
-        # Canceled also means that the revision was compacted away: only
-        # reading tells what is stored now.
+        # A watch is also canceled if its revision was compacted. Only a read shows
+        # what is stored now.
         self._behind = bool(result.get("canceled"))
         if int(result.get("header", {}).get("revision", self.revision)) < self.revision:
-            # Of another history: only reading tells what is stored now.
+            # The message belongs to another history. Only a read shows what is
+            # stored now.
             self._behind = True
             return []
         events = result.get("events", ())
         changes = [_change(event) for event in events]
         for change in changes:
-            # The header's revision may be ahead of the events sent so far,
-            # so only the events tell where to resume.
+            # The header's revision may be ahead of the events sent so far. The watch
+            # must resume after the last event.
             self.revision = max(self.revision, change.revision)
         self._store.observe(self.revision)
         return [change for change in changes if self._record(change)]
 
     def _record(self, change: Change) -> bool:
-        """Remember a change; False if it is older than what was reported."""
+        """Record a change; return False if a newer one was already reported."""
         if change.revision <= self._revisions_by_key.get(change.key, 0):
             return False
         if change.value is None:
@@ -248,10 +249,10 @@
         return [change for change in reported if change.revision > since]
 
     def _restart_history(self, snapshot: Snapshot) -> list[Change]:
-        """Take another history of the store; return all that it holds.
+        """Switch to a new history of the store; return its whole content as changes.
 
-        What goes wrong with the revisions of the former one: what is written
-        now passes for older than what was reported, until they are reached.
+        The revisions of the former history are dropped. Otherwise new writes would be
+        considered older than the reported ones until their revisions are reached.
         """
         gone = self._revisions_by_key.keys() - snapshot.items_by_key.keys()
         changes = [Change(key, None, snapshot.revision) for key in sorted(gone)]
--- a/packages/zinniahook-wire/src/zinniahook_wire/__init__.py
+++ b/packages/zinniahook-wire/src/zinniahook_wire/__init__.py
@@ -1,4 +1,4 @@
-"""Messages, tunnel datagrams and control stubs."""
+"""Stored values, peer messages, tunnel datagrams and control stubs."""
 
 from .documents import Manifest, Parts, Pointer
 from .rosters import Daemon, Rosters, roster_from_json, roster_key, roster_to_json
--- a/packages/zinniahook-wire/src/zinniahook_wire/compression.py
+++ b/packages/zinniahook-wire/src/zinniahook_wire/compression.py
@@ -1,4 +1,4 @@
-"""Values in the form in which daemons hold them and pass them on."""
+"""Compression of stored values, as daemons keep them and send them to each other."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 __all__ = ["SIZE_LIMIT_BYTES", "compress", "decompress"]
 
 SIZE_LIMIT_BYTES = 1 << 20
-"""Bytes that a value may have; the store keeps none above a megabyte."""
+"""Maximum size of a value. The store accepts no value above a megabyte."""
 
 
 def compress(value: bytes) -> bytes:
-    """Return a value compressed (zlib, RFC 1950)."""
+    """Compress a value (zlib, RFC 1950)."""
     return zlib.compress(value)
 
 
 def decompress(data: bytes, what: str, limit: int = SIZE_LIMIT_BYTES) -> bytes:
-    """Return what was compressed.
+    """Decompress a value.
 
     Parameters
     ----------
     data : bytes
         One zlib stream.
     what : str
-        Names it in the error.
+        Name of the value in error messages.
     limit : int
-        Most bytes of the result.
+        Maximum size of the result, in bytes.
 
     Raises
     ------
     DocumentError
-        CONFIGURATION_INVALID, if it isn't exactly one compressed value or is
-        larger than ``limit`` bytes.
+        CONFIGURATION_INVALID, if the data isn't exactly one compressed value, or the
+        value is larger than ``limit`` bytes.
     """
-    # A kilobyte from a broken peer can stand for a megabyte, and an update
-    # carries hundreds. Without a bound the daemon's memory grows until it is
-    # killed; the decompressor stops at the bound.
+    # A kilobyte from a faulty peer can decompress to a megabyte, and an update carries
+    # hundreds of values. Without a limit the daemon's memory grows until the process
+    # is killed. The decompressor stops at the limit.
     decompressor = zlib.decompressobj()
     try:
         value = decompressor.decompress(data, limit + 1)
@@ -45,7 +45,7 @@
         raise DocumentError(f"{what}: {error}") from None
     if len(value) > limit:
         raise DocumentError(f"{what}: above {limit} bytes once decompressed")
-    # Data is passed on as it came, so what follows it would be passed on too.
+    # The data is forwarded unchanged, so trailing bytes would be forwarded too.
     if not decompressor.eof or decompressor.unused_data:
         raise DocumentError(f"{what}: not one whole compressed value")
     return value
--- a/packages/zinniahook-wire/src/zinniahook_wire/documents.py
+++ b/packages/zinniahook-wire/src/zinniahook_wire/documents.py
@@ -1,14 +1,14 @@
-"""The values that the platform's store keeps, as JSON, and their keys.
+"""JSON encoding of a configuration in the store, and the keys of its values.
 
-A configuration is split: its services go by the hash of their name into
-`CHUNK_COUNT` chunks, so that no value comes near the store's limit and a
-change of one service rewrites one chunk. Chunks and keys are named by the
-digest of their content and never change. A manifest lists the digests of one
-generation, and the pointer names the generation in force.
+The services of a configuration are distributed over `CHUNK_COUNT` chunks by the hash
+of their name. No value comes near the store's size limit, and a change of one service
+rewrites one chunk. Chunks and key rings are named by the digest of their content and
+never change. A manifest lists the digests of one generation, and the pointer names the
+generation in force.
 
-To commit: put the new chunks and keys, then in one transaction that compares
-the pointer's revision put manifest and pointer. A reader that sees the pointer
-therefore finds everything that it leads to.
+A commit first writes the new chunks and key ring. Then one transaction, which compares
+the pointer's revision, writes the manifest and the pointer. A reader that sees the
+pointer therefore finds all values that it refers to.
 """
 
 from __future__ import annotations
@@ -91,11 +91,11 @@
 KEYS_PREFIX = CONFIGURATION_PREFIX + "keys/"
 
 CHUNK_COUNT = 256
-"""Chunks of a configuration; a service's chunk is one byte of a hash."""
+"""Number of chunks; the chunk of a service is one byte of a hash."""
 
 
 class KeysValue(TypedDict):
-    """A key ring, as stored; secrets in base64."""
+    """A stored key ring; secrets are in base64."""
 
     flow: dict[str, str]
     tunnel: dict[str, str]
@@ -104,11 +104,11 @@
 
 
 class Pointer(NamedTuple):
-    """Which generation is in force.
+    """The generation in force.
 
-    While a change is rolled out in stages, ``generation`` is in force at the
-    named instances and data centres only, and ``previous`` elsewhere; with
-    ``previous`` 0 it is in force everywhere.
+    During a staged rollout, ``generation`` is in force only at the named instances and
+    data centres, and ``previous`` elsewhere. If ``previous`` is 0, ``generation`` is
+    in force everywhere.
     """
 
     generation: int
@@ -119,11 +119,11 @@
 
 
 class Manifest(NamedTuple):
-    """One generation: who made it, from what, and what it consists of.
+    """One generation: its author, its parent and its content.
 
-    ``time`` is in seconds since the epoch, as the operator's clock told it.
-    ``chunks`` are the digests of the chunks by number, empty for none. ``head``
-    holds the tables of the document besides its services.
+    ``time`` is in seconds since the epoch, by the operator's clock. ``chunks`` are the
+    digests of the chunks by number, empty strings for empty chunks. ``head`` holds the
+    tables of the document other than its services.
     """
 
     generation: int
@@ -137,7 +137,7 @@
 
 
 class Parts(NamedTuple):
-    """A generation as written: the manifest and the values it names."""
+    """A manifest and the values that it refers to, as written to the store."""
 
     manifest: Manifest
     values_by_key: Mapping[str, bytes]
@@ -146,7 +146,7 @@
 def generation_key(generation: int) -> str:
     """Return the store's key of the manifest of a generation.
 
-    The number has a fixed width, so that a range is in order.
+    The number has a fixed width, so that keys sort by generation.
     """
     return f"{GENERATION_PREFIX}{generation:010d}"
 
@@ -176,16 +176,16 @@
     time: float,
     operation: str,
 ) -> Parts:
-    """Split a document and its keys into the values of one generation.
+    """Split a document and its key ring into the values of one generation.
 
     Parameters
     ----------
     document, keys
-        What is to be in force; checked by the caller.
+        The new configuration, already validated by the caller.
     generation, parent : int
-        The new number and the one that the change was made on.
+        Number of the new generation and of the one that the change is based on.
     author, operation : str
-        Who makes the change, and the id of the write.
+        Author of the change, and id of the write.
     time : float
         Seconds since the epoch.
 
@@ -223,15 +223,15 @@
 def join(
     manifest: Manifest, services_by_digest: Mapping[str, Mapping[str, Service]]
 ) -> Document:
-    """Put a document together from its manifest and its decoded chunks.
+    """Rebuild a document from its manifest and its decoded chunks.
 
-    Decoding is the dear part, so a reader keeps decoded chunks by digest and
-    decodes only the new ones.
+    Decoding is the expensive part. Readers therefore keep decoded chunks by digest and
+    decode only new ones.
 
     Raises
     ------
     DocumentError
-        CONFIGURATION_INVALID, if a chunk is missing or the head is wrong.
+        CONFIGURATION_INVALID, if a chunk is missing or the head is invalid.
     """
     services: dict[str, Service] = {}
     for digest in filter(None, manifest.chunks):
@@ -249,12 +249,12 @@
 
 
 def services_from_json(digest: str, data: bytes) -> dict[str, Service]:
-    """Decode a chunk and check it against its digest.
+    """Decode a chunk and verify its digest.
 
     Raises
     ------
     DocumentError
-        CONFIGURATION_INVALID, if it isn't the chunk of that digest.
+        CONFIGURATION_INVALID, if the data isn't the chunk with that digest.
     """
     what = f"chunk {digest}"
     if digest_of(data) != digest:
@@ -280,7 +280,7 @@
     Raises
     ------
     DocumentError
-        CONFIGURATION_INVALID; the reason never shows any of the content.
+        CONFIGURATION_INVALID. The message never contains any of the data.
     """
     value = load(data, "keys")
     try:
@@ -300,7 +300,7 @@
     Raises
     ------
     DocumentError
-        CONFIGURATION_INVALID, if the store would refuse it.
+        CONFIGURATION_INVALID, if the value would be too large.
     """
     return dump(manifest._asdict(), "manifest")
 
@@ -311,7 +311,7 @@
     Raises
     ------
     DocumentError
-        CONFIGURATION_INVALID, if it isn't one.
+        CONFIGURATION_INVALID, if the data is malformed.
     """
     value = load(data, "manifest")
     try:
@@ -334,7 +334,7 @@
     Raises
     ------
     DocumentError
-        CONFIGURATION_INVALID, if it isn't one.
+        CONFIGURATION_INVALID, if the data is malformed.
     """
     value = load(data, "pointer")
     try:
@@ -350,7 +350,7 @@
 
 
 def generation_for(pointer: Pointer, name: str, data_centre: str) -> int:
-    """Return the generation that is to be in force at one instance."""
+    """Return the generation that should be in force at an instance."""
     if not pointer.previous:
         return pointer.generation
     if name in pointer.instances or data_centre in pointer.data_centres:
--- a/packages/zinniahook-wire/src/zinniahook_wire/manifests.py
+++ b/packages/zinniahook-wire/src/zinniahook_wire/manifests.py
@@ -1,8 +1,8 @@
-"""Manifests as changes against one that the receiver holds.
+"""Manifests encoded as differences from one that the receiver has.
 
-A manifest names every chunk of a generation, and a change of one service
-replaces one of them. Only what differs is sent; the receiver rebuilds the
-value as stored, byte for byte, since it passes that on in turn.
+A manifest names every chunk of a generation, and a change of one service replaces one
+of them. Only the differences are sent. The receiver rebuilds the stored value byte for
+byte, as it forwards that value in turn.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 
 class BaseError(DocumentError):
-    """A change can't be applied to what is held; the whole manifest can."""
+    """The change doesn't apply to this base; the whole manifest is needed."""
 
 
 class ManifestChange(NamedTuple):
-    """What one manifest has that another hasn't.
+    """The difference of a manifest from a base.
 
-    ``base`` is the generation of the other one, ``digest`` that of the value
-    as stored. ``fields`` are the fields besides the chunks as JSON, compressed,
-    without the head if it is the same. ``chunks_by_number`` are the digests
-    of the chunks that differ, empty for none.
+    ``base`` is the generation of the base, ``digest`` that of the stored value.
+    ``fields`` are the fields other than the chunks as compressed JSON, without the head
+    if it is unchanged. ``chunks_by_number`` are the digests of the changed chunks,
+    empty strings for empty chunks.
     """
 
     base: int
@@ -42,8 +42,8 @@
     Returns
     -------
     ManifestChange or None
-        None if the value can't be rebuilt from a change: another version of
-        the program may have written it with other fields or spaces.
+        None if the value can't be rebuilt from a change. Another version of the
+        program may have written it with other fields or whitespace.
 
     Raises
     ------
@@ -70,14 +70,14 @@
 
 
 def apply_change(base: Manifest, change: ManifestChange) -> bytes:
-    """Return the value of a manifest as stored.
+    """Rebuild the stored value of a manifest from a base and a change.
 
     Raises
     ------
     DocumentError
-        CONFIGURATION_INVALID, if the change isn't one.
+        CONFIGURATION_INVALID, if the change is malformed.
     BaseError
-        If it leads from another base than the one held.
+        If the change was made against another base.
     """
     fields: dict[str, Any] = load(decompress(change.fields, "manifest"), "manifest")
     chunks = list(base.chunks)
--- a/packages/zinniahook-wire/src/zinniahook_wire/peers.py
+++ b/packages/zinniahook-wire/src/zinniahook_wire/peers.py
@@ -1,7 +1,7 @@
-"""Messages between the agents of one service, as protobuf.
+"""Protobuf encoding of the messages between the agents of a service.
 
-A message travels as the payload of a tunnel datagram of kind PEER, which
-authenticates it. Each message type registers one pair of functions.
+A message is the payload of a tunnel datagram of kind PEER, which authenticates it.
+Each message type registers an encoder and a decoder.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
     Raises
     ------
     ValueError
-        If a number is negative or has no room.
+        If a number is negative or too large for its field.
     TypeError
         If it isn't a peer message.
     """
@@ -58,7 +58,7 @@
 
 
 def decode(data: bytes) -> tuple[str, PeerMessage] | Code:
-    """Decode a message; never raises, whatever the bytes.
+    """Decode a message; never raises, whatever the data.
 
     Returns
     -------
@@ -71,7 +71,7 @@
     except DecodeError:
         return Code.TUNNEL_MALFORMED
     field = envelope.WhichOneof("message")
-    # None too: a later release may send a message that this one doesn't know.
+    # A later release may send a message that is unknown here. Its field is None.
     decoder = _decoders_by_field.get(field)
     if decoder is None:
         return Code.TUNNEL_MALFORMED
--- a/packages/zinniahook-wire/src/zinniahook_wire/rosters.py
+++ b/packages/zinniahook-wire/src/zinniahook_wire/rosters.py
@@ -1,4 +1,4 @@
-"""Rosters of services and lists of daemons, as the store keeps them."""
+"""JSON encoding of rosters and lists of daemons in the store."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class MemberValue(TypedDict):
-    """One member of a roster, as stored."""
+    """A stored member of a roster."""
 
     tunnel: str
     control: str
@@ -50,14 +50,14 @@
 
 
 class RosterValue(TypedDict):
-    """The roster of one service, as stored."""
+    """The stored roster of a service."""
 
     members: dict[str, MemberValue]
     operations: list[str]
 
 
 class Daemon(NamedTuple):
-    """A daemon as it announces itself to operators and other daemons."""
+    """A daemon, as announced to operators and other daemons."""
 
     name: str
     role: str
@@ -81,7 +81,7 @@
     Raises
     ------
     DocumentError
-        ROSTER_TOO_LARGE, if the store would refuse it.
+        ROSTER_TOO_LARGE, if the value would be too large.
     """
     value: RosterValue = {
         "members": {
@@ -98,7 +98,7 @@
     Raises
     ------
     DocumentError
-        CONFIGURATION_INVALID, if it isn't a roster.
+        CONFIGURATION_INVALID, if the data isn't a roster.
     """
     what = f"roster of {service}"
     value = load(data, what)
@@ -110,17 +110,17 @@
 
 
 class CompressedRoster(NamedTuple):
-    """A roster as stored, compressed; empty if it was deleted."""
+    """A stored roster, compressed; ``value`` is empty if it was deleted."""
 
     revision: int
     value: bytes
 
 
 class Rosters:
-    """The newest roster known of each service.
+    """The latest known roster of each service, kept compressed.
 
-    An entry knows those of all services, tens of thousands of members, and
-    routes to a few at a time: unpacked they would be most of its memory.
+    An entry has the rosters of all services, with tens of thousands of members, but
+    routes to a few at a time. Decoded, they would take most of its memory.
     """
 
     def __init__(self) -> None:
@@ -135,16 +135,16 @@
         }
 
     def put(self, roster: Roster, value: bytes = b"", packed: bytes = b"") -> bool:
-        """Keep a roster if it is newer than the one known.
+        """Store a roster if it is newer than the known one.
 
         Parameters
         ----------
         roster : Roster
-            As decoded.
+            The decoded roster.
         value : bytes
-            As stored; empty if it isn't at hand or was deleted.
+            The stored value; empty if unavailable or deleted.
         packed : bytes
-            The same compressed, if it came so.
+            The compressed value, if available.
         """
         known = self._compressed_by_service.get(roster.service)
         if known is not None and known.revision >= roster.revision:
@@ -159,33 +159,33 @@
         return True
 
     def revision(self, service: str) -> int:
-        """Return the revision known of a roster, 0 if none."""
+        """Return the revision of the known roster, or 0."""
         packed = self._compressed_by_service.get(service)
         return packed.revision if packed else 0
 
     def value(self, service: str) -> bytes:
-        """Return a roster as stored; empty if it was deleted.
+        """Return the stored value of a roster; empty if it was deleted.
 
         Raises
         ------
         KeyError
-            If none is known.
+            If the service is unknown.
         """
         packed = self.packed(service)
         return decompress(packed, f"roster of {service}") if packed else b""
 
     def packed(self, service: str) -> bytes:
-        """Return a roster as stored, compressed; empty if it was deleted.
+        """Return the compressed value of a roster; empty if it was deleted.
 
         Raises
         ------
         KeyError
-            If none is known.
+            If the service is unknown.
         """
         return self._compressed_by_service[service].value
 
     def get(self, service: str) -> Roster | None:
-        """Return a roster; None if none is known."""
+        """Return the decoded roster of a service, or None if unknown."""
         packed = self._compressed_by_service.get(service)
         if packed is None:
             return None
@@ -201,7 +201,7 @@
     Raises
     ------
     DocumentError
-        ROSTER_TOO_LARGE, if the store would refuse it.
+        ROSTER_TOO_LARGE, if the value would be too large.
     """
     value = {
         "daemons": {
@@ -223,7 +223,7 @@
     Raises
     ------
     DocumentError
-        CONFIGURATION_INVALID, if it isn't such a list.
+        CONFIGURATION_INVALID, if the data isn't such a list.
     """
     value = load(data, "list of daemons")
     try:
@@ -241,7 +241,7 @@
 
 
 def revisions_digest(revisions_by_service: Mapping[str, int]) -> bytes:
-    """Return a digest of roster revisions, for finding what got lost."""
+    """Return a digest of roster revisions, to detect lost updates."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for service, revision in sorted(revisions_by_service.items()):
         digest.update(f"{service}\0{revision}\0".encode())
--- a/packages/zinniahook-wire/src/zinniahook_wire/tunnels.py
+++ b/packages/zinniahook-wire/src/zinniahook_wire/tunnels.py
@@ -1,4 +1,4 @@
-"""Authenticated datagrams between the processes of zinniahook.
+"""Authenticated datagrams between zinniahook processes.
 
 Layout, in network byte order::
 
@@ -7,10 +7,9 @@
 
 An address is 16 bytes of IPv6, or of IPv4 mapped into it, and a port. The tag
 is a keyed BLAKE2b of the header and, where the flags say so, of the payload.
-A QUIC packet authenticates itself from end to end, so that a second tag over
-its bytes would only cost time; everything else is covered whole. This is the
-packet path: every call counts, and the modules that call it are to be
-measured when it changes.
+A QUIC packet is authenticated end to end, so a second tag over its bytes would only
+cost time. All other payloads are covered. This is the packet path, where every call
+counts. Measure the modules that call it after each change.
 """
 
 from __future__ import annotations
@@ -37,7 +36,7 @@
 ]
 
 NO_ADDRESS = Address("0.0.0.0", 0)
-"""Stands where a datagram names no address."""
+"""Placeholder for an absent address."""
 
 _HEADER = struct.Struct("!BBBBHI18s18s")
 _PREFIX = struct.Struct("!BBBBHI")
@@ -46,7 +45,7 @@
 _PAYLOAD_OFFSET = _HEADER.size + _TAG_BYTES
 
 OVERHEAD = _PAYLOAD_OFFSET
-"""Bytes that the tunnel adds to each payload."""
+"""Bytes that a datagram adds to its payload."""
 
 _VERSION = 0x10
 _HANDED_FLAG = 0x01
@@ -59,7 +58,7 @@
 
 
 class TunnelKind(enum.IntEnum):
-    """Which way a tunnel datagram goes."""
+    """Direction of a tunnel datagram."""
 
     TO_AGENT = 1
     TO_CALLER = 2
@@ -72,22 +71,22 @@
     Attributes
     ----------
     kind : TunnelKind
-        Which way it goes.
+        Direction of the datagram.
     service : int
         Number of the service, 0 to 65535.
     generation : int
-        Configuration generation in force at the sender, 32 bits.
+        Configuration generation in force at the sender, as 32 bits.
     hops : int
-        How many agents have passed the datagram on, 0 to 255.
+        Number of agents that have forwarded the datagram, 0 to 255.
     handed : bool
         Whether the receiver owns the flow from now on.
     caller, entry : Address
-        The caller, and the entry that answers go out of.
+        The caller, and the entry that sends the answers.
     payload : bytes
         The caller's or target's datagram, or an encoded peer message.
     covered : bool
-        Whether the tag covers the payload too; False only where the payload
-        is a QUIC packet, which authenticates itself.
+        Whether the tag covers the payload too. False only if the payload is a QUIC
+        packet, which is authenticated end to end.
     """
 
     kind: TunnelKind
@@ -103,19 +102,19 @@
 
 _KINDS_BY_NUMBER = {int(kind): kind for kind in TunnelKind}
 
-# What TunnelDatagram._make does, without its 0.4 us of checks per datagram.
+# Like TunnelDatagram._make, but without its checks, which take 0.4 us a datagram.
 _make_datagram = functools.partial(tuple.__new__, TunnelDatagram)
 make_address = functools.partial(tuple.__new__, Address)
-"""Makes an `Address` of a pair as a socket gives it, without further checks."""
+"""Creates an `Address` from the pair that a socket returns, without checks."""
 
 
 def _pack_address(address: tuple[str, int]) -> bytes:
     host, port = address
     if ":" in host:
-        # A scope ("%eth0") means something on this machine only.
+        # A scope ("%eth0") is only meaningful on this machine.
         packed = socket.inet_pton(socket.AF_INET6, host.partition("%")[0])
         return packed + port.to_bytes(2, "big")
-    # No cache of packed addresses: with many open flows it only misses.
+    # Packed addresses aren't cached: with many open flows, a cache only misses.
     return (
         _IPV4_MAPPED_PREFIX
         + socket.inet_pton(socket.AF_INET, host)
@@ -131,14 +130,14 @@
 
 
 class Tunnel:
-    """Encodes and decodes tunnel datagrams under a set of keys.
+    """Encodes and decodes tunnel datagrams with a set of keys.
 
     Parameters
     ----------
     keys_by_number : Mapping[int, Key]
-        Keys that are accepted; numbers from 0 to 255, secrets up to 64 bytes.
+        Accepted keys, with numbers from 0 to 255 and secrets up to 64 bytes.
     key : int
-        Number of the key in use for encoding.
+        Number of the key used for encoding.
 
     Raises
     ------
@@ -153,8 +152,8 @@
         for number in keys_by_number:
             if not 0 <= number <= 0xFF:
                 raise ValueError(f"tunnel key number out of range: {number}")
-        # Hashing the key anew for each datagram would double the cost of a
-        # short one; a copy of the keyed state doesn't.
+        # Hashing the key for each datagram would double the cost of a short one.
+        # Copying the keyed state doesn't.
         self._keyed_copies_by_number = {
             number: hashlib.blake2b(digest_size=_TAG_BYTES, key=key.secret).copy
             for number, key in keys_by_number.items()
@@ -174,7 +173,7 @@
             datagram
         )
         if not covered and kind is TunnelKind.PEER:
-            raise ValueError("cannot be encoded: a bare message between agents")
+            raise ValueError("cannot be encoded: a peer message must be covered")
         flags = (
             _VERSION
             | (_HANDED_FLAG if handed else 0)
@@ -200,17 +199,17 @@
         return b"".join((header, digest.digest(), payload))
 
     def prefix(self, kind: TunnelKind, service: int, generation: int) -> bytes:
-        """Encode what the headers of many bare datagrams share; see `encode_header`."""
+        """Encode the common start of headers that `encode_header` completes."""
         return _PREFIX.pack(
             self.key, kind, _VERSION | _HEADER_ONLY_FLAG, 0, service, generation
         )
 
     def encode_header(self, prefix: bytes, caller: tuple[str, int]) -> bytes:
-        """Encode what stands in front of a bare payload that names no entry.
+        """Encode the header and tag of a datagram whose payload isn't covered.
 
-        With the payload behind it, it is what `encode` returns with
-        ``covered`` False. It is the packet path of an entry: ``caller`` is an
-        address as a socket gives it.
+        Followed by the payload, the result equals that of `encode` with ``covered``
+        False and no entry. This is the packet path of an entry; ``caller`` is an
+        address as returned by a socket.
         """
         header = prefix + _pack_address(caller) + _PACKED_NO_ADDRESS
         digest = self._keyed_copy()
@@ -218,13 +217,13 @@
         return header + digest.digest()
 
     def decode(self, data: bytes) -> TunnelDatagram | Code:
-        """Check and decode a datagram; never raises, whatever the bytes.
+        """Verify and decode a datagram; never raises, whatever the data.
 
         Returns
         -------
         TunnelDatagram or Code
             TUNNEL_MALFORMED, TUNNEL_KEY_UNKNOWN or TUNNEL_UNAUTHENTICATED
-            for a datagram that is not to be trusted.
+            if the datagram can't be trusted.
         """
         if len(data) < _PAYLOAD_OFFSET:
             return Code.TUNNEL_MALFORMED
@@ -248,7 +247,7 @@
         if kind is None or flags & ~_KNOWN_FLAGS != _VERSION:
             return Code.TUNNEL_MALFORMED
         if header_only and kind is TunnelKind.PEER:
-            # Nothing but the tag protects a message between agents.
+            # A message between agents is protected by the tag alone.
             return Code.TUNNEL_UNAUTHENTICATED
         return _make_datagram(
             (
--- a/packages/zinniahook-wire/src/zinniahook_wire/values.py
+++ b/packages/zinniahook-wire/src/zinniahook_wire/values.py
@@ -1,4 +1,4 @@
-"""Plain values in the store: JSON, digests and limits."""
+"""Helpers for stored values: JSON, digests and limits."""
 
 from __future__ import annotations
 
@@ -23,38 +23,38 @@
 ]
 
 VALUE_LIMIT_BYTES = 900_000
-"""Largest value that is written; the store refuses one above a megabyte."""
+"""Largest value that is written. The store refuses values above a megabyte."""
 
 OPERATIONS_KEPT = 16
-"""Ids of the last writes kept in a value that many processes write.
+"""Operation ids kept in a value that many processes write.
 
-With fewer, a writer whose answer was lost could find its id pushed out by
-later writes and take a write that took effect for one that did not.
+With fewer ids, later writes could displace the id of a write whose answer was lost.
+Its writer would conclude that the write hadn't taken effect although it had.
 """
 
 MALFORMED_VALUE_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
-"""What reading a value of the wrong shape raises."""
+"""Exceptions raised when a value of the wrong shape is read."""
 
 DIGEST_BYTES = 16
 
 
 class DocumentError(ZinniahookError):
-    """A stored value that can't be read, or one that must not be written."""
+    """A stored value is invalid, or a value must not be written."""
 
 
 def digest_of(data: bytes) -> str:
-    """Return the digest that names a value by its content."""
+    """Return the digest of a value's content, which serves as its name."""
     digest = hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest()
     return base64.urlsafe_b64encode(digest).rstrip(b"=").decode()
 
 
 def operations_of(data: bytes) -> tuple[str, ...]:
-    """Return the ids of the last writes that a stored value carries.
+    """Return the operation ids of the last writes in a stored value.
 
     Raises
     ------
     DocumentError
-        CONFIGURATION_INVALID, if the value isn't one of ours.
+        CONFIGURATION_INVALID, if the value isn't a JSON object.
     """
     value = load(data, "value")
     operations = value.get("operations", [value.get("operation")])
@@ -71,23 +71,23 @@
     Parameters
     ----------
     value : mapping
-        What to encode.
+        The value.
     what : str
-        Names it in the error.
+        Name of the value in error messages.
     code : Code
-        Code of the error.
+        Result code of the error.
 
     Raises
     ------
     DocumentError
-        ``code``, if it is larger than `VALUE_LIMIT`.
+        ``code``, if the encoded value is larger than `VALUE_LIMIT_BYTES`.
     """
-    # Sorted, so that the same content always has the same digest.
+    # Keys are sorted so that equal content always has the same digest.
     text = json.dumps(value, ensure_ascii=False, separators=(",", ":"), sort_keys=True)
     data = text.encode()
     if len(data) > VALUE_LIMIT_BYTES:
         raise DocumentError(
-            f"{what}: {len(data)} bytes, {VALUE_LIMIT_BYTES} are allowed", code
+            f"{what}: {len(data)} bytes, the limit is {VALUE_LIMIT_BYTES}", code
         )
     return data
 
@@ -98,7 +98,7 @@
     Raises
     ------
     DocumentError
-        CONFIGURATION_INVALID, if it isn't one.
+        CONFIGURATION_INVALID, if the data is malformed.
     """
     try:
         value = json.loads(data)
--- a/packages/zinniahook-wire/stubs.sh
+++ b/packages/zinniahook-wire/stubs.sh
@@ -1,9 +1,10 @@
 #!/bin/sh
 # Generate the committed protobuf and gRPC stubs.
 #
-# The generator's release decides which protobuf releases can load the stubs,
-# so it is pinned to the lower bound that pyproject.toml declares, in a venv of
-# its own: the newest one would shut out all but the newest protobuf.
+# Stubs only load in protobuf releases that are at least as new as their
+# generator. The generator is therefore pinned, in a separate venv, to the lower
+# bound that pyproject.toml declares. The newest generator would require the
+# newest protobuf.
 set -e
 cd "$(dirname "$0")"
 venv=${STUBS_VENV:-../../build/stubs-venv}
