--- a/packages/zinniahook-store/tests/test_answers.py
+++ b/packages/zinniahook-store/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers that no service should give are failures, not exceptions."""
+"""Malformed answers of the store are failures with a code, not other exceptions."""
 
 import asyncio
 import concurrent.futures
@@ -38,7 +38,7 @@
 
 
 def run(status, body, scenario):
-    """Run a scenario with a client of a server that answers all the same."""
+    """Run a scenario with a client of a server that always gives the same answer."""
 
     async def serve():
         sockets = bind_sockets(0, "127.0.0.1", socket.AF_INET)
@@ -56,11 +56,10 @@
 class TestBadAnswers:
     @pytest.mark.parametrize(("status", "body"), BAD_ANSWERS)
     def test_write_is_left_open(self, status, body):
-        """Answer that can't be read after a write.
+        """Guards against tracebacks, and writes that are reported as failed.
 
-        Symptom: a traceback, or a write taken for one that failed. Sequence:
-        the write is sent, a broken or foreign answer comes. Cause: only
-        missing answers are taken for lost ones.
+        The write is sent, and a malformed answer or that of another server arrives.
+        Such an answer must be handled like a lost one.
         """
 
         async def scenario(store):
@@ -116,11 +115,10 @@
 
 class TestAddresses:
     def test_a_call_needs_no_thread(self):
-        """Symptom: a call to an endpoint that is fine ends as a time-out.
+        """Guards against timeouts of calls to a healthy endpoint.
 
-        Sequence: other work holds all threads of the loop while the call begins.
-        Cause: the address of the endpoint was resolved by one of these threads,
-        though it is an IP address.
+        Other work occupies all threads of the loop when the call starts. The endpoint's
+        IP address must not be resolved in one of these threads.
         """
         answer = b'{"header": {"revision": "3"}, "kvs": []}'
         free = threading.Event()
--- a/packages/zinniahook-store/tests/test_restores.py
+++ b/packages/zinniahook-store/tests/test_restores.py
@@ -1,4 +1,4 @@
-"""A store whose revision falls, as it came back from an older copy."""
+"""A store whose revision goes back because it was restored from an older copy."""
 
 import asyncio
 import base64
@@ -13,7 +13,7 @@
 
 
 class Gateway:
-    """Answers from memory in place of a store's HTTP interface."""
+    """A gateway that answers from memory instead of over HTTP."""
 
     def __init__(self, store):
         self.revision = 10
@@ -52,7 +52,7 @@
 
 
 class SilentStream:
-    """A watch's connection that brings nothing."""
+    """A watch stream without messages."""
 
     async def read(self):
         await asyncio.Event().wait()
@@ -70,10 +70,10 @@
 
 
 class TestCalls:
-    """Symptom: values of a history that is over pass for the newest.
+    """Guards against values of an obsolete history that are considered the newest.
 
-    Sequence: the store comes back from a copy; revisions are given out again.
-    Cause: the client compares revisions of two histories.
+    The store is restored from a copy and reuses revisions. The client must not compare
+    revisions of two histories.
     """
 
     def test_a_revision_that_falls_is_an_error_once(self):
@@ -126,10 +126,10 @@
 
 
 class TestWatches:
-    """Symptom: a daemon never hears of a change again.
+    """Guards against a watch that reports no changes after a restore.
 
-    Sequence: a watch waits for a revision that the restored store reaches hours
-    later. Cause: what it holds passes for older than what was reported.
+    Changes in the restored store are considered older than the reported ones until the
+    store reaches the former revision, which may take hours.
     """
 
     def followed(self, value):
@@ -160,8 +160,10 @@
         assert third[1:] == (b"five", 5)
 
     def test_each_watch_begins_again(self):
-        """Symptom: one watch of several is deaf. Cause: only whoever reads first
-        is told that the revision fell.
+        """Guards against watches that miss the restore.
+
+        Only the first read fails because the revision went back. The other watches must
+        notice the restore too.
         """
 
         async def scenario(store, gateway):
--- a/packages/zinniahook-store/tests/test_store.py
+++ b/packages/zinniahook-store/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client against the stand-in as a real process."""
+"""The store's client against a test double that runs as a real process."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 from zinniahook_testkit import faults, stores
 
 TIMEOUT_SECONDS = 20.0
-"""Seconds after which a wait counts as failed."""
+"""Time after which a scenario fails."""
 
 SILENCE_SECONDS = 0.3
 
@@ -39,12 +39,12 @@
 
 @pytest.fixture
 def prefix(request):
-    """Keys of its own for each test, since the process is shared."""
+    """Return a key prefix for each test, as the tests share the process."""
     return f"/{request.node.name}/"
 
 
 def run(scenario):
-    """Run a scenario within the bound."""
+    """Run a scenario within the timeout."""
     return asyncio.run(asyncio.wait_for(scenario, TIMEOUT_SECONDS))
 
 
@@ -93,10 +93,10 @@
         run(scenario())
 
     def test_racing_writers_of_one_revision(self, server, prefix):
-        """Two operators change the same generation.
+        """Guards against a change that silently replaces another one.
 
-        Symptom: one change silently replaces the other. Sequence: both read
-        revision r, both write. Cause: a write without comparing.
+        Two operators read the same revision, and both write. A write must compare the
+        revision.
         """
 
         async def scenario():
@@ -139,11 +139,10 @@
 
 class TestOutage:
     def test_refused_connection_means_not_written(self, server, prefix):
-        """Store down before a write.
+        """Guards against an unsent write with an unknown outcome.
 
-        Symptom: a write that never left is settled by reading, or reported
-        as unknown. Sequence: connect is refused. Cause: every failure is
-        taken for a lost answer.
+        The connection is refused because the store is down. Such a failure must not be
+        handled like a lost answer, which has to be settled by reading.
         """
         server.set_faults(outage="refuse")
 
@@ -161,11 +160,10 @@
         run(scenario())
 
     def test_hanging_store_leaves_the_write_open(self, server, prefix):
-        """Store that takes calls and doesn't answer.
+        """Guards against a caller that waits forever or assumes an unsuccessful write.
 
-        Symptom: a caller waits for ever, or is told that nothing was
-        written. Sequence: the request is sent, no answer comes. Cause: no
-        timeout, or a timeout taken for a refusal.
+        The store accepts the request but doesn't answer. A timeout is needed, and must
+        not be handled like a refusal.
         """
         server.set_faults(outage="hang")
 
@@ -177,10 +175,9 @@
         run(scenario())
 
     def test_next_endpoint_is_used(self, server, prefix):
-        """One of several endpoints is gone.
+        """Guards against a client that keeps using a failed endpoint.
 
-        Symptom: half of the calls fail. Sequence: an endpoint refuses
-        connections. Cause: the client stays with it.
+        One of two endpoints refuses connections, and half of the calls would fail.
         """
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))
@@ -197,11 +194,10 @@
 
 class TestLostAnswer:
     def test_write_that_took_effect_is_settled(self, server, prefix):
-        """Answer lost after the write took effect.
+        """Guards against a change that is reported as failed although it is in force.
 
-        Symptom: an operator is told that a change failed that is in force.
-        Sequence: the write runs, the connection ends before the answer.
-        Cause: no answer taken for no write.
+        The write takes effect, and the connection ends before the answer. A missing
+        answer doesn't mean that nothing was written.
         """
 
         async def scenario():
@@ -226,12 +222,10 @@
         run(scenario())
 
     def test_write_that_may_still_arrive_stays_open(self, server, prefix):
-        """Write that takes effect after its connection ended.
+        """Guards against a change that takes effect after it was reported as failed.
 
-        Symptom: a change reported as not made comes into force later.
-        Sequence: the answer is lost, a read shows the old value, then the
-        write runs. Cause: the read is taken for the last word although the
-        compared revision still stands.
+        The answer is lost, a read returns the old value, and then the write takes
+        effect. The read isn't final while the key still has the compared revision.
         """
 
         async def scenario():
@@ -251,11 +245,10 @@
 
     @pytest.mark.parametrize("late", [0.0, 30.0])
     def test_swap_makes_it_certain(self, server, prefix, late):
-        """Lost answers in a row.
+        """Guards against a repeated write that runs twice or conflicts with itself.
 
-        Symptom: a write made again after a lost answer runs twice, or
-        reports a conflict with itself. Sequence: write, lost, write again.
-        Cause: the second copy's conflict is taken for another writer's.
+        Several answers in a row are lost, and the write is repeated. The conflict of
+        the second copy must not be attributed to another writer.
         """
 
         async def scenario():
@@ -272,7 +265,7 @@
 
 class TestWatch:
     async def started(self, server, prefix, **options):
-        """Return a watch that is open at the server and has read one value."""
+        """Return a store and its watch, which has reported one value."""
         store = client(server)
         await store.put(prefix + "first", b"1")
         watch = store.watch(prefix, **options)
@@ -306,11 +299,10 @@
         run(scenario())
 
     def test_silent_watch_is_noticed(self, server, prefix):
-        """Watch whose connection was lost track of.
+        """Guards against a configuration that never comes into force at a daemon.
 
-        Symptom: a configuration never comes into force at one daemon.
-        Sequence: the watch stays open and brings nothing, values change.
-        Cause: silence is taken for quiet.
+        The watch stays open without messages while values change. Silence doesn't mean
+        that nothing has changed.
         """
 
         async def scenario():
@@ -328,11 +320,10 @@
         run(scenario())
 
     def test_outage_is_survived(self, server, prefix):
-        """Store gone and back while a watch is open.
+        """Guards against changes that are lost around an outage.
 
-        Symptom: changes made around the outage are lost. Sequence: the
-        connection ends, the store returns, a value is written. Cause: the
-        new watch starts at the present instead of where the old one ended.
+        The connection ends, the store recovers, and a value is written. The new watch
+        must start where the old one ended instead of at the current revision.
         """
 
         async def scenario():
@@ -349,11 +340,10 @@
         run(scenario())
 
     def test_compaction_while_down(self, server, prefix):
-        """Revisions compacted while a watch was down.
+        """Guards against a watch that is refused forever.
 
-        Symptom: the watch is refused for ever. Sequence: outage, changes and
-        a deletion, compaction, the watch resumes. Cause: its revision is no
-        longer kept, so what is stored has to be read anew.
+        During an outage there are changes, a deletion and a compaction; then the watch
+        resumes. Its revision no longer exists, so it must read the stored items again.
         """
 
         async def scenario():
@@ -380,11 +370,10 @@
         run(scenario())
 
     def test_one_way_silence_on_the_path(self, server, prefix):
-        """Connection that something between the ends has lost track of.
+        """Guards against a watch that is silent although the store has it open.
 
-        Symptom: as with a silent watch, but the store sees an open one.
-        Sequence: answers on the open connection stop, new ones work. Cause:
-        no end of the connection is ever told.
+        A device on the path drops answers on the open connection, while new connections
+        work. Neither end is notified.
         """
 
         async def scenario():
@@ -405,10 +394,9 @@
         run(scenario())
 
     def test_closing_ends_the_call(self, server, prefix):
-        """Abandoned watches.
+        """Guards against open watches that accumulate at the store.
 
-        Symptom: the store's open watches grow. Sequence: a watch is closed
-        by its reader. Cause: its connection stays open.
+        The reader closes a watch, but its connection stays open.
         """
 
         async def scenario():
--- a/packages/zinniahook-store/tests/test_watches.py
+++ b/packages/zinniahook-store/tests/test_watches.py
@@ -1,4 +1,4 @@
-"""A watch ends up with what is stored, whatever happened on the way."""
+"""A watch converges to the stored items whatever faults occur."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 class Follower:
-    """Applies what a watch reports, and checks its promise."""
+    """Applies the changes that a watch reports, and checks that revisions increase."""
 
     def __init__(self, watch):
         self.values_by_key = {}
@@ -34,7 +34,7 @@
 
 
 class Faults:
-    """Draws faults on the watch's path and at the store."""
+    """Injects random faults on the watch's path and at the store."""
 
     def __init__(self, rng, server, proxy):
         self.rng = rng
@@ -70,12 +70,11 @@
 class TestConvergence:
     @pytest.mark.parametrize("seed", [1, 2, 3])
     def test_random_faults(self, seed):
-        """Faults in random order on the path of a watch.
+        """Guards against a daemon that keeps an old roster or returns to one.
 
-        Symptom: a daemon keeps an old roster for ever, or goes back to one.
-        Sequence: writes and deletions between cuts, silences, refusals and
-        compactions. Cause: a change that no watch brought is never read, or
-        an old one is reported after a newer one.
+        Writes and deletions happen between cuts, silences, refusals and compactions. A
+        change that no watch delivered must be read, and an old one must not be reported
+        after a newer one.
         """
 
         async def scenario():
@@ -105,12 +104,11 @@
 class TestCancellation:
     @pytest.mark.parametrize("turns", range(4))
     def test_comes_through_together_with_a_message(self, turns):
-        """Symptom: a daemon that was told to stop goes on watching for ever.
+        """Guards against a stopped daemon that continues to watch forever.
 
-        Sequence: a message arrives, and the reader is cancelled within the
-        next turns of the loop.
-        Cause: `asyncio.wait_for` of Python 3.11 returns the message and drops
-        the cancellation.
+        A message arrives, and the reader is cancelled within the next turns of the
+        loop. `asyncio.wait_for` of Python 3.11 returns the message and drops the
+        cancellation.
         """
 
         async def scenario():
--- a/packages/zinniahook-wire/tests/test_documents.py
+++ b/packages/zinniahook-wire/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Stored values: they come back, stay small, and errors are clear."""
+"""Stored values: round trips, sizes and errors."""
 
 import dataclasses
 
@@ -99,11 +99,10 @@
             documents.join(manifest, {})
 
     def test_chunk_with_other_content(self):
-        """Chunk that isn't what its name says.
+        """Guards against daemons of one generation that disagree on a service.
 
-        Symptom: daemons of one generation disagree on a service. Sequence:
-        a value under a chunk's key is overwritten by hand or damaged. Cause:
-        the reader trusts the key instead of the content.
+        The value under a chunk's key is overwritten by hand or damaged. The reader must
+        verify the content instead of trusting the key.
         """
         data = documents.services_to_json([service(1)])
         digest = documents.digest_of(data)
--- a/packages/zinniahook-wire/tests/test_manifests.py
+++ b/packages/zinniahook-wire/tests/test_manifests.py
@@ -1,4 +1,4 @@
-"""Compressed values and manifests as changes."""
+"""Compressed values, and manifests encoded as changes."""
 
 from __future__ import annotations
 
@@ -52,11 +52,10 @@
         ids=["large", "trailing", "truncated", "plain", "empty"],
     )
     def test_anything_else_is_refused(self, data):
-        """Symptom: a daemon is killed for its use of memory.
+        """Guards against a daemon that is killed because of its memory use.
 
-        Sequence: a broken peer sends a kilobyte that stands for a megabyte,
-        hundreds of times in one update.
-        Cause: a value decompressed without a bound.
+        A faulty peer sends a kilobyte that decompresses to a megabyte, hundreds of
+        times in one update. Decompression needs a limit.
         """
         with pytest.raises(DocumentError):
             decompress(data, "value")
@@ -89,11 +88,10 @@
         assert change_between(base, value) is None
 
     def test_another_base_is_refused(self):
-        """Symptom: a daemon puts a generation in force that never was.
+        """Guards against a generation in force that never existed.
 
-        Sequence: parent and child hold different manifests of one number,
-        as after the store was emptied; a change comes.
-        Cause: the change would be applied to whatever is held.
+        Parent and child have different manifests of the same generation, for example
+        after the store was emptied. A change must not be applied to another base.
         """
         value = documents.manifest_to_json(manifest(8, SERVICES))
         change = change_between(manifest(7, SERVICES), value)
--- a/packages/zinniahook-wire/tests/test_peers.py
+++ b/packages/zinniahook-wire/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Peer messages: every type comes back, and no bytes raise."""
+"""Peer messages: every type round-trips, and no data raises an exception."""
 
 import typing
 
--- a/packages/zinniahook-wire/tests/test_tunnels.py
+++ b/packages/zinniahook-wire/tests/test_tunnels.py
@@ -1,4 +1,4 @@
-"""Tunnel datagrams: what is sealed comes back, and nothing else gets in."""
+"""Tunnel datagrams: encoded ones round-trip, and all others are rejected."""
 
 import ipaddress
 
@@ -26,7 +26,7 @@
 
 
 def is_plain(address):
-    """Whether the text form is unique (an IPv4-mapped one reads as IPv4)."""
+    """Return whether the text form is unique (IPv4-mapped ones decode as IPv4)."""
     return address.version == 4 or address.ipv4_mapped is None
 
 
@@ -99,7 +99,7 @@
 
 
 class TestHeaderOnlyTag:
-    """Datagrams whose payload, a QUIC packet, authenticates itself."""
+    """Datagrams with a QUIC packet as payload, which the tag doesn't cover."""
 
     @given(header_only_datagrams)
     def test_every_field_comes_back(self, datagram):
@@ -123,11 +123,10 @@
         assert tunnel.decode(bytes(encoded)) in REFUSALS
 
     def test_a_message_between_agents_is_covered_whole(self):
-        """Forged message of a peer.
+        """Guards against forged peer messages, such as a claim without a request.
 
-        Symptom: a claim is granted that no agent asked for. Sequence: one
-        authentic header is seen, and sent again with another payload. Cause:
-        nothing protects a message between agents but the tag over it.
+        An authentic header is captured and sent again with another payload. Only the
+        tag over the payload protects a message between agents.
         """
         tunnel = Tunnel({2: NEW}, 2)
         header_only = example(kind=TunnelKind.PEER, covered=False)
@@ -142,11 +141,10 @@
 
 class TestKeys:
     def test_old_key_is_accepted_during_rotation(self):
-        """Old key during a rotation.
+        """Guards against dropped datagrams during a key rotation.
 
-        Symptom: datagrams of a process that has not yet learned the new key
-        are dropped. Sequence: the key in use changes at one side first.
-        Cause: only the newest key would be accepted.
+        The key in use changes on one side first. A process that accepts only the newest
+        key drops datagrams of processes that don't have it yet.
         """
         before = Tunnel({1: OLD}, 1)
         between = Tunnel({1: OLD, 2: NEW}, 1)
@@ -192,11 +190,10 @@
         assert Tunnel({2: NEW}, 2).decode(data) is Code.TUNNEL_UNAUTHENTICATED
 
     def test_unknown_version_of_an_authentic_sender(self):
-        """Datagram of a later version.
+        """Guards against fields that are read at the wrong offsets.
 
-        Symptom: fields are read at the wrong places. Sequence: a newer
-        release holds the same key and sends its own layout. Cause: the key
-        proves the sender, not the layout.
+        A newer release with the same key sends another layout. The tag authenticates
+        the sender, not the layout.
         """
         tunnel = Tunnel({2: NEW}, 2)
         copied = tunnel._keyed_copy
