--- a/packages/zinniahook-store/tests/test_answers.py
+++ b/packages/zinniahook-store/tests/test_answers.py
@@ -81,7 +81,7 @@
         run(status, body, scenario)
 
     @pytest.mark.parametrize(("status", "body"), BAD_ANSWERS)
-    def test_lease_is_not_taken_for_lapsed(self, status, body):
+    def test_lease_is_not_considered_expired(self, status, body):
         async def scenario(store):
             for call in (store.keep_alive(7), store.grant(7)):
                 with pytest.raises(StoreError):
--- a/packages/zinniahook-store/tests/test_restores.py
+++ b/packages/zinniahook-store/tests/test_restores.py
@@ -159,7 +159,7 @@
         assert second == (KEY, None, 4)
         assert third[1:] == (b"five", 5)
 
-    def test_each_watch_begins_again(self):
+    def test_each_watch_reads_again(self):
         """Guards against watches that miss the restore.
 
         Only the first read fails because the revision went back. The other watches must
@@ -180,7 +180,7 @@
         assert [change.value for change in changes] == [b"four"] * 3
         assert history == 1
 
-    def test_a_message_of_a_lower_revision_is_not_taken(self):
+    def test_a_message_of_a_lower_revision_is_ignored(self):
         async def scenario(store, gateway):
             watch = store.watch(PREFIX, silence=0.01)
             await anext(watch)
--- a/packages/zinniahook-store/tests/test_store.py
+++ b/packages/zinniahook-store/tests/test_store.py
@@ -122,7 +122,7 @@
 
         run(scenario())
 
-    def test_lease_lapses(self, server, prefix):
+    def test_lease_expires(self, server, prefix):
         async def scenario():
             store = client(server)
             lease = await store.grant(1)
--- a/packages/zinniahook-store/tests/test_watches.py
+++ b/packages/zinniahook-store/tests/test_watches.py
@@ -103,7 +103,7 @@
 
 class TestCancellation:
     @pytest.mark.parametrize("turns", range(4))
-    def test_comes_through_together_with_a_message(self, turns):
+    def test_takes_effect_together_with_a_message(self, turns):
         """Guards against a stopped daemon that continues to watch forever.
 
         A message arrives, and the reader is cancelled within the next turns of the
--- a/packages/zinniahook-wire/tests/test_documents.py
+++ b/packages/zinniahook-wire/tests/test_documents.py
@@ -87,7 +87,7 @@
         written = split(after, 43).values_by_key.keys()
         assert len(written - split(before).values_by_key.keys()) == 1
 
-    def test_no_value_is_near_the_limit_at_the_size_to_design_for(self):
+    def test_no_value_is_near_the_limit_at_the_design_size(self):
         parts = split(document(SERVICES))
         sizes = [len(value) for value in parts.values_by_key.values()]
         sizes.append(len(documents.manifest_to_json(parts.manifest)))
@@ -153,7 +153,7 @@
         data = documents.daemons_to_json([daemon], ["op"])
         assert documents.daemons_from_json(data) == {"entry-1": daemon}
 
-    def test_digest_tells_one_revision(self):
+    def test_digest_depends_on_each_revision(self):
         before = documents.revisions_digest({"tally": 1, "ledger": 2})
         assert before == documents.revisions_digest({"ledger": 2, "tally": 1})
         assert before != documents.revisions_digest({"tally": 1, "ledger": 3})
--- a/packages/zinniahook-wire/tests/test_manifests.py
+++ b/packages/zinniahook-wire/tests/test_manifests.py
@@ -82,7 +82,7 @@
         value = documents.manifest_to_json(newer)
         assert apply_change(base, change_between(base, value)) == value
 
-    def test_a_value_written_otherwise_goes_whole(self):
+    def test_a_value_in_another_encoding_has_no_change(self):
         base = manifest(7, SERVICES)
         value = documents.manifest_to_json(manifest(8, SERVICES)) + b"\n"
         assert change_between(base, value) is None
@@ -108,7 +108,7 @@
         ],
         ids=["no fields", "unknown field", "not compressed", "no such chunk"],
     )
-    def test_what_is_no_change_is_refused(self, change):
+    def test_a_malformed_change_is_refused(self, change):
         base = manifest(7, SERVICES)
         value = documents.manifest_to_json(manifest(8, SERVICES))
         with pytest.raises(DocumentError):
