--- a/packages/zinniahook-wire/tests/test_documents.py
+++ b/packages/zinniahook-wire/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Stored values: they come back, stay small, and errors are clear."""
+"""Stored values: round trips, sizes and errors."""
 
 import dataclasses
 
@@ -87,7 +87,7 @@
         written = split(after, 43).values_by_key.keys()
         assert len(written - split(before).values_by_key.keys()) == 1
 
-    def test_no_value_is_near_the_limit_at_the_size_to_design_for(self):
+    def test_no_value_is_near_the_limit_at_the_design_size(self):
         parts = split(document(SERVICES))
         sizes = [len(value) for value in parts.values_by_key.values()]
         sizes.append(len(documents.manifest_to_json(parts.manifest)))
@@ -99,11 +99,10 @@
             documents.join(manifest, {})
 
     def test_chunk_with_other_content(self):
-        """Chunk that isn't what its name says.
+        """Guards against daemons of one generation that disagree on a service.
 
-        Symptom: daemons of one generation disagree on a service. Sequence:
-        a value under a chunk's key is overwritten by hand or damaged. Cause:
-        the reader trusts the key instead of the content.
+        The value under a chunk's key is overwritten by hand or damaged. The reader must
+        verify the content instead of trusting the key.
         """
         data = documents.services_to_json([service(1)])
         digest = documents.digest_of(data)
@@ -154,7 +153,7 @@
         data = documents.daemons_to_json([daemon], ["op"])
         assert documents.daemons_from_json(data) == {"entry-1": daemon}
 
-    def test_digest_tells_one_revision(self):
+    def test_digest_depends_on_each_revision(self):
         before = documents.revisions_digest({"tally": 1, "ledger": 2})
         assert before == documents.revisions_digest({"ledger": 2, "tally": 1})
         assert before != documents.revisions_digest({"tally": 1, "ledger": 3})
--- a/packages/zinniahook-wire/tests/test_manifests.py
+++ b/packages/zinniahook-wire/tests/test_manifests.py
@@ -1,4 +1,4 @@
-"""Compressed values and manifests as changes."""
+"""Compressed values, and manifests encoded as changes."""
 
 from __future__ import annotations
 
@@ -52,11 +52,10 @@
         ids=["large", "trailing", "truncated", "plain", "empty"],
     )
     def test_anything_else_is_refused(self, data):
-        """Symptom: a daemon is killed for its use of memory.
+        """Guards against a daemon that is killed because of its memory use.
 
-        Sequence: a broken peer sends a kilobyte that stands for a megabyte,
-        hundreds of times in one update.
-        Cause: a value decompressed without a bound.
+        A faulty peer sends a kilobyte that decompresses to a megabyte, hundreds of
+        times in one update. Decompression needs a limit.
         """
         with pytest.raises(DocumentError):
             decompress(data, "value")
@@ -83,17 +82,16 @@
         value = documents.manifest_to_json(newer)
         assert apply_change(base, change_between(base, value)) == value
 
-    def test_a_value_written_otherwise_goes_whole(self):
+    def test_a_value_in_another_encoding_has_no_change(self):
         base = manifest(7, SERVICES)
         value = documents.manifest_to_json(manifest(8, SERVICES)) + b"\n"
         assert change_between(base, value) is None
 
     def test_another_base_is_refused(self):
-        """Symptom: a daemon puts a generation in force that never was.
+        """Guards against a generation in force that never existed.
 
-        Sequence: parent and child hold different manifests of one number,
-        as after the store was emptied; a change comes.
-        Cause: the change would be applied to whatever is held.
+        Parent and child have different manifests of the same generation, for example
+        after the store was emptied. A change must not be applied to another base.
         """
         value = documents.manifest_to_json(manifest(8, SERVICES))
         change = change_between(manifest(7, SERVICES), value)
@@ -110,7 +108,7 @@
         ],
         ids=["no fields", "unknown field", "not compressed", "no such chunk"],
     )
-    def test_what_is_no_change_is_refused(self, change):
+    def test_a_malformed_change_is_refused(self, change):
         base = manifest(7, SERVICES)
         value = documents.manifest_to_json(manifest(8, SERVICES))
         with pytest.raises(DocumentError):
