--- a/packages/zinniahook-caller/src/zinniahook_caller/feeds.py
+++ b/packages/zinniahook-caller/src/zinniahook_caller/feeds.py
@@ -198,11 +198,11 @@
 
     async def _run(self, exchange: Exchange | None) -> None:
         end: BaseException | None = None
-        doubles: set[str] = set()
+        duplicate_ids: set[str] = set()
         try:
             while exchange is not None:
-                exchange = await self._read_until_reopened(exchange, doubles)
-                doubles, self._overlap_ids = self._overlap_ids or set(), None
+                exchange = await self._read_until_reopened(exchange, duplicate_ids)
+                duplicate_ids, self._overlap_ids = self._overlap_ids or set(), None
                 self.reopened += exchange is not None
         except Exception as error:
             # The error is raised where the feed is iterated, instead of being
@@ -211,7 +211,7 @@
         await self._queue.put(end)
 
     async def _read_until_reopened(
-        self, exchange: Exchange, doubles: set[str]
+        self, exchange: Exchange, duplicate_ids: set[str]
     ) -> Exchange | None:
         """Read an answer until the next one has begun, and return the next.
 
@@ -219,7 +219,7 @@
         a leaving server would cut off the feed, or the feed would delay the server's
         stop for hours.
         """
-        reading = asyncio.create_task(self._read(exchange, doubles))
+        reading = asyncio.create_task(self._read(exchange, duplicate_ids))
         leaving = asyncio.create_task(exchange.leaving.wait())
         try:
             await asyncio.wait({reading, leaving}, return_when="FIRST_COMPLETED")
@@ -236,14 +236,14 @@
             await asyncio.gather(reading, leaving, return_exceptions=True)
             exchange.cancel()
 
-    async def _read(self, exchange: Exchange, doubles: set[str]) -> None:
+    async def _read(self, exchange: Exchange, duplicate_ids: set[str]) -> None:
         parser = EventParser()
         async for chunk in exchange.chunks():
             for event in parser.feed(chunk):
-                await self._deliver(event, doubles)
+                await self._deliver(event, duplicate_ids)
 
-    async def _deliver(self, event: Event, doubles: set[str]) -> None:
-        if event.id and event.id in doubles:
+    async def _deliver(self, event: Event, duplicate_ids: set[str]) -> None:
+        if event.id and event.id in duplicate_ids:
             self.doubles += 1
             return
         # Only events in the queue count as seen. If this task is cancelled while it
@@ -251,7 +251,7 @@
         await self._queue.put(event)
         if not event.id:
             return
-        doubles.clear()
+        duplicate_ids.clear()
         self.last_id = event.id
         if self._overlap_ids is not None:
             self._overlap_ids.add(event.id)
--- a/packages/zinniahook-cli/src/zinniahook_cli/changes.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/changes.py
@@ -44,7 +44,7 @@
 _steps_by_type: dict[type, Callable[[Table, Any], Table]] = {}
 
 
-def _step(kind: type) -> Callable:
+def _applies(kind: type) -> Callable:
     def register(function: Callable[[Table, Any], Table]) -> Callable:
         _steps_by_type[kind] = function
         return function
@@ -110,8 +110,8 @@
     names : iterable of str
         The known names.
     """
-    near = difflib.get_close_matches(word.text, list(names), 1)
-    hint = f"; did you mean {near[0]!r}?" if near else ""
+    matches = difflib.get_close_matches(word.text, list(names), 1)
+    hint = f"; did you mean {matches[0]!r}?" if matches else ""
     reason = f"no {what} {word.text!r}{hint}"
     return CommandError(reason, Code.COMMAND_UNKNOWN_NAME, word)
 
@@ -125,16 +125,16 @@
     return operator.may_change(rest.partition(".")[0])
 
 
-@_step(Set)
+@_applies(Set)
 def _set(table: Table, step: Set) -> Table:
     setting = step.setting
     parts = setting.path.text.split(".")
-    for owner, field in _owners(table, parts, setting.path):
-        owner[parts[-1]] = _value(field, setting)
+    for section, field in _tables_with_setting(table, parts, setting.path):
+        section[parts[-1]] = _value(field, setting)
     return table
 
 
-@_step(Create)
+@_applies(Create)
 def _create(table: Table, step: Create) -> Table:
     parent, name = _parent(table, step.kind, step.path)
     if name in parent:
@@ -154,7 +154,7 @@
     return table
 
 
-@_step(Remove)
+@_applies(Remove)
 def _remove(table: Table, step: Remove) -> Table:
     parent, name = _parent(table, step.kind, step.path)
     if name not in parent:
@@ -163,7 +163,7 @@
     return table
 
 
-@_step(Apply)
+@_applies(Apply)
 def _apply(_table: Table, step: Apply) -> Table:
     try:
         text = Path(step.file.text).read_text(encoding="utf-8")
@@ -186,7 +186,9 @@
     return service.setdefault("classes", {}), item
 
 
-def _owners(table: Table, parts: list[str], path: Word) -> list[tuple[Table, Field]]:
+def _tables_with_setting(
+    table: Table, parts: list[str], path: Word
+) -> list[tuple[Table, Field]]:
     """Return the tables that hold the setting at a dotted path.
 
     A path is ``SERVICE.SETTING``, ``SERVICE.CLASS.SETTING``, ``rollout.SETTING``
@@ -197,13 +199,13 @@
     if parts[0] == "rollout" and len(parts) == 2:
         return [(table["rollout"], _field(ROLLOUT_FIELDS_BY_NAME, name, path))]
     if parts[0] == "operators" and len(parts) == 3:
-        owner = _child(table["operators"], parts[1], "operator", path)
-        return [(owner, _field(OPERATOR_FIELDS_BY_NAME, name, path))]
+        section = _child(table["operators"], parts[1], "operator", path)
+        return [(section, _field(OPERATOR_FIELDS_BY_NAME, name, path))]
     service = _child(table["services"], parts[0], "service", path)
     classes = service.get("classes", {})
     if len(parts) == 3:
-        owner = _child(classes, parts[1], f"class of {parts[0]}", path)
-        return [(owner, _field(CLASS_FIELDS_BY_NAME, name, path))]
+        section = _child(classes, parts[1], f"class of {parts[0]}", path)
+        return [(section, _field(CLASS_FIELDS_BY_NAME, name, path))]
     if len(parts) == 2 and name in SERVICE_FIELDS_BY_NAME:
         return [(service, SERVICE_FIELDS_BY_NAME[name])]
     if len(parts) == 2 and name in CLASS_FIELDS_BY_NAME and name != "prefix":
--- a/packages/zinniahook-cli/src/zinniahook_cli/drains.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/drains.py
@@ -64,10 +64,10 @@
         now = await read_fleet(context.store, context.daemons)
         answer = _refusal(now, wave, statement.force)
         if answer is None:
-            began = time.monotonic()
+            started_at = time.monotonic()
             answer = await _drain_all(context, wave, statement.force)
             if answer.status is Status.OK:
-                answer = await _wait_until_restarted(context, wave, began)
+                answer = await _wait_until_restarted(context, wave, started_at)
         if answer.status is not Status.OK:
             text = f"stopped at wave {number} of {len(plan)} ({names}): {answer.text}"
             return Answer(text, data=answer.data, status=answer.status)
@@ -194,16 +194,17 @@
 
 
 async def _wait_until_restarted(
-    context: Context, wave: list[Stop], began: float
+    context: Context, wave: list[Stop], started_at: float
 ) -> Answer:
-    """Wait until every daemon of the wave has restarted after ``began`` and serves."""
+    """Wait until all daemons of the wave serve and were started after ``started_at``."""
     deadline = time.monotonic() + context.settings.patience
     while True:
         fleet = await read_fleet(context.store, context.daemons)
         back = {
             reply.name
             for reply in fleet.survey.answers_by_control.values()
-            if reply.state in SERVING_STATES and reply.uptime < time.monotonic() - began
+            if reply.state in SERVING_STATES
+            and reply.uptime < time.monotonic() - started_at
         }
         missing = [stop.name for stop in wave if stop.name not in back]
         if not missing:
--- a/packages/zinniahook-cli/src/zinniahook_cli/explanations.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/explanations.py
@@ -321,15 +321,15 @@
     by_instance: dict[str, list[Line]] = {}
     for line in sorted(lines, key=lambda line: line.position):
         by_instance.setdefault(line.instance, []).append(line)
-    after: dict[int, set[int]] = {line.position: set() for line in lines}
+    successors: dict[int, set[int]] = {line.position: set() for line in lines}
     for own in by_instance.values():
         for line, following in itertools.pairwise(own):
-            after[line.position].add(following.position)
+            successors[line.position].add(following.position)
     for line in lines:
         effect = _remote_effect(line, by_instance, by_address)
         if effect is not None:
-            after[line.position].add(effect.position)
-    return _topological_order({line.position: line for line in lines}, after)
+            successors[line.position].add(effect.position)
+    return _topological_order({line.position: line for line in lines}, successors)
 
 
 def _remote_effect(
@@ -349,31 +349,33 @@
 
 
 def _topological_order(
-    by_position: dict[int, Line], after: dict[int, set[int]]
+    by_position: dict[int, Line], successors: dict[int, set[int]]
 ) -> list[Line]:
     """Sort topologically, then by time. A cycle is broken at its earliest line."""
-    before = dict.fromkeys(by_position, 0)
-    for following in after.values():
+    blocker_counts = dict.fromkeys(by_position, 0)
+    for following in successors.values():
         for position in following:
-            before[position] += 1
-    ready = [(by_position[p].time, p) for p, count in before.items() if not count]
+            blocker_counts[position] += 1
+    ready = [
+        (by_position[p].time, p) for p, count in blocker_counts.items() if not count
+    ]
     heapq.heapify(ready)
     done: list[Line] = []
-    left = set(by_position)
-    while left:
+    remaining = set(by_position)
+    while remaining:
         if not ready:
             earliest = min(
-                left, key=lambda position: (by_position[position].time, position)
+                remaining, key=lambda position: (by_position[position].time, position)
             )
             heapq.heappush(ready, (by_position[earliest].time, earliest))
         position = heapq.heappop(ready)[1]
-        if position not in left:
+        if position not in remaining:
             continue
-        left.remove(position)
+        remaining.remove(position)
         done.append(by_position[position])
-        for following in after[position]:
-            before[following] -= 1
-            if not before[following] and following in left:
+        for following in successors[position]:
+            blocker_counts[following] -= 1
+            if not blocker_counts[following] and following in remaining:
                 heapq.heappush(ready, (by_position[following].time, following))
     return done
 
--- a/packages/zinniahook-cli/src/zinniahook_cli/rollouts.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/rollouts.py
@@ -265,10 +265,10 @@
                 f"{share:.2%} of datagrams or requests failed since generation "
                 f"{generation} began, {rollout.broken_flows:.2%} are allowed"
             )
-        left = deadline - time.monotonic()
-        if left <= 0:
+        remaining = deadline - time.monotonic()
+        if remaining <= 0:
             return None
-        await asyncio.sleep(min(WATCH_INTERVAL_SECONDS, left))
+        await asyncio.sleep(min(WATCH_INTERVAL_SECONDS, remaining))
 
 
 def _traffic_in_stage(stage: Stage, traffic_by_name: TrafficByName) -> TrafficByName:
--- a/packages/zinniahook-cli/src/zinniahook_cli/rotations.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/rotations.py
@@ -52,7 +52,7 @@
     _check_permitted(context, stored)
     if _unused_key(stored.keys) is None:
         await _check_age(context, stored, statement.force)
-        answer = await _step(context, with_new_keys)
+        answer = await _commit_keys(context, with_new_keys)
         if answer.status is not Status.OK:
             return answer
         context.on_progress(f"new keys accepted: {answer.text}")
@@ -66,7 +66,7 @@
             data=accepted.data,
             status=Status.UNFINISHED,
         )
-    answer = await _step(context, with_newest_keys_in_use)
+    answer = await _commit_keys(context, with_newest_keys_in_use)
     if answer.status is not Status.OK:
         return answer
     now = await configurations.read(context.store)
@@ -182,7 +182,7 @@
     return max(used)
 
 
-async def _step(context: Context, update) -> Answer:
+async def _commit_keys(context: Context, update) -> Answer:
     """Commit the updated key ring, and retry if another commit came first."""
     for _ in range(MAX_COMMIT_ATTEMPTS):
         stored = await configurations.read(context.store)
