--- a/packages/zinniahook-cli/src/zinniahook_cli/drains.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/drains.py
@@ -196,7 +196,7 @@
 async def _wait_until_restarted(
     context: Context, wave: list[Stop], started_at: float
 ) -> Answer:
-    """Wait until all daemons of the wave serve and were started after ``started_at``."""
+    """Wait until every daemon of the wave serves after a restart."""
     deadline = time.monotonic() + context.settings.patience
     while True:
         fleet = await read_fleet(context.store, context.daemons)
@@ -293,7 +293,7 @@
 def _answer_no_reply(stop: Stop, no_reply: NoReply) -> Answer:
     return Answer(
         f"unknown: {stop.name} gave no answer ({no_reply.reason}); "
-        "`show daemons` tells whether it drains",
+        "`show daemons` shows whether it drains",
         data={"outcome": "unknown", "reason": no_reply.reason},
         status=Status.UNKNOWN,
     )
--- a/packages/zinniahook-cli/src/zinniahook_cli/explanations.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/explanations.py
@@ -87,13 +87,13 @@
 
 
 Meaning = Callable[[Line], str]
-"""Describes what the deciding line means for the request."""
+"""Returns what the deciding line means for the request."""
 
 MEANINGS_BY_EVENT: dict[str, Meaning] = {}
 
 
 def decides(*events: str) -> Callable[[Meaning], Meaning]:
-    """Register a function that describes events that decide the fate of a flow."""
+    """Register the meaning of events that decide the outcome of a flow."""
 
     def register(meaning: Meaning) -> Meaning:
         for event in events:
--- a/packages/zinniahook-cli/src/zinniahook_cli/rotations.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/rotations.py
@@ -62,7 +62,7 @@
         # If the key were used now, lagging daemons couldn't decrypt its datagrams
         # and their flows would break.
         return Answer(
-            f"{accepted.text}\nnew keys aren't used yet; `rotate keys` goes on",
+            f"{accepted.text}\nnew keys aren't used yet; `rotate keys` continues",
             data=accepted.data,
             status=Status.UNFINISHED,
         )
--- a/packages/zinniahook-cli/src/zinniahook_cli/sessions.py
+++ b/packages/zinniahook-cli/src/zinniahook_cli/sessions.py
@@ -146,7 +146,7 @@
     except ConfigurationError:
         # A later step may fix it; only the whole change must be valid.
         pass
-    return Answer(f"gathered ({len(draft.steps)} so far)")
+    return Answer(f"collected ({len(draft.steps)} so far)")
 
 
 @_runner_for(statements.Commit)
@@ -163,7 +163,7 @@
     if session.draft is None:
         raise CommandError("no change is open", word=statement.word)
     session.draft = None
-    return Answer("forgotten; nothing was changed")
+    return Answer("discarded; nothing was changed")
 
 
 @_runner_for(statements.Rollback)
--- a/packages/zinniahook-cli/tests/test_main.py
+++ b/packages/zinniahook-cli/tests/test_main.py
@@ -98,7 +98,7 @@
         status = zinniahook(text, settings=settings, json=True)
         assert status == Status.USAGE
         answers = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
-        assert [one["status"] for one in answers] == ["ok", "ok", "ok", "usage"]
+        assert [answer["status"] for answer in answers] == ["ok", "ok", "ok", "usage"]
         assert answers[1]["generation"] == 2
         assert answers[2]["rows"][0]["after"] == 64
         assert answers[3]["code"] == 511
--- a/packages/zinniahook-cli/tests/test_views.py
+++ b/packages/zinniahook-cli/tests/test_views.py
@@ -64,10 +64,11 @@
         }
         asked = list(controls)
         unanswered = tuple(
-            NoReply(one, "timeout") for one in asked if one not in answers
+            NoReply(control, "timeout") for control in asked if control not in answers
         )
         return Survey(
-            {one: answers[one] for one in asked if one in answers}, unanswered
+            {control: answers[control] for control in asked if control in answers},
+            unanswered,
         )
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -158,7 +158,7 @@
                 Address.parse(each.ready["control"]) for each in entries
             )
             assert survey.answers_by_control == {}
-            assert len(survey.silent) == 2
+            assert len(survey.unanswered) == 2
 
         run(scenario)
 
