--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -159,7 +159,7 @@
                 Address.parse(entry.ready["control"]) for entry in entries
             )
             assert survey.answers_by_control == {}
-            assert len(survey.silent) == 2
+            assert len(survey.unanswered) == 2
 
         run(scenario)
 
