--- a/packages/zinniahook-testkit/tests/packet_helpers.py
+++ b/packages/zinniahook-testkit/tests/packet_helpers.py
@@ -1,10 +1,10 @@
-"""What stories of the packet service have in common."""
+"""Helpers of the simulation tests of the packet service."""
 
 SEEDS = range(6)
 
 
 def open_flows(sim, count=60, seconds=0.5):
-    """Return flows that were opened."""
+    """Open flows; return them once all are open."""
     flows = [sim.open_flow() for _ in range(count)]
     sim.run(seconds)
     assert [flow.state for flow in flows] == ["open"] * count
@@ -12,7 +12,7 @@
 
 
 def count_new_answers(sim, flows, seconds=1.0):
-    """Return how many answers each flow got to one more request."""
+    """Send one more request on each flow; return the new answers of each."""
     answers = [len(flow.answers) for flow in flows]
     for flow in flows:
         sim.ask(flow)
--- a/packages/zinniahook-testkit/tests/queueing_fakes.py
+++ b/packages/zinniahook-testkit/tests/queueing_fakes.py
@@ -1,4 +1,4 @@
-"""One agent whose target is what the tests say that it does."""
+"""An agent whose target is controlled by the tests."""
 
 import itertools
 import random
@@ -26,14 +26,14 @@
 GOAL = 0.4
 FEED, EDIT = 1, 2
 BUSY = 1 + EXTRA_REQUESTS
-"""Requests that a target of one slot gets before others wait."""
+"""Requests that a target of one slot gets before further ones wait."""
 
 CLIENT_FIRST = (1 << 32) - 40
-"""The client's numbers wrap while it sends its first requests."""
+"""Initial number of clients; it wraps around within the first requests."""
 
 
 class AgentHarness:
-    """One agent; its target is what the tests say that it does."""
+    """An agent whose target is controlled by the tests."""
 
     def __init__(self, wanted=None, goal=GOAL, slots=1):
         self.now = 100.0
@@ -62,7 +62,7 @@
         self.core.heartbeat(self.now, beat._replace(**changes))
 
     def wait(self, seconds, beats=True):
-        """Let time pass, with ticks and heartbeats."""
+        """Advance the clock with ticks and heartbeats."""
         for _ in range(round(seconds / 0.05)):
             self.now += 0.05
             self.core.freshness.confirmed(self.now)
@@ -87,7 +87,7 @@
         pass
 
     def client(self, flow, flags, sequence, acknowledged, data=b""):
-        """Let a client send a packet; return it."""
+        """Send a packet from a client; return it."""
         raw = self.codec.write(flow, flags, sequence, acknowledged, data)
         marks = Mark.PLACED if flags == Flag.OPENING else Mark.NONE
         head = Head(Kind.FORWARD, marks, service=tag(SERVICE), entry=ENTRY)
@@ -95,14 +95,14 @@
         return raw
 
     def target(self, flow, flags, data=b""):
-        """Let the target send a packet."""
+        """Send a packet from the target."""
         sequence = FIRST + self.target_sent[flow]
         raw = self.codec.write(flow, flags, sequence, self.sent[flow], data)
         self.target_sent[flow] += len(data)
         self.core.from_target(self.now, raw)
 
     def open(self, port, route=FEED):
-        """Open a flow, and let its first request be answered."""
+        """Open a flow whose first request is answered."""
         flow = flow_key("100.64.0.1", port, f"198.18.0.{route}", 8443)
         self.target_sent[flow], self.sent[flow] = 0, CLIENT_FIRST + 1
         self.client(flow, Flag.OPENING, CLIENT_FIRST, 0)
@@ -113,13 +113,13 @@
         return flow
 
     def ask(self, flow, data=b"request"):
-        """Let a client send a request of one packet; return the packet."""
+        """Send a request of one packet from a client; return the packet."""
         raw = self.piece(flow, 0, data)
         self.sent[flow] += len(data)
         return raw
 
     def piece(self, flow, offset, data, flags=Flag.ACKNOWLEDGES):
-        """Let a client send data that begins at an offset of what is next."""
+        """Send data from a client at an offset from its next byte."""
         sequence = self.sent[flow] + offset
         return self.client(flow, flags, sequence, FIRST + self.target_sent[flow], data)
 
@@ -127,7 +127,7 @@
         self.target(flow, Flag.ACKNOWLEDGES, b"answer")
 
     def busy(self, count=BUSY):
-        """Let a target get as many requests as it may; return their flows."""
+        """Give the target as many requests as it may get; return their flows."""
         flows = [self.open(5000 + number) for number in range(count)]
         for flow in flows:
             self.ask(flow)
@@ -139,5 +139,5 @@
 
     @property
     def reset(self):
-        """The flows that clients were told to be over."""
+        """The flows whose clients got a reset."""
         return {flow for flow, packet in self.to_clients if packet.flags & Flag.RESET}
--- a/packages/zinniahook-testkit/tests/test_packet_queueing.py
+++ b/packages/zinniahook-testkit/tests/test_packet_queueing.py
@@ -1,4 +1,4 @@
-"""Requests of open flows that wait at the agent for a slot of its target."""
+"""Requests of open flows that wait at their agent for a slot of its target."""
 
 import random
 
@@ -28,7 +28,7 @@
 
 
 class TestWhatWaits:
-    """What begins a request waits while the slots are taken; nothing else does."""
+    """The first packet of a request waits while all slots are taken; no other does."""
 
     def test_a_request_waits_until_a_slot_is_free(self):
         harness = AgentHarness()
@@ -73,7 +73,7 @@
         assert harness.ask(flow, b"body") in harness.delivered
 
     def test_the_first_request_of_a_flow_goes_on(self):
-        """Its opening has waited for a slot."""
+        """The opening has already waited for a slot."""
         harness = AgentHarness()
         flow = harness.open(1)
         key = flow_key("100.64.0.1", 2, f"198.18.0.{FEED}", 8443)
@@ -86,9 +86,11 @@
         assert harness.ask(flow) not in harness.delivered
 
     def test_repeated_data_of_an_answered_request_is_no_new_work(self):
-        """Symptom: a slot seems taken for 3 s though nobody works. Sequence: the
-        acknowledgement of a request gets lost, and its client repeats it after
-        the answer. Cause: it passes for another request."""
+        """A slot seems taken for 3 s though no request is running.
+
+        The acknowledgement of a request is lost, and its client repeats the request
+        after the answer. The copy is counted as another request.
+        """
         harness = AgentHarness()
         flow = harness.open(1)
         raw = harness.ask(flow)
@@ -103,9 +105,10 @@
         assert harness.core.flows.busy == 0
 
     def test_none_waits_near_the_end_of_an_idle_flow(self):
-        """Symptom: a request ends its flow. Sequence: a flow is idle for nearly its
-        idle timeout, its next request waits. Cause: meanwhile the target closes
-        the flow as idle."""
+        """A request arrives shortly before the idle timeout of its flow.
+
+        If the request waited, the target would close the flow as idle meanwhile.
+        """
         harness = AgentHarness()
         flow = harness.open(1)
         harness.wait(40.0)
@@ -114,7 +117,7 @@
 
 
 class TestPacketsOfOneRequest:
-    """They reach the target unchanged, in their order, each once."""
+    """Packets of a request reach the target unchanged, in order and once."""
 
     def test_three_out_of_order(self):
         harness = AgentHarness()
@@ -140,8 +143,11 @@
         assert harness.delivered[-2:] == [first, second]
 
     def test_a_copy_of_one_that_waits_makes_no_second_run(self):
-        """Symptom: a request reaches the target twice. Sequence: its client repeats
-        it after 0.2 s, while its first packet waits. Cause: both are queued."""
+        """A request reaches the target twice.
+
+        Its client repeats it after 0.2 s, while the first copy waits, and both are
+        queued.
+        """
         harness = AgentHarness()
         flow = harness.open(1)
         working = harness.busy()
@@ -172,8 +178,10 @@
 
     @pytest.mark.parametrize("seed", range(20))
     def test_whatever_the_network_does(self, seed):
-        """Loses, doubles, delays packets: what clients repeat arrives, all bytes in
-        order of their numbers if the network kept it, and no byte is new."""
+        """The network loses, duplicates and delays packets of requests that wait.
+
+        Every packet that was sent arrives, no more often than it was sent.
+        """
         harness, rng = AgentHarness(), random.Random(seed)
         flows = [harness.open(n, rng.choice((FEED, EDIT))) for n in range(1, 8)]
         sent, working = {flow: {} for flow in flows}, []
@@ -198,7 +206,7 @@
 
 
 class TestEndsOfFlows:
-    """A request that waits ends no flow, and no end of a flow is held up."""
+    """A waiting request ends no flow, and the end of a flow isn't delayed."""
 
     def test_a_client_that_resets_is_not_served(self):
         harness = AgentHarness()
@@ -211,9 +219,11 @@
         assert reset in harness.delivered and raw not in harness.delivered
 
     def test_a_closing_follows_what_came_before_it(self):
-        """Symptom: a target answers data with a reset. Sequence: a client asks and
-        closes its side, the closing goes on at once. Cause: the target takes the
-        flow for closed before it has the request."""
+        """A target answers data with a reset.
+
+        A client sends a request and closes its side. If the closing overtakes the
+        waiting request, the target considers the flow closed before the request.
+        """
         harness = AgentHarness()
         flow = harness.open(1)
         harness.busy()
@@ -230,9 +240,11 @@
         assert harness.delivered[-1] == raw and harness.held == 0
 
     def test_a_port_that_is_used_again(self):
-        """Symptom: a packet of a former flow reaches the next one. Sequence: a
-        client gives up while its request waits, and opens a flow from the same
-        port. Cause: what waits is known by the flow's key alone."""
+        """A packet of a former flow reaches the next flow of the same port.
+
+        A client gives up while its request waits and opens a new flow from its port.
+        Waiting packets are identified only by the flow's key.
+        """
         harness = AgentHarness()
         flow = harness.open(1)
         working = harness.busy()
@@ -243,9 +255,11 @@
         assert raw not in harness.delivered and harness.held == 0
 
     def test_the_next_flow_of_a_port_has_its_own_request(self):
-        """Symptom: a request is never delivered. Sequence: as before, and the next
-        flow's request comes while the former one's is still there. Cause: it joins
-        what is forgotten with the former flow."""
+        """A request is never delivered.
+
+        As above, but the next flow's request arrives while the former one still
+        waits. It is queued with the former request and dropped with it.
+        """
         harness = AgentHarness()
         flow = harness.open(1)
         harness.busy()
@@ -256,9 +270,12 @@
         assert raw in harness.delivered and former not in harness.delivered
 
     def test_a_repeated_answer_frees_no_slot(self):
-        """Symptom: a target gets more than it can work on. Sequence: a request waits
-        that acknowledges the last answer, so the target repeats that answer, just
-        as the request has been given. Cause: it passes for the next answer."""
+        """A target gets more requests than it has slots.
+
+        A waiting request acknowledges the last answer, so the target repeats that
+        answer just after the request is delivered. The copy is counted as the answer
+        to the new request.
+        """
         harness = AgentHarness()
         flow = harness.open(1)
         working = harness.busy()
@@ -273,7 +290,7 @@
 
 
 class TestBounds:
-    """No request waits for long, and not many do."""
+    """The waiting time and the number of waiting requests are limited."""
 
     def test_it_is_let_through_after_the_longest_hold(self):
         harness = AgentHarness()
@@ -306,10 +323,12 @@
         assert harness.held == MAX_HELD_REQUESTS
         assert harness.delivered[-1] == raws[0]
 
-    def test_a_target_isnt_taken_for_dead(self):
-        """Symptom: all flows of a target are reset. Sequence: requests and their
-        copies wait for 0.6 s and longer, nothing is acknowledged. Cause: packets
-        count as given though the target hasn't got them."""
+    def test_a_target_isnt_considered_dead(self):
+        """All flows of a target are reset.
+
+        Requests and their copies wait for 0.6 s and longer without acknowledgements.
+        Waiting packets are counted as delivered though the target hasn't got them.
+        """
         harness = AgentHarness()
         flows = [harness.open(n) for n in range(1, 9)]
         working = harness.busy()
@@ -324,7 +343,7 @@
 
 
 class TestOrder:
-    """Who gets the next slot."""
+    """Which request gets the next slot."""
 
     def test_urgent_ones_first_and_then_the_oldest(self):
         harness = AgentHarness()
@@ -338,7 +357,7 @@
             harness.answer(flow)
         assert harness.delivered[-3:] == [raws[2], raws[0], raws[1]]
 
-    def test_one_that_is_late_takes_what_nobody_else_wants(self):
+    def test_a_late_request_gets_only_slots_that_no_other_needs(self):
         harness = AgentHarness()
         late, early = harness.open(1, EDIT), harness.open(2)
         working = harness.busy()
@@ -351,7 +370,7 @@
         assert harness.delivered[-2:] == [raws[1], raws[0]]
 
     def test_requests_of_open_flows_before_openings(self):
-        """An opening may go to another target; a request of an open flow can't."""
+        """An opening can go to another target; a request of an open flow can't."""
         harness = AgentHarness()
         flow = harness.open(1)
         working = harness.busy()
@@ -365,8 +384,10 @@
         assert harness.delivered[-1] == opening
 
     def test_a_flood_of_urgent_ones_leaves_the_others_a_share(self):
-        """Symptom: a kind gets nothing for as long as a more urgent one keeps all
-        slots. Cause: the more urgent one always goes first."""
+        """A kind of request starves while a more urgent kind takes all slots.
+
+        Without a guaranteed share the more urgent kind always goes first.
+        """
         turns = Scheduler()
         urgent, other = Rank(False, 1, 9.0, 8.6), Rank(False, 2, 8.0, 7.6)
         chosen = [
@@ -390,7 +411,7 @@
 class TestAgentThatIsYoungerThanAFlow:
     @pytest.mark.parametrize("wanted", [True, False])
     def test_counts_a_copy_of_an_answered_request_as_no_work(self, wanted):
-        """Guards against slots that are taken by copies of answered requests."""
+        """Copies of answered requests are counted as taking slots."""
         harness = AgentHarness(wanted=wanted)
         harness.open(1)
         flow = flow_key("100.64.0.1", 2, f"198.18.0.{FEED}", 8443)
--- a/packages/zinniahook-testkit/tests/test_packet_restarts.py
+++ b/packages/zinniahook-testkit/tests/test_packet_restarts.py
@@ -1,4 +1,4 @@
-"""The packet service in a simulated world: restarts and losses of power."""
+"""Simulations of the packet service: restarts and power failures."""
 
 import pytest
 from packet_helpers import SEEDS, count_new_answers, open_flows
@@ -7,11 +7,11 @@
 
 
 class TestRestartedAgents:
-    """Symptom: flows break though their targets live.
+    """Flows break although their targets run.
 
-    Sequence: the processes beside the targets are killed and start again with
-    empty tables; packets of open flows arrive. Cause: nobody remembers who
-    owns the flows, and a guess would bring them to other targets.
+    Agents are killed and start again with empty tables. When packets of open flows
+    arrive, no agent knows the owners, and a guess would send the packets to other
+    targets.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -30,10 +30,10 @@
 
 
 class TestRestartedEntries:
-    """Symptom: flows break when entries end.
+    """Flows break when entries restart.
 
-    Sequence: every entry restarts; its hints are gone. Cause: an entry that
-    chose anew would bring open flows to other targets.
+    A restarted entry has lost its hints. If it chose a target again, packets of open
+    flows would reach other targets.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -47,19 +47,19 @@
 
 
 class TestAllRestarted:
-    """Symptom: after a kill of every process, flows stray or are reset.
+    """Flows are misrouted or reset after every process is killed.
 
-    Sequence: entries and agents all start again while the targets live on.
-    Cause: each agent must find out which flows its target holds.
+    All entries and agents start again while the targets continue to run. Each agent
+    must find out which flows its target holds.
     """
 
     @pytest.mark.parametrize("seed", range(12))
     @pytest.mark.parametrize("loss", [0.0, 0.02, 0.05])
     def test_flows_go_on(self, seed, loss):
-        """Also if the agent that searched finds the flow at its own target.
+        """Flows also continue if a searching agent's own target holds the flow.
 
-        It isn't the flow's home as long as others have seen their targets
-        before; its search went on, and other targets got the packet.
+        The agent isn't the home while peers have seen their targets and it hasn't.
+        If its search continued, other targets would get the packet.
         """
         sim = PacketSimulation(seed, loss=loss)
         begun = [sim.open_flow() for _ in range(60)]
@@ -76,11 +76,10 @@
 
 
 class TestUnconfiguredAgents:
-    """Symptom: open flows are reset right after a restart of all agents.
+    """Open flows are reset immediately after all agents restart.
 
-    Sequence: agents start without a configuration and pass packets of open
-    flows on to each other. Cause: to know no route isn't to know that there
-    is none.
+    Agents start without a configuration and forward packets of open flows to each
+    other. An agent without a configuration must not conclude that there is no route.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -95,12 +94,11 @@
 
 
 class TestRestartBeforeHeartbeats:
-    """Symptom: after a kill of every process openings wait though slots are free.
+    """Openings wait although slots are free after every process is killed.
 
-    Sequence: the agents start again beside targets that never stopped; one of
-    them hears its target's heartbeat at once, the others up to 1.2 s later.
-    Cause: only agents that had heard a heartbeat counted as ready, so one
-    target got every opening of a second.
+    Agents start again beside targets that never stopped. One of them receives its
+    target's heartbeat immediately, the others up to 1.2 s later. If only agents with
+    a heartbeat were ready, one target would get every opening for a second.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -117,8 +115,8 @@
             flows.append(sim.open_flow())
             sim.run(0.004)
         sim.run(0.2)
-        # Of 60 with seeds 0 to 5: 32 to 36 if only ready agents take any, else
-        # 54 to 60.
+        # Seeds 0 to 5 give 32 to 36 of 60 if only ready agents take openings, and
+        # 54 to 60 otherwise.
         assert sum(len(flow.answers) for flow in flows) >= 50
         assert sum(bool(agent.target.openings) for agent in others) >= 3
         assert sim.findings() == []
@@ -136,12 +134,11 @@
 
 
 class TestAgentWithoutTarget:
-    """Symptom: after a loss of power a seventh of the openings is lost for a second.
+    """A seventh of the openings is lost for a second after a power failure.
 
-    Sequence: the instance of a target that was taken away starts again with the
-    others; what is there returns every packet, and half a second later the
-    instance is gone. Cause: an agent that has only just started was home for
-    its share of the flows, and took openings while others had no free slot.
+    The instance of a removed target starts again with the others, returns every
+    packet, and is gone half a second later. Its agent is home for its share of the
+    flows and takes openings while the others have no free slot.
     """
 
     @staticmethod
@@ -166,7 +163,7 @@
             flows.append(sim.open_flow())
             sim.run(0.002)
         sim.run(0.5)
-        # 4 to 11 with seeds 0 to 5; 58 to 77 if each home tries again and again.
+        # Seeds 0 to 5 give 4 to 11, or 58 to 77 if each home retries without limit.
         assert sim.log.counts["returned"] <= 2 * len(sim.agents_by_address)
         assert sim.findings() == []
 
@@ -186,16 +183,16 @@
 
 
 class TestLostFlowsAfterPowerLoss:
-    """Symptom: clients of flows that nobody holds wait until their time is over.
+    """Clients of lost flows wait until they time out.
 
-    Sequence: everything loses power, one instance doesn't come back, and
-    clients go on with their open flows. Cause: a search that an agent didn't
-    answer ended after 0.5 s without a verdict, and the next one began with
-    the client's next packet, up to 1.6 s later.
+    After a power failure one instance doesn't come back, and clients continue to use
+    their flows. A search that an agent doesn't answer ends after 0.5 s without a
+    result, and the next one starts only with the client's next packet, up to 1.6 s
+    later.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_are_reset_once_nobody_can_hold_them(self, seed):
+    def test_are_reset_once_no_target_can_hold_them(self, seed):
         sim = PacketSimulation(seed)
         flows = open_flows(sim)
         gone, *others = sim.agents_by_address.values()
@@ -212,17 +209,17 @@
         sim.run(0.3)
         for flow in flows:
             sim.ask(flow)
-        # They repeat their packets 0.2, 0.6 and 1.4 s later.
+        # Clients repeat their packets 0.2, 0.6 and 1.4 s later.
         sim.run(1.2)
         assert {flow.state for flow in flows} == {"reset"}
         assert sim.findings() == []
 
 
 class TestEntriesBeforeAgents:
-    """Symptom: after a kill of every process the first requests are late.
+    """The first requests are late after every process is killed.
 
-    Sequence: entries run 0.1 s before the agents and send them openings.
-    Cause: nobody listens there yet, and the client's copy comes 0.2 s later.
+    Entries start 0.1 s before the agents and send them openings, which are lost. The
+    client sends a copy only 0.2 s later.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -238,7 +235,7 @@
         for agent in agents:
             sim.start_agent(agent)
         sim.run(0.1)
-        # One may wait for the first target that shows itself.
+        # One flow may wait for the first target that is known to run.
         at_once = [flow for flow in flows if flow.state == "open" and not flow.copies]
         assert len(at_once) >= len(flows) - 1
         assert sim.findings() == []
@@ -257,12 +254,12 @@
 
 
 class TestTwoSearchesAtOnce:
-    """Symptom: a flow of a healthy target is reset by its own agent.
+    """A flow of a healthy target is reset by its own agent.
 
-    Sequence: all agents restart; another one asks it for the flow, so that a
-    packet is on trial at its target; in the same moment the flow's next packet
-    comes to it as the home, and it searches too. Cause: it took its own trial
-    for a denial, heard everybody else deny the flow, and reset it.
+    All agents restart. A peer asks the owner for the flow, so a packet is on trial at
+    its target. Meanwhile the flow's next packet reaches the owner as the home, which
+    starts a search, too. If it counted its own trial as a denial, it would reset the
+    flow once every peer has denied it.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -292,11 +289,11 @@
 
 
 class TestTargetThatResets:
-    """Symptom: an open flow is reset by the agent of another target.
+    """An open flow is reset by the agent of another target.
 
-    Sequence: a new agent has the packet of a searched flow on trial at its
-    target, which is just starting and answers with a reset. Cause: the reset
-    was sent on to the client, and the flow claimed.
+    A new agent tries a searched flow's packet at its target, which is starting and
+    answers with a reset. The agent forwards the reset to the client and claims the
+    flow.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -317,11 +314,11 @@
 
 
 class TestNewAgentThatIsAskedFirst:
-    """Symptom: an opening is placed twice, and its flow searched for at once.
+    """An opening is placed twice, and its flow is searched for immediately.
 
-    Sequence: an entry sends an opening to a new agent, which places it and
-    tells the entry that it has seen no target; the entry had kept the packet
-    and gives it to another home. Cause: it can't see that the agent ran.
+    An entry sends an opening to a new agent, which places it and reports that it has
+    seen no target. The entry has kept the packet and sends it to another home, as it
+    doesn't notice that the agent runs.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -341,10 +338,10 @@
 
 
 class TestRestartedAgentOfLeavingTarget:
-    """Symptom: a leaving target gets openings again.
+    """A leaving target gets openings again.
 
-    Sequence: its agent restarts and hears of the leaving only with the next
-    heartbeat, up to 1.2 s later. Cause: what it told before was forgotten.
+    Its agent restarts and learns that the target is leaving only from the next
+    heartbeat, up to 1.2 s later. Peers must remember what it reported before.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -367,11 +364,11 @@
 
 
 class TestCutBetweenHomeAndOwner:
-    """Symptom: a flow whose target lives is reset, or its packets go astray.
+    """A flow whose target runs is reset or misrouted.
 
-    Sequence: every process restarts; the home of a flow and its owner can't
-    reach each other for 2.5 s, everybody else can. Cause: the home took the
-    owner for gone since it didn't hear it itself.
+    Every process restarts, and the home and the owner of a flow can't reach each other
+    for 2.5 s, while all other links work. The home considers the owner gone, as it
+    receives nothing from it.
     """
 
     @pytest.mark.parametrize("seed", range(12))
@@ -390,12 +387,11 @@
 
 
 class TestFirstHeartbeatAfterRestart:
-    """Symptom: a flow of a healthy target is reset.
+    """A flow of a healthy target is reset.
 
-    Sequence: a target starts and takes flows; its agent restarts before the
-    target's first heartbeat and hears that one; the flow's packets are
-    searched for. Cause: a first heartbeat was taken as proof that the target
-    is younger than its agent, and that it holds no flow the agent didn't see.
+    A target starts and takes flows. Its agent restarts before the target's first
+    heartbeat and receives that one. If a first heartbeat proved that the target is
+    younger than the agent, the agent would deny flows that it hasn't seen.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -417,12 +413,11 @@
 
 
 class TestTargetThatStartsDuringATrial:
-    """Symptom: a flow of a healthy target is reset seconds later.
+    """A flow of a healthy target is reset seconds later.
 
-    Sequence: a flow's packet is on trial at a dead target; a new target starts
-    there and sends something else. Cause: that passed for a sign of life of
-    the one that had got the packet; the flow was claimed, and reset with the
-    dead target's flows.
+    A flow's packet is on trial at a dead target when a new target starts there and
+    sends another packet. The agent takes it as a sign that the dead target works,
+    claims the flow, and resets it with the dead target's flows.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
--- a/packages/zinniahook-testkit/tests/test_packet_searches.py
+++ b/packages/zinniahook-testkit/tests/test_packet_searches.py
@@ -1,4 +1,4 @@
-"""Searches for owners of flows that several services may hold."""
+"""Searches for owners of flows, also where several services may hold them."""
 
 import random
 
@@ -12,11 +12,11 @@
 
 SEEDS = range(8)
 AWAY_SECONDS = 2.5
-"""Seconds for which an agent is away."""
+"""Seconds for which an agent is down."""
 
 
 def restarted_simulation(seed, loss):
-    """Return a world whose processes restart twice, and its flows."""
+    """Return a simulation whose processes restart twice, and its flows."""
     sim = PacketSimulation(seed, {"tally": 6, "ledger": 4}, loss=loss)
     sim.set_shares(SPLIT_ROUTE, {"tally": 1.0, "ledger": 1.0})
     sim.run(0.5)
@@ -49,7 +49,7 @@
     @pytest.mark.parametrize("loss", [0.0, 0.02])
     @pytest.mark.parametrize("seed", SEEDS)
     def test_end_once_the_owner_is_found_elsewhere(self, seed, loss):
-        """Guards against packets at targets of a service that doesn't own the flow."""
+        """Packets reach targets of a service that doesn't own the flow."""
         machine = SplitMachine()
         machine.begin(seed=seed, loss=loss)
         machine.restart_every_process(moment=0.05)
@@ -64,7 +64,7 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_reach_an_owner_that_its_home_is_cut_off_from(self, seed):
-        """Guards against searching elsewhere for an owner that an entry has learned."""
+        """A search continues elsewhere for an owner that an entry has learned."""
         sim, flows = restarted_simulation(seed, 0.0)
         agents = list(sim.agents_by_address)
         for one, other in zip(agents[:3], agents[3:6], strict=True):
@@ -75,7 +75,7 @@
         assert sim.findings() == []
 
     def test_end_once_the_packet_is_answered(self):
-        """Guards against a search for a packet whose client has its answer."""
+        """A search continues for a packet whose client has its answer."""
         machine = SplitMachine()
         machine.begin(seed=40005, loss=0.0)
         for _ in range(4):
@@ -93,7 +93,7 @@
         machine.teardown()
 
     def test_reach_an_owner_whose_agent_runs_for_a_moment(self):
-        """Guards against a search that waits for the repeat of a lost question."""
+        """A search waits for the repeat of a lost question."""
         misrouted = []
         for seed in range(31010, 31026):
             machine = SplitMachine()
@@ -109,7 +109,7 @@
         assert misrouted == []
 
     def test_reach_such_an_owner_though_two_datagrams_are_lost(self):
-        """Guards against strays where a question and its early repeat get lost."""
+        """Flows are misrouted if a question and its early repeat are lost."""
         misrouted = []
         for seed in (110010, 110085, 110109, 110127, 110132):
             machine = SplitMachine()
@@ -127,7 +127,7 @@
 
 class TestSearchesOfPlainRoutes:
     def test_find_flows_after_one_agent_was_restarted(self):
-        """Guards against a pause of searches that no other service takes over."""
+        """A search pauses although no other service could continue it."""
         sim = PacketSimulation(1, {"tally": 6})
         flows = open_flows(sim, 20)
         for agent in sim.agents_by_address.values():
@@ -153,16 +153,16 @@
 
 class TestOwnersAskedByWayOfPeers:
     def test_are_waited_for_before_more_agents_are_asked(self):
-        """Guards against strays while a home is cut off from the owner."""
+        """Flows are misrouted while a home is cut off from the owner."""
         for seed in (3004, 3023, 3055, 3069, 3077, 3082, 3098):
             cut_and_restart(PacketMachine(), seed, 0.0)
 
     def test_are_found_though_two_homes_are_cut_off(self):
-        """Guards against an owner that passes its own flow to a home it can't reach."""
+        """An owner forwards its own flow to a home that it can't reach."""
         cut_and_restart(SplitMachine(), 1001, 0.0)
 
     def test_are_found_though_a_data_centre_is_evacuated(self):
-        """Guards against strays among cuts while a data centre is emptied."""
+        """Flows are misrouted if links are cut while a data centre is evacuated."""
         machine = RestoreMachine()
         machine.begin(seed=5015, loss=0.0)
         machine.restart_every_process(moment=0.1)
@@ -183,7 +183,7 @@
 
 
 class TestOwnersThatTellUnasked:
-    """Owners whose target answers while their flow is searched for."""
+    """Owners whose target answers during a search for its flow."""
 
     @pytest.mark.parametrize(
         ("machine", "seed"),
@@ -193,11 +193,11 @@
         ],
     )
     def test_get_the_packet_that_began_the_search(self, machine, seed):
-        """Guards against dropping a packet whose owner wasn't asked."""
+        """A packet is dropped because its owner wasn't asked."""
         restart_twice(machine(), seed)
 
     def test_get_what_an_entry_keeps(self):
-        """Guards against dropping a packet whose owner a home names and can't reach."""
+        """A packet is dropped whose owner a home reports but can't reach."""
         sim = PacketSimulation(1, {"tally": 4, "ledger": 4})
         sim.set_shares(SPLIT_ROUTE, {"tally": 1.0, "ledger": 1.0})
         sim.run(0.5)
@@ -216,25 +216,25 @@
         sim.ask(flow)
         sim.run(0.01)
         for entry in sim.entries_by_address.values():
-            told = tunnel.Head(tunnel.Kind.OWNER, service=tunnel.tag(owner.service))
+            head = tunnel.Head(tunnel.Kind.OWNER, service=tunnel.tag(owner.service))
             body = tunnel.encode_owner(owner.address, [flow.key])
-            entry.receive(sim.now, home.address, tunnel.encode(told, body))
+            entry.receive(sim.now, home.address, tunnel.encode(head, body))
         sim.run(0.1)
         assert len(flow.answers) == answers + 1
 
     def test_get_it_though_they_were_asked(self):
-        """Guards against taking a lost question for one that has arrived."""
+        """A lost question is treated as one that has arrived."""
         restart_twice(SplitMachine(), 2018)
 
     def test_get_it_though_it_is_lost_on_the_way(self):
-        """Guards against an entry that forgets a packet at its client's next one."""
+        """An entry drops a packet when its client's next packet arrives."""
         restart_twice(SplitMachine(), 2056)
 
 
 class TestHomesThatHaveJustJoined:
     @pytest.mark.parametrize("seed", SEEDS)
     def test_reset_no_flow_of_an_agent_that_only_peers_have_heard(self, seed):
-        """Guards against taking an agent for gone that others heard a moment ago."""
+        """An agent is considered gone that peers have heard from recently."""
         sim = PacketSimulation(seed, {"tally": 6})
         flows = open_flows(sim, 150, 3.0)
         away, *others = sim.agents_by_address.values()
--- a/packages/zinniahook-testkit/tests/test_packet_splits.py
+++ b/packages/zinniahook-testkit/tests/test_packet_splits.py
@@ -1,10 +1,9 @@
 """Open flows while the split of their route changes.
 
-Symptom: a client's open flow is reset through an entry that has no hint of it,
-while its target lives. Sequence: a route leads to two services, a flow opens at
-one of them, a new configuration takes that service out of the route, the flow
-goes on through another entry. Cause: the entry asked the services of the newest
-configuration only, and their "nobody here" passed for "nobody".
+A flow opens at one of two services of a route. A new configuration removes that
+service from the route, and the flow continues through another entry, which has no
+hint. If the entry asks only the services of the newest configuration, it takes
+their denials as final and resets the flow, though its target runs.
 """
 
 import pytest
@@ -18,7 +17,7 @@
 
 
 def split_simulation(seed, weights=SPLIT, loss=0.0):
-    """Return a world whose first route leads to two services, and its flows."""
+    """Return a simulation whose first route leads to two services, and its flows."""
     sim = PacketSimulation(seed, dict(SERVICES), loss=loss)
     sim.set_shares(ROUTE, weights)
     sim.run(SETTLE_SECONDS)
@@ -29,7 +28,7 @@
 
 
 def held_by(sim, service):
-    """Return the keys of flows that targets of a service hold."""
+    """Return the keys of the flows that targets of a service hold."""
     return {
         key
         for agent in sim.agents_by_address.values()
@@ -40,14 +39,14 @@
 
 
 def forget_hints(sim):
-    """Restart every entry, so that no flow is hinted."""
+    """Restart every entry, so that no entry has hints."""
     for address in sim.entries_by_address:
         sim.start_entry(address)
     sim.run(SETTLE_SECONDS)
 
 
 def assert_served(sim, flows):
-    """Let each flow be used once more, and see that nothing breaks."""
+    """Send a request on each flow and check that no guarantee is violated."""
     assert count_new_answers(sim, flows, 3.0) == [1] * len(flows)
     assert sim.findings() == []
     assert sim.resets == []
@@ -66,7 +65,7 @@
 @pytest.mark.parametrize("change", CHANGES)
 class TestChangedSplits:
     def change(self, sim, change):
-        """Make changes within a second."""
+        """Apply the changes within a second."""
         for weights in CHANGES[change]:
             sim.set_shares(ROUTE, weights)
             sim.run(0.4)
@@ -79,7 +78,7 @@
         assert_served(sim, flows)
 
     def test_they_go_on_after_a_restart_of_every_process(self, seed, change):
-        """Nobody remembers the former version but the store's record."""
+        """Only the store's record has the former version then."""
         sim, flows = split_simulation(seed)
         self.change(sim, change)
         for agent in sim.agents_by_address.values():
@@ -135,9 +134,9 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 class TestFlowsThatEnded:
-    """A flow that no service holds is reset at once, not left to its time."""
+    """A flow that no service holds is reset at once, not left to time out."""
 
-    def test_clients_of_crashed_targets_are_told(self, seed):
+    def test_clients_of_crashed_targets_are_reset(self, seed):
         sim, flows = split_simulation(seed)
         sim.set_shares(ROUTE, {"floor": 1.0})
         sim.run(SETTLE_SECONDS)
@@ -158,21 +157,20 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 class TestVerdictAfterDoubt:
-    """Symptom: after a loss of power clients of lost flows wait a second longer
-    than the search for them.
+    """Clients of lost flows wait a second longer than the search after a power failure.
 
-    Sequence: an agent comes back for a moment and goes; a search gives a packet
-    back as unsure, and concludes a second later. Cause: the verdict was told with
-    the client's next packet only, and the doubt before it stood beside it.
+    An agent comes back briefly and stops again. A search gives a packet back as unsure
+    and concludes a second later. The result is sent only with the client's next
+    packet, and the former unsure result is kept beside it.
     """
 
     GONE = 0.3
     UNKNOWN = 1.2
-    """Seconds for which an agent that was seen without a target is waited for."""
+    """Seconds to wait for an agent that was seen without a target."""
 
     PROMPT = 0.3
 
-    def test_is_told_at_once(self, seed):
+    def test_is_sent_at_once(self, seed):
         sim, flows = split_simulation(seed)
         for agent in sim.agents_by_address.values():
             sim.start_target(agent)
@@ -195,10 +193,10 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 class TestDaemonsThatMayLackAFormerService:
-    """Symptom: a flow is reset after a restart of everything in the moment of a
-    change. Sequence: the change is confirmed, all are killed before the record
-    follows and the store can't be read. Cause: what isn't known to be complete
-    was taken for it.
+    """A flow is reset if everything restarts during a configuration change.
+
+    The change is confirmed. Every process is killed before the record is updated, and
+    the store can't be read. A record that may be incomplete is treated as complete.
     """
 
     def test_they_reset_nothing(self, seed):
@@ -220,10 +218,10 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 class TestCostOfASplit:
-    """Symptom: processor time grows with packets times agents after a loss of
-    power. Sequence: packets of a split route come without hints. Cause: each
-    went to every service, and each that didn't hold the flow searched its
-    agents for every packet.
+    """Processor time grows with packets times agents after a power failure.
+
+    Packets of a split route arrive without hints. Each packet goes to every service,
+    and each service without the flow searches its agents for every packet.
     """
 
     def test_no_search_for_what_another_service_holds(self, seed):
--- a/packages/zinniahook-testkit/tests/test_packet_verdicts.py
+++ b/packages/zinniahook-testkit/tests/test_packet_verdicts.py
@@ -1,4 +1,4 @@
-"""Flows that nobody owns cost one search each, whatever their clients repeat."""
+"""Each flow without an owner is searched for once, however often clients repeat."""
 
 import functools
 
@@ -8,14 +8,14 @@
 from zinniahook_testkit.packetsimulation import PacketSimulation
 
 MAX_RETRY_SECONDS = 1.6
-"""Seconds after which a client repeats a packet at the longest."""
+"""Longest interval at which a client repeats a packet."""
 
 LOST_AFTER_SECONDS = 6.0
-"""Seconds after which nobody waits for a silent agent's flows."""
+"""Seconds after which no agent waits for a silent agent's flows."""
 
 
 def closing(sim, flow, flags=Flag.CLOSING):
-    """Return a packet without data of a client."""
+    """Return a client's packet without data."""
     return sim.codec.write(
         flow.key,
         flags | Flag.ACKNOWLEDGES,
@@ -25,14 +25,14 @@
 
 
 def repeat(sim, flow, flags, times):
-    """Let a client repeat a packet that nothing answers."""
+    """Let a client repeat a packet that stays unanswered."""
     for number in range(times):
         packet = closing(sim, flow, flags)
         sim.at(number * MAX_RETRY_SECONDS, functools.partial(sim.from_client, packet))
 
 
 def lose(sim, count):
-    """Let machines go without a word, for ever, and homes forget their flows."""
+    """Stop machines silently and for good, and let homes forget their flows."""
     gone = list(sim.agents_by_address.values())[:count]
     for agent in gone:
         agent.core = None
@@ -42,7 +42,7 @@
 
 
 def forget_pointers(sim):
-    """Let every home forget the owners that don't run."""
+    """Let every home forget the owners that are down."""
     for agent in sim.agents_by_address.values():
         for other in sim.agents_by_address.values():
             if agent.core is not None and other.core is None:
@@ -52,24 +52,24 @@
 
 
 def searched(sim, lines=0):
-    """Return the flows that were searched for since a line, one an entry."""
-    told = sim.log.lines[lines:]
-    return [fields["flow"] for name, fields in told if name == "search"]
+    """Return the flow of each search since a log line."""
+    events = sim.log.lines[lines:]
+    return [fields["flow"] for name, fields in events if name == "search"]
 
 
 def forget_hints(sim):
-    """Restart every entry: the homes alone know the owners then."""
+    """Restart every entry, so that only homes know the owners."""
     for address in sim.entries_by_address:
         sim.start_entry(address)
     sim.run(0.3)
 
 
 class TestFlowsWithoutOwner:
-    """Symptom: agents spend their time on searches in which nobody is found.
+    """Agents spend their time on searches that find no owner.
 
-    Sequence: targets are gone, and the clients of their flows repeat closings
-    and bare packets each 1.6 s. Cause: what a search has found out is forgotten
-    at once, and each copy searches half of the service again, for ever.
+    Targets are gone, and clients of their flows repeat closings and packets without
+    data every 1.6 s. The result of a search is forgotten immediately, so each copy
+    starts a search of half of the service again, without end.
     """
 
     @pytest.mark.parametrize("seed", SEEDS[:3])
@@ -130,18 +130,17 @@
         for flow in lost:
             sim.from_client(closing(sim, flow))
         sim.run(LOST_AFTER_SECONDS)
-        told = dict(sim.log.lines)
+        events = dict(sim.log.lines)
         for name in ("search", "search.unsure", "reset.no_owner"):
-            assert (told[name]["packet"], told[name]["length"]) == ("closing", 0)
-        assert told["search.unsure"]["unseen"]
+            assert (events[name]["packet"], events[name]["length"]) == ("closing", 0)
+        assert events["search.unsure"]["unseen"]
 
 
 class TestOutdatedVerdicts:
-    """Symptom: a flow that lives is reset by what was once found out of it.
+    """An open flow is reset by an outdated search result.
 
-    Sequence: its agent was away for so long that nobody waits for it; everybody
-    else denies the flow; the agent comes back. Cause: the verdict outlives what
-    it rests on.
+    The owner's agent is down for so long that no agent waits for it, and every other
+    agent denies the flow. When the agent comes back, the result is still used.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -164,13 +163,13 @@
         sim.start_agent(agent)
         sim.run(0.5)
         for flow in mine:
-            # The reset got lost.
+            # The reset is lost.
             flow.state = "open"
             flow.asked_at = None
         assert min(count_new_answers(sim, mine, 3.0)) == 1
         assert sim.findings() == []
 
-    def test_another_flow_from_the_same_port_is_not_taken_for_it(self):
+    def test_another_flow_from_the_same_port_is_distinguished(self):
         sim = PacketSimulation(1, {"tally": 24})
         flows = open_flows(sim, 100, 2.0)
         lose(sim, 5)
@@ -191,11 +190,11 @@
 
 
 class TestTargetsThatAreReplaced:
-    """Symptom: after targets were replaced, each flow of theirs is searched for
-    as its client goes on.
+    """After targets are replaced, each of their flows is searched for.
 
-    Sequence: a target ends and the next one starts beside the same agent. Cause:
-    the agent knows which flows have ended, and tells nobody.
+    A target ends, and the next one starts beside the same agent. The agent knows
+    which flows have ended but doesn't report them, so the next packet of a client
+    starts a search.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -213,7 +212,7 @@
         forget_hints(sim)
         before = sim.log.counts["search"]
         for flow in lost:
-            # The reset got lost.
+            # The reset is lost.
             flow.state = "open"
             flow.asked_at = None
             sim.ask(flow)
@@ -224,13 +223,11 @@
 
 
 class TestHomesOfLivingFlows:
-    """Symptom: flows that live are searched for, though their owner has told
-    their homes.
+    """Open flows are searched for, though their owner has informed their homes.
 
-    Sequence: in a service of more agents than a flow concerns one of them is
-    lost, or one comes without a target; the flow concerns another one instead,
-    which is its home. Cause: owners look at their flows again only if an agent
-    that was a home comes or goes.
+    In a service with more agents than a flow has candidates, a candidate is lost, or
+    an agent without a target joins. Another agent becomes a candidate and the flow's
+    home. Owners check their flows again only if a former home joins or leaves.
     """
 
     def searches(self, sim, flows):
@@ -256,7 +253,7 @@
         assert self.searches(sim, flows) == []
 
     def test_answer_though_entries_first_ask_agents_that_are_gone(self):
-        """Guards against entries that repeat a packet to a home that never answers."""
+        """Entries repeat a packet to a home that is gone and never answers."""
         for seed in (110, 113, 114):
             self.test_know_them_after_agents_have_ended(seed)
 
@@ -272,8 +269,10 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_hand_their_pointers_on_as_they_leave(self, seed):
-        """Both homes of a flow leave while its owner is cut off from the next
-        one; who searches there asks targets that it doesn't concern."""
+        """Both homes leave while the owner is cut off from the next home.
+
+        A search there would send the packet to targets that don't hold the flow.
+        """
         sim = PacketSimulation(seed, {"tally": 6})
         sim.run(2.0)
         flow = open_flows(sim, 1, 2.0)[0]
@@ -295,11 +294,11 @@
 
 
 class TestFlowsThatTheirTargetHasClosed:
-    """Symptom: the closing of a flow that ended well is searched for in vain.
+    """A search for the closing of a completed flow finds no owner.
 
-    Sequence: a target closes a flow after its answer; the client closes it too,
-    seconds later. Cause: the agent has forgotten the flow, and nobody brings
-    the closing to the target that would acknowledge it.
+    A target closes a flow after its answer, and the client closes it seconds later.
+    The agent has forgotten the flow by then, so the closing doesn't reach the target,
+    which would acknowledge it.
     """
 
     def closed(self, sim, flow):
