--- a/packages/zinniahook-testkit/tests/test_packet_overload.py
+++ b/packages/zinniahook-testkit/tests/test_packet_overload.py
@@ -1,12 +1,14 @@
-"""What callers get after an outage: the load that openings wait for.
+"""Openings that wait for a slot after an outage.
 
-Six targets of four slots, 0.1 s a request, so 240 requests a second; 170 come
-each second and each opens a flow. For 2 s every target is down, then all are
-back at once. A caller tries three times and wants its answer in 0.3 s.
+Six targets of four slots need 0.1 s for a request, so they serve 240 requests a
+second; 170 arrive each second, and each opens a flow. Every target is down for 2 s,
+then all of them return at once. A caller tries three times and needs its answer in
+0.3 s.
 
-Answered in time of those that began in the 2 s after the return, seeds 0 to 2:
-0.27, 0.25, 0.29; if everything is handed to the targets at once: 0.06, 0.29,
-0.07. A good part of the rest waits for the targets' first heartbeats.
+Of the requests that begin in the 2 s after the return, shares of 0.27, 0.25 and 0.29
+are answered in time with seeds 0 to 2, and 0.06, 0.29 and 0.07 if all openings are
+passed to the targets at once. Many of the others wait for the targets' first
+heartbeats.
 """
 
 import random
@@ -37,7 +39,7 @@
 
 
 class Caller:
-    """One request and its tries."""
+    """A request and its attempts."""
 
     def __init__(self, sim, route=1):
         self.begun = sim.now
@@ -62,8 +64,8 @@
 def after_outage(seed):
     """Return the shares of callers served in time and at all after an outage.
 
-    The first counts those that began in the 2 s after the return, the second
-    all from the outage on.
+    The first share is of the callers that began in the 2 s after the return, the
+    second of all callers since the start of the outage.
     """
     fresh, owed = outage(PacketSimulation(seed), lambda: 1)
     return (
@@ -73,7 +75,7 @@
 
 
 def outage(sim, draw_route):
-    """Play an outage; return the callers of the 2 s after it, and of all of it."""
+    """Simulate an outage; return the callers of the 2 s after it, and all callers."""
     agents = list(sim.agents_by_address.values())
     callers = []
 
@@ -109,7 +111,7 @@
 def worth_after_outage(seed, priorities=(2, 1), goal=GOAL):
     """Return the shares of worth earned in time by feeds and by bids.
 
-    One caller in five is a bid, which is worth two feeds.
+    One of five callers sends a bid, which is worth two feeds.
     """
     sim = PacketSimulation(seed, {"floor": 6})
     routes = [Route("feed", FLOOR, Urgency(priorities[0], goal))]
@@ -127,11 +129,10 @@
 
 
 class TestReturnAfterOutage:
-    """Symptom: for seconds after an outage every answer is late.
+    """Every answer is late for seconds after an outage.
 
-    Sequence: all targets return at once and get the openings of seconds.
-    Cause: a queue in order of arrival serves the oldest first, and each new
-    request waits behind all of them.
+    All targets return at once and get the openings of several seconds. A queue in
+    order of arrival serves the oldest first, so each new request waits behind them.
     """
 
     @pytest.mark.parametrize("seed", range(3))
@@ -148,13 +149,13 @@
 
 
 class TestUrgentRequestsAfterOutage:
-    """Symptom: after an outage bids are as late as feeds. Sequence: more openings
-    come than can be served, urgent ones wait among the others. Cause: the newest
-    goes first, whatever it carries.
+    """Bids are as late as feeds after an outage.
 
-    A bid is worth two feeds, one caller in five bids. In time of the 2 s after
-    the return, seeds 0 to 9, without and with priorities and a goal: feeds 0.30
-    and 0.19, bids 0.31 and 0.80, worth 0.303 and 0.390 (95 %: 0.023 and 0.029).
+    More openings arrive than can be served, and the newest goes first whatever its
+    priority. A bid is worth two feeds, and one of five callers sends a bid. Shares
+    answered in time in the 2 s after the return, seeds 0 to 9, without and with
+    priorities and a goal: feeds 0.30 and 0.19, bids 0.31 and 0.80, worth 0.303 and
+    0.390 (95 %: 0.023 and 0.029).
     """
 
     @pytest.mark.parametrize("seed", range(3))
@@ -166,7 +167,7 @@
 
 
 class TestOrderOfWaiting:
-    """Which opening an agent offers next."""
+    """Which opening an agent serves next."""
 
     @pytest.mark.parametrize(
         ("ages_by_priority", "taken"),
@@ -204,10 +205,10 @@
 
 
 class TestOpeningThatWentRound:
-    """Symptom: an opening that waited for a slot is never answered. Sequence: it
-    is handed from agent to agent until it has passed as many as it may, then a
-    peer has a free slot. Cause: it was taken from the queue to be handed on, and
-    couldn't be.
+    """An opening that waited for a slot is never answered.
+
+    It is forwarded from agent to agent up to the hop limit, then a peer has a free
+    slot. It is removed from the queue to be forwarded, which isn't allowed any more.
     """
 
     def test_it_waits_on(self):
--- a/packages/zinniahook-testkit/tests/test_packet_scale.py
+++ b/packages/zinniahook-testkit/tests/test_packet_scale.py
@@ -1,4 +1,4 @@
-"""What a flow costs, and who may have it, in services of many agents."""
+"""The cost of flows, and the agents that may own them, in large services."""
 
 import os
 import subprocess
@@ -17,7 +17,7 @@
 
 
 class CountingSimulation(PacketSimulation):
-    """Counts the datagrams between daemons and their bytes, by kind."""
+    """Counts datagrams between daemons and their bytes by kind."""
 
     def __init__(self, seed, agents, entries=3, loss=0.0):
         self.sent = Counter()
@@ -61,12 +61,12 @@
 
 
 class TestCalmService:
-    """Symptom: agents of a large service come and go all the time for entries,
-    and the homes of flows with them, though nothing is wrong.
+    """Entries of a large service lose and regain agents although all of them run.
 
-    Sequence: an entry sends one packet to an agent and waits for any answer.
-    Cause: the answer went out with the next status to the peers, which are a
-    second apart in a large service, or got lost, and nobody asked again.
+    An entry sends one packet to an agent and waits for any answer. If the agent
+    answers only with its next status, which it sends once a second in a large service,
+    or if the answer is lost and not requested again, the entry considers the agent
+    gone, and the homes of flows change.
     """
 
     @pytest.mark.parametrize("loss", [0.0, 0.03])
@@ -92,11 +92,10 @@
 
 
 class TestNewConfiguration:
-    """Symptom: a change of the configuration costs as much as seconds of
-    traffic.
+    """A configuration change costs as much as seconds of traffic.
 
-    Sequence: each daemon shows the new version to 64 others. Cause: each of
-    them answered with its status and with a list of all agents.
+    Each daemon announces the new version to 64 others. If each of them answers with
+    its status and a list of all agents, the cost grows with the service.
     """
 
     def test_costs_a_few_datagrams_a_daemon(self):
@@ -118,11 +117,10 @@
 
 
 class TestLostFlows:
-    """Symptom: days with a loss of power take many times longer to serve in a
-    large service.
+    """Serving takes many times longer after a power failure in a large service.
 
-    Sequence: all targets lose their flows, and clients go on with them. Cause:
-    every agent of the service was asked for each of them.
+    All targets lose their flows, and clients continue to use them. If a search asks
+    every agent of the service for each flow, its cost grows with the service.
     """
 
     def test_are_searched_for_among_a_few(self):
@@ -138,8 +136,8 @@
             sim.run(1.5)
             assert {flow.state for flow in flows} == {"reset"}
             asked[size] = sim.searched / len(flows)
-        # Eight and four at first; the wider circle of a service that has grown
-        # agent by agent grows with the logarithm of their number.
+        # A search first asks eight candidates and four per zone. The wider candidate
+        # set grows with the logarithm of the number of agents that joined.
         assert (
             asked[LARGE] <= WIDE_FACTOR * CANDIDATES + zones * 2 * ZONE_CANDIDATES * 1.5
         )
@@ -147,11 +145,11 @@
 
 
 class TestOwnersFarFromTheirKeys:
-    """Symptom: an open flow is reset although its target lives.
+    """An open flow is reset although its target runs.
 
-    Sequence: a flow is opened, agents join or stay away, and every agent
-    starts again, so that nobody knows the flow. Cause: only those that the
-    flow belongs to now are asked, and its owner is none of them.
+    A flow is opened, agents join or are down, and every agent restarts, so that no
+    agent knows the flow. Only its present candidates are asked, and its owner isn't
+    among them.
     """
 
     @pytest.mark.parametrize("seed", range(4))
@@ -215,10 +213,9 @@
 
 
 class TestDrainedNeighbourhood:
-    """Symptom: openings are dropped though other agents are idle.
+    """Openings are dropped although other agents are idle.
 
-    Sequence: every agent that a flow belongs to drains. Cause: nobody else was
-    asked to open it.
+    Every candidate of a flow drains, and no other agent is asked to open it.
     """
 
     def test_others_open_the_flow(self):
@@ -234,10 +231,10 @@
 
 
 class TestDeadAgent:
-    """Symptom: an agent that has died gets openings for seconds.
+    """A dead agent gets openings for seconds.
 
-    Sequence: it dies in a large service. Cause: its silence shows after five
-    statuses, which are seconds apart.
+    In a large service its silence is detected only after five missed statuses, which
+    are seconds apart.
     """
 
     def test_is_avoided_at_once(self):
@@ -252,11 +249,10 @@
 
 
 class TestLoadsThatAreAsked:
-    """Symptom: of a load of 60 % of the slots many requests wait at one target
-    while others are idle.
+    """Many requests wait at one target at a load of 60 % while others are idle.
 
-    Sequence: calm traffic in a large service. Cause: homes place by loads that
-    are a second old, and all take the same few agents for idle.
+    In a large service homes place openings by loads that are a second old, so all of
+    them consider the same few agents idle.
     """
 
     def test_few_requests_wait(self):
@@ -272,10 +268,10 @@
 
 
 class TestSameRunEachTime:
-    """Symptom: a seed fails in one run and passes in the next.
+    """A seed fails in one run and passes in the next.
 
-    Sequence: the same world in two processes. Cause: a daemon sent to others in
-    the order of a set of strings, which is another one in each process.
+    A daemon sends datagrams in the iteration order of a set of strings, which differs
+    between processes, so the same simulation takes different courses.
     """
 
     SCRIPT = """
@@ -293,8 +289,8 @@
 """
 
     def test_does_not_depend_on_the_process(self):
-        told = {self._run(seed) for seed in ("1", "2", "3")}
-        assert len(told) == 1
+        outputs = {self._run(seed) for seed in ("1", "2", "3")}
+        assert len(outputs) == 1
 
     def _run(self, seed):
         environment = {**os.environ, "PYTHONHASHSEED": seed}
@@ -305,11 +301,11 @@
 
 
 class TestAgentThatStartsWhileAnotherIsAway:
-    """Symptom: open flows are reset 1.4 s after two agents went away.
+    """Open flows are reset 1.4 s after two agents stopped.
 
-    Sequence: one is away for 2.5 s, another starts again after 0.1 s and is
-    asked for flows of the first one. Cause: it never heard the first one, and
-    nobody told it that others did.
+    One agent is down for 2.5 s. The other restarts after 0.1 s and is asked for flows
+    of the first. It has never heard from the first one, and no peer reports that it
+    has.
     """
 
     def test_resets_no_flow(self):
@@ -327,13 +323,11 @@
 
 
 class TestFlowsClaimedByMistake:
-    """Symptom: for seconds a flow's packets reach another target only, though
-    its own lives.
+    """A flow's packets reach only another target for seconds, though its own runs.
 
-    Sequence: every agent starts again; a target that hangs keeps the packet of
-    a search twice, its agent takes the flow for its own and tells the homes;
-    then the target goes on and returns what it gets. Cause: the agent forgot
-    the flow and told nobody.
+    Every agent restarts. A target that hangs keeps a search's packet twice, so its
+    agent claims the flow and informs the homes. The target then resumes and returns
+    the packets. The agent removes the flow but doesn't inform the homes.
     """
 
     def test_are_given_up_with_the_first_packet_returned(self):
--- a/packages/zinniahook-testkit/tests/test_packets.py
+++ b/packages/zinniahook-testkit/tests/test_packets.py
@@ -1,4 +1,4 @@
-"""The packet service in a simulated world: flows keep their targets."""
+"""Simulations of the packet service: flows keep their targets."""
 
 import pytest
 from packet_helpers import SEEDS, count_new_answers, open_flows
@@ -27,10 +27,10 @@
 
 
 class TestNewAgents:
-    """Symptom: flows move to targets that were added.
+    """Flows move to targets that were added.
 
-    Sequence: agents join, so that homes change while flows are open. Cause:
-    a new home knows none of the flows that it is asked for.
+    Agents join, so homes change while flows are open. A new home knows none of the
+    flows that it is asked for.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -45,11 +45,10 @@
 
 
 class TestCrashedTarget:
-    """Symptom: clients wait until their time is over though others are free.
+    """Clients time out although other targets are free.
 
-    Sequence: a target crashes; later it starts again without its flows.
-    Cause: nobody tells the clients of its flows, and openings go on being
-    placed there since its agent lives.
+    A target crashes and starts again later without its flows. Clients of its flows
+    get no reset, and openings are still placed there because its agent runs.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -80,7 +79,7 @@
     @pytest.mark.parametrize("seed", SEEDS)
     def test_its_flows_are_reset_once_it_runs_again(self, seed):
         sim = PacketSimulation(seed)
-        # Older than a heartbeat may be late: surely the former target's.
+        # Older than a late heartbeat can be, so they belong to the former target.
         flows = open_flows(sim, seconds=2.5)
         crashed = next(iter(sim.agents_by_address.values()))
         crashed.target.alive = False
@@ -94,11 +93,11 @@
 
 
 class TestTargetThatResets:
-    """Symptom: a target that has crashed gets the openings of the others.
+    """A target that has crashed gets more than its share of openings.
 
-    Sequence: it runs again without its flows and resets what comes for them,
-    each within a millisecond. Cause: the reset counted as an answer, so that
-    its mean answer time fell, and the log told of an answer.
+    It runs again without its flows and resets each of their packets within a
+    millisecond. If a reset counts as an answer, the mean answer time falls, and the
+    log reports an answer.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -122,11 +121,11 @@
 
 
 class TestRestartedTarget:
-    """Symptom: open flows of a healthy target are reset.
+    """Open flows of a healthy target are reset.
 
-    Sequence: a target crashes and starts again, takes flows, and only then
-    sends its first heartbeat. Cause: the heartbeat of a new target ended all
-    flows that its agent knew, also those of the new target.
+    A target crashes, starts again, takes flows, and only then sends its first
+    heartbeat. If a new target's heartbeat ends all flows that the agent knows, it also
+    ends those of the new target.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -147,11 +146,11 @@
 
 
 class TestDeadTargetOfNewAgent:
-    """Symptom: flows of a healthy target are reset.
+    """Flows of a healthy target are reset.
 
-    Sequence: a target crashes, its agent restarts; another agent restarts and
-    its flows are searched for. Cause: the first agent took a dead target's
-    silence for a flow that is held, claimed it, and reset it with the others.
+    A target crashes and its agent restarts. Another agent restarts, and its flows are
+    searched for. The first agent takes the silence of its dead target as a sign that
+    it holds the flow, claims the flow, and resets it with the others.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -174,13 +173,12 @@
 
 
 class TestTwoTargetsThatAnswered:
-    """Symptom: a flow is reset some milliseconds after it opened.
+    """A flow is reset some milliseconds after it opened.
 
-    Sequence: two targets answer copies of one opening, the client chooses one,
-    its next packet comes to the other one's agent by way of a hint. Cause: the
-    numbers of the two lay near each other, as one pair in 256 does, so that the
-    packet passed for the wrong target's; that returned it, and its agent ended
-    the flow as lost.
+    Two targets answer copies of one opening. The client chooses one, and a hint leads
+    its next packet to the other one's agent. The initial numbers of the two are close,
+    as in one of 256 pairs, so the agent assigns the packet to its own target. The
+    target returns it, and the agent ends the flow as lost.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -204,17 +202,17 @@
 
 
 class TestFullTargets:
-    """Symptom: a client waits for 1.4 s though no target can take it.
+    """A client waits for 1.4 s although no target can take its flow.
 
-    Sequence: every target returns the opening. Cause: only a reset tells the
-    client that it may try later.
+    Every target returns the opening. Without a reset the client doesn't know that it
+    can try again later.
     """
 
     def test_one_full_target_is_passed_over(self):
         sim = PacketSimulation(1)
         full = next(iter(sim.agents_by_address.values())).target
         full.full = True
-        # As many as the others have slots, so that none has to wait.
+        # As many as the other targets have slots, so no opening has to wait.
         open_flows(sim, 20, 0.1)
         assert full.openings == []
 
@@ -228,10 +226,10 @@
 
 
 class TestLeavingTarget:
-    """Symptom: a leaving target gets new flows.
+    """A leaving target gets new flows.
 
-    Sequence: a target says that it leaves, while homes place openings by
-    older statuses. Cause: only its own agent knows at once.
+    A target announces that it is leaving while homes place openings by older statuses.
+    Only its own agent knows immediately.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -251,11 +249,11 @@
 
 
 class TestReusedAddress:
-    """Symptom: a ticket reaches the ledger's target.
+    """A request for one service reaches a target of another service.
 
-    Sequence: a machine ends and its address serves another service, while
-    entries and homes still have it as an agent of the former one. Cause: an
-    address alone doesn't tell which service is there.
+    A machine stops and its address is used for another service, while entries and
+    homes still list it for the former one. The address alone doesn't identify the
+    service.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -275,14 +273,14 @@
 
 
 class TestDroppedRoute:
-    """Symptom: a request runs on a route that was removed.
+    """A request runs on a route that was removed.
 
-    Sequence: the operator drops the only route of a service; some daemons
-    hear of it late. Cause: an entry with the old version still forwards.
+    The operator removes the only route of a service. Some daemons learn of it late,
+    and an entry with the old version still forwards packets.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_whoever_knows_refuses(self, seed):
+    def test_daemons_that_know_refuse(self, seed):
         sim = PacketSimulation(seed, {"tally": 3, "ledger": 2})
         sim.routes = sim.make_routes(2, {"tally": 3})
         agents = sim.agents_by_address.values()
@@ -296,14 +294,14 @@
 
 
 class TestGoneAgent:
-    """Symptom: flows of an agent that is gone are never reset.
+    """Flows of an agent that is gone are never reset.
 
-    Sequence: an agent ends for good; its peers go on telling each other of it.
-    Cause: each takes the other's word for a sign of life.
+    An agent stops for good, and its peers keep reporting it to each other. Each of
+    them takes the other's report as a sign that the agent runs.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_nobody_hears_it_from_others(self, seed):
+    def test_reports_of_peers_are_no_sign_of_life(self, seed):
         sim = PacketSimulation(seed)
         gone, *others = sim.agents_by_address.values()
         gone.core = gone.target = None
@@ -316,10 +314,10 @@
 
 
 class TestMalformedRosters:
-    """Symptom: a daemon handles no datagram of another version's daemon.
+    """A daemon handles no datagram from a daemon of another version.
 
-    Sequence: that one tells rows of another shape. Cause: an exception while a
-    datagram is read.
+    That daemon sends roster rows of another shape, which raise an exception while the
+    datagram is decoded.
     """
 
     @pytest.mark.parametrize(
