--- a/packages/zinniahook-testkit/tests/test_packet_cold.py
+++ b/packages/zinniahook-testkit/tests/test_packet_cold.py
@@ -1,8 +1,8 @@
-"""Cold targets: none gets more in a second than operators allow.
+"""No cold target gets more openings in a second than operators allow.
 
-Load: 24 targets of four slots, 0.06 s a request, 150 openings a second. A
-third of them becomes cold, or all do, and each bears 4 requests a second, so 11
-in any one: 4 x 1.5 + 5.
+The load is 24 targets of four slots, 0.06 s for a request and 150 openings a second.
+A third of the targets becomes cold, or all of them. Each of these can take 4 requests
+a second, so at most 11 in any second: 4 x 1.5 + 5.
 """
 
 import pytest
@@ -27,7 +27,7 @@
 
 
 def loaded(sim, seconds):
-    """Let clients open flows; return them."""
+    """Open flows for some seconds; return them."""
     flows = []
     for _ in range(round(seconds / STEP)):
         flows += [sim.open_flow() for _ in range(round(OPENINGS * STEP))]
@@ -37,7 +37,7 @@
 
 
 def most_in_a_second(agent, since):
-    """Return the most openings in a second while the target was cold."""
+    """Return the maximum of openings in a second while the target was cold."""
     moments = [at for at, _ in agent.target.openings if since <= at < agent.warm_at]
     return max(
         (sum(0 <= at - first <= 1.0 for at in moments) for first in moments), default=0
@@ -50,11 +50,11 @@
 
 
 class TestDataCentreTakenBack:
-    """Symptom: targets that come back cold are flooded.
+    """Targets that return cold are overloaded.
 
-    Sequence: the evacuation of a data centre ends; until their next heartbeat
-    its targets look warm, and as they are idle each home prefers them. Cause:
-    what a target bears isn't known to those that place.
+    The evacuation of a data centre ends. Until their next heartbeat its targets look
+    warm, and each home prefers them because they are idle. The homes don't know how
+    many openings a target can take.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -73,10 +73,10 @@
 
 
 class TestAllTargetsCold:
-    """Symptom: after a loss of power every target is flooded at once.
+    """Every target is overloaded immediately after a power failure.
 
-    Sequence: all targets and agents start together while clients go on. Cause:
-    an agent whose target hasn't told of itself yet takes it for warm.
+    All targets and agents start together while clients continue. An agent without a
+    heartbeat from its target considers it warm.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
--- a/packages/zinniahook-testkit/tests/test_packet_endings.py
+++ b/packages/zinniahook-testkit/tests/test_packet_endings.py
@@ -1,4 +1,4 @@
-"""Flows of targets that ended: their clients are told at once."""
+"""Flows of targets that ended are reset at once."""
 
 import pytest
 from packet_helpers import SEEDS, open_flows
@@ -8,12 +8,11 @@
 
 
 class TestFlowsOfTargetsThatEnded:
-    """Symptom: a client that goes on with a flow hears nothing for its whole time.
+    """A client that continues a flow gets no answer until it times out.
 
-    Sequence: a target ends as planned while the flow is idle, and its agent's
-    process ends a moment later. Cause: whoever searches waits for the silent
-    agent for as long as a silent one may hold flows, though it has said that
-    its target has ended.
+    A target ends as planned while the flow is idle, and its agent's process stops
+    shortly after. A search waits for the silent agent as long as a silent agent may
+    hold flows, although it has announced the end of its target.
     """
 
     def ended(self, sim, agent):
@@ -72,8 +71,10 @@
         ],
     )
     def test_an_acknowledgement_shows_no_target_that_works(self, flags, state):
-        """Where a target has ended, closings are still acknowledged. An instance
-        comes back for half a second; nobody may wait for what it holds."""
+        """Closings are still acknowledged on a machine whose target has ended.
+
+        If an instance comes back for half a second, no search may wait for its flows.
+        """
         sim = PacketSimulation(1)
         agent = next(iter(sim.agents_by_address.values()))
         agent.target.silent = True
--- a/packages/zinniahook-testkit/tests/test_packet_evacuations.py
+++ b/packages/zinniahook-testkit/tests/test_packet_evacuations.py
@@ -1,7 +1,7 @@
-"""Evacuated data centres: nothing new goes there, and nothing is lost.
+"""Evacuated data centres get no new flows and lose none.
 
-Load: 18 targets in three data centres; one of them is evacuated and taken back
-while clients open flows all the time.
+The load is 18 targets in three data centres. One data centre is evacuated and
+restored while clients open flows continuously.
 """
 
 import pytest
@@ -10,12 +10,12 @@
 
 AGENTS = {"tally": 18}
 IN_FORCE_SECONDS = 1.0
-"""Seconds until an order must be in force: a fifth of what operators are told,
-as nothing fails here."""
+"""Seconds until an order must be in force: a fifth of the limit that operators
+are given, as there are no failures here."""
 
 EVACUATED, OTHER, THIRD = DATA_CENTRES[0], DATA_CENTRES[1], DATA_CENTRES[2]
 OPENING_SECONDS = 0.1
-"""Seconds for an opening where targets are free: a client repeats it after 0.2."""
+"""Seconds for an opening if targets are free; clients repeat it after 0.2 s."""
 
 
 def there(sim, centre=EVACUATED):
@@ -23,14 +23,14 @@
 
 
 def late(sim, since):
-    """Return the openings that evacuated targets took after a moment."""
+    """Return the openings that evacuated targets took since a time."""
     return [row for row in sim.evacuated_openings if row[0] >= since]
 
 
 class TestEvacuatedDataCentre:
-    """Symptom: flows are opened in a data centre that operators are emptying.
+    """Flows are opened in a data centre that operators evacuate.
 
-    Sequence: an order lies in the store. Cause: nobody read it.
+    The order is in the store, but no daemon has read it.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -45,7 +45,7 @@
         assert sim.findings() == []
 
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_nobody_notices_on_open_flows(self, seed):
+    def test_open_flows_are_unaffected(self, seed):
         sim = PacketSimulation(seed, AGENTS)
         flows = open_flows(sim)
         sim.evacuate(EVACUATED)
@@ -108,10 +108,10 @@
 
 
 class TestOpeningsThatWait:
-    """Symptom: an opening is served in an evacuated data centre seconds later.
+    """An opening is served in a data centre seconds after its evacuation.
 
-    Sequence: it waits at a busy agent as the order comes. Cause: the agent gives
-    it to its target as soon as that has a free slot.
+    It waits at a busy agent when the order arrives, and the agent passes it to its
+    target once that has a free slot.
     """
 
     def test_are_handed_on_at_once(self):
@@ -128,11 +128,11 @@
 
 
 class TestAgentThatStartsInAnEvacuatedDataCentre:
-    """Symptom: a flow is opened in an evacuated data centre after a restart.
+    """A flow is opened in an evacuated data centre after a restart.
 
-    Sequence: the agent's process starts again; the store doesn't answer it, and
-    openings arrive before anybody has told it of the order. Cause: an agent that
-    knows no order takes that for "none".
+    An agent starts again, the store doesn't answer it, and openings arrive before any
+    peer has reported the order. An agent that knows no order must not conclude that
+    there is none.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -178,10 +178,10 @@
 
 
 class TestAgentThatSlept:
-    """Symptom: an order that was taken back is in force again, or a new one isn't.
+    """A withdrawn order is in force again, or a new order isn't.
 
-    Sequence: an agent sleeps for seconds while orders change, and wakes with the
-    old ones. Cause: it tells them on, or acts on them until somebody corrects it.
+    An agent is suspended for seconds while orders change, and resumes with the old
+    ones. It announces them, or applies them until a peer corrects it.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -206,10 +206,10 @@
 
 
 class TestEverythingEvacuated:
-    """Symptom: a client hears nothing for its whole time budget.
+    """A client gets no answer for its whole time budget.
 
-    Sequence: every data centre is evacuated. Cause: openings are held or dropped
-    although nobody may take them.
+    Every data centre is evacuated. Openings are held or dropped although no target may
+    take them.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -237,14 +237,14 @@
 
 
 class TestMistypedDataCentre:
-    """Symptom: a data centre that was evacuated goes on getting flows.
+    """An evacuated data centre still gets flows.
 
-    Sequence: the order names a data centre that the deployment doesn't have; every
-    daemon tells that it is in force. Cause: nobody compared the names.
+    The order names a data centre that doesn't exist in the deployment, and every
+    daemon reports that it is in force, as none of them compares the names.
     """
 
     @pytest.mark.parametrize("known", [DATA_CENTRES, ()])
-    def test_its_name_is_told(self, known):
+    def test_its_name_is_logged(self, known):
         sim = PacketSimulation(0, AGENTS)
         for agent in sim.agents_by_address.values():
             agent.core.data_centres = frozenset(known)
--- a/packages/zinniahook-testkit/tests/test_packet_incarnations.py
+++ b/packages/zinniahook-testkit/tests/test_packet_incarnations.py
@@ -1,4 +1,4 @@
-"""Targets that start again under the name that they had, and late heartbeats."""
+"""Targets that start again under their former name, and late heartbeats."""
 
 import pytest
 from zinniahook_core.packets import Heartbeat, State, Target
@@ -13,7 +13,7 @@
 
 
 def running(born=BORN, beats=5):
-    """Return a target that was heard for some seconds, and the time."""
+    """Return a target that has sent heartbeats for some seconds, and the time."""
     target = Target("tally", INTERVAL)
     target.start(0.0)
     for number in range(1, beats + 1):
@@ -22,9 +22,10 @@
 
 
 class TestStartUnderTheSameName:
-    """Symptom: a target that was started again under its id counts as silent.
-    Sequence: it ends, starts, its numbers begin anew at 1. Cause: numbers that
-    went back were taken for late heartbeats.
+    """A target that was restarted under its id is considered silent.
+
+    The heartbeats of the new start are numbered from 1 again. If lower numbers are
+    treated as late heartbeats, all of them are ignored.
     """
 
     def test_a_later_time_of_birth_is_a_new_target(self):
@@ -41,7 +42,7 @@
         assert not target.heartbeat(now + 3, beat(2, BORN + 9000))
         assert target.state(now + 3) is State.READY
 
-    def test_it_does_not_end_by_a_late_farewell(self):
+    def test_it_does_not_end_by_a_late_leaving_heartbeat(self):
         target, now = running()
         target.heartbeat(now + 1, beat(1, BORN + 9000))
         target.note_ended("t-1", BORN)
@@ -51,7 +52,7 @@
 
     @pytest.mark.parametrize("born", [None, BORN, BORN - 5000])
     def test_one_whose_time_proves_nothing_is_believed_once_it_goes_on(self, born):
-        """Its clock jumped back, or it doesn't tell when it was born."""
+        """Its clock jumped back, or it doesn't report its start time."""
         target, now = running(BORN if born else None)
         assert not target.heartbeat(now + 4, beat(1, born))
         assert target.heartbeat(now + 5, beat(2, born))
@@ -80,10 +81,11 @@
 
 
 class TestAgentThatStartsAtTheSameMoment:
-    """Symptom: an agent denies flows that its target holds. Sequence: the agent
-    restarts, a late heartbeat of the target's earlier start comes first, then
-    one of the present start. Cause: the second seemed to prove that the target
-    is younger than the agent.
+    """An agent denies flows that its target holds.
+
+    The agent restarts. A late heartbeat of the target's former start arrives first,
+    then one of the present start, which seems to prove that the target is younger
+    than the agent.
     """
 
     def test_the_target_may_be_older(self):
@@ -96,12 +98,13 @@
 
 @pytest.mark.parametrize("seed", range(4))
 class TestFlowsOfATargetThatStartsAgain:
-    """Symptom: clients wait until their time is over. Sequence: a target ends
-    and starts at once under its name. Cause: its agent goes on with the flows
-    of the earlier start.
+    """Clients wait until they time out.
+
+    A target ends and starts immediately under its former name, and its agent keeps
+    the flows of the former start.
     """
 
-    def test_their_clients_are_told_by_the_first_heartbeat(self, seed):
+    def test_their_clients_are_reset_by_the_first_heartbeat(self, seed):
         sim = PacketSimulation(seed)
         flows = [sim.open_flow() for _ in range(30)]
         sim.run(2.0)
--- a/packages/zinniahook-testkit/tests/test_packet_queueing_targets.py
+++ b/packages/zinniahook-testkit/tests/test_packet_queueing_targets.py
@@ -1,4 +1,4 @@
-"""Requests that wait while their target goes, and what is told of them."""
+"""Requests that wait while their target ends, and how they are reported."""
 
 import pytest
 from queueing_fakes import (
@@ -11,11 +11,13 @@
 
 
 class TestTargetThatGoes:
-    """What waits is delivered where the flow stays, and to nobody else."""
+    """Waiting requests are delivered only to the target that holds their flow."""
 
     def test_draining_delivers(self):
-        """Symptom: requests of open flows are late at each planned change. Cause:
-        they wait for slots of a target that closes its flows."""
+        """Requests of open flows are late at each planned change.
+
+        They wait for slots of a target that closes its flows.
+        """
         harness = AgentHarness()
         flow, other = harness.open(1), harness.open(2)
         harness.busy()
@@ -44,8 +46,10 @@
         assert not harness.reset
 
     def test_a_new_target_gets_nothing_of_the_former_one(self):
-        """Symptom: a target gets a request of a flow that it doesn't hold. Sequence:
-        a target is replaced while requests wait. Cause: they outlive the flow."""
+        """A target gets a request of a flow that it doesn't hold.
+
+        A target is replaced while requests wait, and they are kept after their flow.
+        """
         harness = AgentHarness()
         flow = harness.open(1)
         harness.wait(1.5)
@@ -70,8 +74,9 @@
         assert flow in harness.reset
 
     def test_a_process_that_was_frozen(self):
-        """Symptom: requests wait on though their time is long over. Sequence: the
-        process stands still for 3 s, their clients have repeated them meanwhile.
+        """Requests still wait although their limit has passed.
+
+        The process is frozen for 3 s, and clients have repeated the requests meanwhile.
         """
         harness = AgentHarness()
         flow = harness.open(1)
@@ -82,7 +87,7 @@
         assert harness.delivered.count(raw) == 1 and harness.held == 0
         assert not harness.reset
 
-    def test_slots_that_nobody_has_told_make_nobody_wait(self):
+    def test_no_request_waits_for_unreported_slots(self):
         harness = AgentHarness()
         flow = harness.open(1)
         harness.busy()
@@ -90,9 +95,11 @@
         assert harness.ask(flow) in harness.delivered
 
     def test_on_again_takes_no_request_for_cut_off(self):
-        """Symptom: a request waits although a slot is free. Sequence: the order is
-        switched off, a flow goes on, the order is switched on. Cause: the numbers of
-        the time before tell that its first packet is missing."""
+        """A request waits although a slot is free.
+
+        Queueing is switched off, a flow continues, and queueing is switched on. By the
+        sequence numbers from before, the first packet of the request seems missing.
+        """
         harness = AgentHarness()
         flow = harness.open(1)
         routes = harness.core.routes
@@ -125,8 +132,10 @@
 
 
 class TestReportedLoad:
-    """Symptom: homes send openings to an agent at which requests wait. Cause: its
-    status tells only of those that its target has got."""
+    """Homes send openings to an agent at which requests wait.
+
+    Its status reports only the requests that its target has got.
+    """
 
     def test_what_waits_counts(self):
         harness = AgentHarness()
@@ -139,7 +148,7 @@
 
 
 class TestLines:
-    """An operator finds out that a request waited, and for how long."""
+    """The log shows that a request waited and for how long."""
 
     def test_waiting_is_logged(self):
         harness = AgentHarness()
--- a/packages/zinniahook-testkit/tests/test_packet_queueing_worlds.py
+++ b/packages/zinniahook-testkit/tests/test_packet_queueing_worlds.py
@@ -1,4 +1,4 @@
-"""Requests that wait in a whole service, under any troubles."""
+"""Requests that wait in a whole service while daemons and targets fail."""
 
 import pytest
 from hypothesis import settings
@@ -18,7 +18,7 @@
 
 
 def competing_simulation(seed, agents=4):
-    """Return a world whose targets have too few slots for two kinds of requests."""
+    """Return a simulation with too few slots for two kinds of requests."""
     sim = PacketSimulation(seed, {"tally": agents})
     share = (ServiceShare("tally", 1.0),)
     sim.set_route(1, Route("feed", share, Urgency(2, GOAL)))
@@ -30,7 +30,7 @@
 
 
 def crowd(sim, count=80):
-    """Return open flows that all ask at once, so that requests wait."""
+    """Return open flows that send requests at once, so that some requests wait."""
     flows = [sim.open_flow(1 + n % 2) for n in range(count)]
     sim.run(6.0)
     flows = [flow for flow in flows if flow.state == "open" and flow.asked_at is None]
@@ -41,13 +41,15 @@
 
 
 class TestDaemonsThatEnd:
-    """Requests wait as daemons and targets end; clients and targets judge."""
+    """Requests wait while daemons and targets end; clients and targets check them."""
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_an_agent_dies_with_what_waits(self, seed):
-        """Symptom: a request is lost for good. Sequence: an agent is killed while
-        requests wait there. Nobody has acknowledged them, so each client repeats
-        its own, and the next process delivers it."""
+        """A request is lost for good.
+
+        An agent is killed while requests wait there. They weren't acknowledged, so each
+        client repeats its request, and the next process delivers it.
+        """
         sim = competing_simulation(seed)
         flows = crowd(sim)
         agents = list(sim.agents_by_address.values())
@@ -62,7 +64,7 @@
         assert [len(flow.answers) - n for flow, n in zip(flows, had, strict=True)] == [
             1
         ] * len(flows)
-        self.nobody_ran_twice(sim, flows)
+        self.assert_none_ran_twice(sim, flows)
         assert sim.findings() == []
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -106,10 +108,10 @@
         had = [len(flow.answers) for flow in flows]
         sim.run(12.0)
         assert all(len(f.answers) == n + 1 for f, n in zip(flows, had, strict=True))
-        self.nobody_ran_twice(sim, flows)
+        self.assert_none_ran_twice(sim, flows)
         assert sim.findings() == []
 
-    def nobody_ran_twice(self, sim, flows):
+    def assert_none_ran_twice(self, sim, flows):
         ran = [key for a in sim.agents_by_address.values() for key in a.target.ran]
         for flow in flows:
             assert ran.count(flow.key) == len(flow.answers)
--- a/packages/zinniahook-testkit/tests/test_packet_restores.py
+++ b/packages/zinniahook-testkit/tests/test_packet_restores.py
@@ -1,7 +1,7 @@
-"""The store comes back from an older copy: orders hold, and no flow notices.
+"""Orders and flows survive a restore of the store from an older copy.
 
-Load: 18 targets in three data centres; clients open and use flows all the time
-while the store forgets its last seconds.
+The load is 18 targets in three data centres. Clients open and use flows
+continuously while the store loses its last seconds.
 """
 
 import pytest
@@ -11,23 +11,23 @@
 
 AGENTS = {"tally": 18}
 IN_FORCE_SECONDS = 1.0
-"""Seconds until an order must be in force: a fifth of what operators are told,
-as nothing fails here."""
+"""Seconds until an order must be in force: a fifth of the limit that operators
+are given, as there are no other failures here."""
 
 COPY_AGE_SECONDS = 4.0
-"""Seconds that the copy is old."""
+"""Age of the restored copy."""
 
 EVACUATED, OTHER = DATA_CENTRES[:2]
 SPLIT_ROUTE = 3
 
 
 def late(sim, since):
-    """Return the openings that evacuated targets took after a moment."""
+    """Return the openings that evacuated targets took since a time."""
     return [row for row in sim.evacuated_openings if row[0] >= since]
 
 
 def restart_everything(sim):
-    """Kill every process of the service at once; targets live on."""
+    """Kill every process of the service at once; targets continue to run."""
     for agent in sim.agents_by_address.values():
         agent.core = None
     sim.run(0.1)
@@ -40,9 +40,10 @@
 class TestOrders:
     @pytest.mark.parametrize("seed", SEEDS)
     def test_one_that_the_copy_lacks_holds_until_it_is_written_again(self, seed):
-        """Symptom: flows are opened where power is about to be cut. Sequence: an
-        order of two seconds ago is lost; a second later it is written again. Cause:
-        daemons believe the copy.
+        """Flows are opened in a data centre that is about to lose power.
+
+        The restore loses an order that is two seconds old. It is written again a second
+        later, but until then daemons follow the copy.
         """
         sim = PacketSimulation(seed, AGENTS)
         sim.run(COPY_AGE_SECONDS)
@@ -58,8 +59,10 @@
 
     @pytest.mark.parametrize("seed", SEEDS)
     def test_one_after_the_restore_is_in_force_at_once(self, seed):
-        """Symptom: an order has no effect for minutes. Sequence: its revision is
-        below those before the restore. Cause: revisions alone order what is read.
+        """An order has no effect for minutes.
+
+        Its revision is lower than those before the restore. Revisions alone don't order
+        what daemons read.
         """
         sim = PacketSimulation(seed, AGENTS, loss=0.01)
         for _ in range(40):
@@ -138,10 +141,10 @@
 
 
 class TestAgentsOfTheLostSeconds:
-    """Symptom: flows of living targets are reset after a restart of everything.
+    """Flows of running targets are reset after everything restarts.
 
-    Sequence: agents join, the store loses their announcements, everything restarts
-    later. Cause: nobody announces them again.
+    Agents join, the store loses their announcements, and everything restarts later.
+    The agents must announce themselves again.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
@@ -163,11 +166,11 @@
 
 
 class TestFormerServiceOfTheLostSeconds:
-    """Symptom: flows at the former service of a route are reset.
+    """Flows at the former service of a route are reset.
 
-    Sequence: a route is moved, the record follows, the store loses it, everything
-    is killed within the same second. Cause: daemons that start take the copy's
-    record for complete.
+    A route is moved and the record is updated. The store loses the record, and every
+    process is killed within the same second. Daemons that start consider the record of
+    the copy complete.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
