--- a/packages/zinniahook-testkit/tests/request_loads.py
+++ b/packages/zinniahook-testkit/tests/request_loads.py
@@ -1,8 +1,8 @@
 """Callers that compete for the slots of a few targets, without a network.
 
-Each target has its agent, with the decisions of its own code; what lies between
-them and the callers is a delay. Callers keep flows open and open new ones, repeat
-a packet that isn't acknowledged, give up, and try again.
+Each target has a real agent core, and between agents and callers there is only a
+delay. Callers reuse open flows or open new ones, repeat packets that aren't
+acknowledged, give up, and try again.
 """
 
 import collections
@@ -38,7 +38,7 @@
 
 
 class RequestKind(NamedTuple):
-    """What requests of one route are like."""
+    """The properties of the requests of one route."""
 
     name: str
     share: float
@@ -54,7 +54,7 @@
 
 
 class Node:
-    """A target and its agent; also the agent's links."""
+    """A target and its agent, and the links of the agent."""
 
     def __init__(self, load, number, slots, features):
         self.load, self.slots = load, slots
@@ -111,7 +111,7 @@
         self.load.at(0.0003, lambda: self.take(raw))
 
     def take(self, raw):
-        """Take a packet at the target."""
+        """Receive a packet at the target."""
         if not self.alive:
             return
         packet = self.load.codec.from_client(raw)
@@ -174,7 +174,7 @@
         self.send_heartbeat()
 
     def check_held(self):
-        """Note whether a request waits here although a slot is free."""
+        """Record the longest wait, and a request that waits while a slot is free."""
         longest = self.core.queue.longest(self.load.now)
         self.load.longest_hold = max(self.load.longest_hold, longest)
         free = self.alive and self.slots > self.working + len(self.queue)
@@ -187,7 +187,7 @@
 
 
 class Caller:
-    """One request and its tries, over a flow that is open or a new one."""
+    """A request and its attempts, on an open flow or a new one."""
 
     def __init__(self, load, kind):
         self.load, self.kind = load, kind
@@ -276,14 +276,14 @@
 
     @property
     def earned(self):
-        """The share of its worth that its caller got."""
+        """The earned share of the request's worth."""
         if self.took <= self.kind.urgency.goal:
             return 1.0
         return 0.3 if self.took <= self.kind.patience else 0.0
 
 
 class Load:
-    """Callers and targets on one clock."""
+    """Callers and targets on a shared clock."""
 
     def __init__(self, seed, wanted, nodes=6, slots=3, queue_limit=12, reuse=0.7):
         self.now, self.rng = 100.0, random.Random(seed)
@@ -322,8 +322,11 @@
         self.at(period * self.rng.random(), again)
 
     def delivered(self, raw, packet):
-        """Check that a target gets a packet as often as its client sent it at most,
-        and none of a request before the one before it."""
+        """Check a packet that a target gets.
+
+        It must not arrive more often than its client sent it, nor after a packet of a
+        later request.
+        """
         self.sent_by_raw[raw] -= 1
         former = self.numbers_by_flow.get(packet.flow, packet.sequence)
         early = not packet.is_opening and packet.sequence < former
@@ -346,7 +349,7 @@
         self.now = until
 
     def run_load(self, seconds, rate):
-        """Let callers come, ``rate(second)`` of the targets' capacity."""
+        """Start callers at ``rate(second)`` times the capacity of the targets."""
         start, until = self.now, self.now + seconds
         while self.now < until:
             wanted = self.capacity * rate(self.now - start)
@@ -355,7 +358,7 @@
             self.callers.append(Caller(self, kind))
 
     def shares(self, since=0.0):
-        """Return the worth earned of that asked for, all and by kind."""
+        """Return the earned share of the requested worth, in all and by kind."""
         shares = []
         for kinds in (KINDS, (FEED,), (EDIT,)):
             some = [c for c in self.callers if c.kind in kinds and c.begun >= since]
@@ -365,12 +368,12 @@
 
 
 def wave(at):
-    """Return the load of a day: half of the capacity, swinging by 55 %."""
+    """Return a load that swings by 55 % around half of the capacity."""
     return 0.5 * (1 + 0.55 * math.sin(2 * math.pi * at / 17))
 
 
 def burst(at):
-    """Return the same with 1.7 times as much for 3 s at its peak."""
+    """Return the load of `wave`, multiplied by 1.7 for 3 s at its peak."""
     return wave(at) * (1.7 if 3.0 <= at < 6.0 else 1.0)
 
 
--- a/packages/zinniahook-testkit/tests/test_packet_answers.py
+++ b/packages/zinniahook-testkit/tests/test_packet_answers.py
@@ -1,4 +1,4 @@
-"""Targets judged by their answers, with real cores and real packets."""
+"""Health of targets by their answers, with real cores and packets."""
 
 import pytest
 from zinniahook_core.packets import Features
@@ -12,9 +12,9 @@
 
 
 def openings_at(sim, agent, count=400):
-    """Open flows that ask one request each; return how many came to a target.
+    """Open flows with one request each; return how many reach a target.
 
-    Each second client acknowledges before it asks.
+    Every second client acknowledges the opening before its request.
     """
     before = len(agent.target.openings)
     for number in range(count):
@@ -24,7 +24,7 @@
 
 
 def statuses(sim, receivers=None):
-    """Collect the bodies of statuses that agents send from now on."""
+    """Return a list that collects the bodies of statuses sent from now on."""
     bodies = []
     send = sim.send_peer
 
@@ -52,10 +52,10 @@
 
     @pytest.mark.parametrize("seed", range(3))
     def test_gets_little(self, seed):
-        """Symptom: a target that fails everything gets more than its share.
+        """A target that fails every request gets more than its share.
 
-        Sequence: it answers in a millisecond, its heartbeats say ready. Cause:
-        it always looks idle, and its answer time is the shortest.
+        It answers within a millisecond, and its heartbeats report it as ready, so it
+        always looks idle and has the shortest answer time.
         """
         _, before = self.opened(seed, None)
         sim, after = self.opened(seed, JUDGED)
@@ -64,16 +64,16 @@
         assert not sim.findings()
 
     def test_gets_little_if_ends_overtake_answers(self):
-        """Symptom: failures with short answers are never held against a target.
+        """Failures with short answers aren't counted.
 
-        Sequence: it sends the answer and the flow's end at once, and the end
-        comes first. Cause: the end counts as the answer, and tells no failure.
+        A target sends the answer and the closing at once, and the closing arrives
+        first. It is counted as the answer and doesn't show the failure.
         """
         _, before = self.opened(1, None, ends_first=True)
         _, after = self.opened(1, JUDGED, ends_first=True)
         assert after < before / 4
 
-    def test_gets_its_share_again_when_it_is_well(self):
+    def test_gets_its_share_again_when_it_is_healthy(self):
         sim, _ = self.opened(1, JUDGED)
         bad = list(sim.agents_by_address.values())[2]
         bad.target.fails = False
@@ -83,12 +83,12 @@
 
 
 class TestRequestsAfterAnAcknowledgement:
-    def test_are_judged(self):
-        """Symptom: a target that fails half of its requests is never suspected.
+    def test_are_counted(self):
+        """A target that fails half of its requests is never ejected.
 
-        Sequence: clients acknowledge the target's answer to the opening, then
-        send their request. Cause: the flow is open by then, and the request
-        passed for one that was noted before.
+        Clients acknowledge the target's answer to the opening and then send their
+        request. The flow is open by then, so the request is treated as one that was
+        counted before.
         """
         sim = PacketSimulation(1, {"tally": 2}, features=JUDGED)
         for _ in range(100):
@@ -110,7 +110,7 @@
         assert bodies
         assert {len(body) for body in bodies} == {STATUS_SIZE}
 
-    def test_entries_are_told_no_byte_more(self):
+    def test_entries_get_no_additional_bytes(self):
         sim = PacketSimulation(1, features=JUDGED)
         bodies = statuses(sim, sim.entries_by_address)
         openings_at(sim, next(iter(sim.agents_by_address.values())), 50)
--- a/packages/zinniahook-testkit/tests/test_packet_compiled.py
+++ b/packages/zinniahook-testkit/tests/test_packet_compiled.py
@@ -1,4 +1,4 @@
-"""The compiled core of the packet service does what its source says."""
+"""The compiled core of the packet service behaves like its source."""
 
 import os
 import pathlib
@@ -29,15 +29,15 @@
 
 
 class TestCompiledCore:
-    """Symptom: a fault shows on machines with a C compiler only, or without.
+    """A fault occurs only on machines with a C compiler, or only without.
 
-    Sequence: the same events at the compiled core and at its source. Cause: the
-    compiler took a construct otherwise; one pattern with alternatives ended in
-    an UnboundLocalError.
+    The compiler treats a construct differently from the interpreter, so the same
+    events have different results. A pattern with alternatives once raised an
+    UnboundLocalError.
     """
 
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_tells_the_same_as_its_source(self, seed):
+    def test_logs_the_same_as_its_source(self, seed):
         if not any(COMPILED.glob("*__mypyc*.so")):
             pytest.skip("not compiled: no C compiler")
         plain, plain_file = self._run(seed, {})
--- a/packages/zinniahook-testkit/tests/test_packet_incarnations.py
+++ b/packages/zinniahook-testkit/tests/test_packet_incarnations.py
@@ -42,7 +42,7 @@
         assert not target.heartbeat(now + 3, beat(2, BORN + 9000))
         assert target.state(now + 3) is State.READY
 
-    def test_it_does_not_end_by_a_late_leaving_heartbeat(self):
+    def test_it_does_not_end_by_a_late_report_of_its_end(self):
         target, now = running()
         target.heartbeat(now + 1, beat(1, BORN + 9000))
         target.note_ended("t-1", BORN)
--- a/packages/zinniahook-testkit/tests/test_packet_members.py
+++ b/packages/zinniahook-testkit/tests/test_packet_members.py
@@ -1,4 +1,4 @@
-"""Agents that don't know of each other, though both run."""
+"""Agents that don't know each other although both run."""
 
 import pytest
 from packet_helpers import count_new_answers
@@ -6,11 +6,11 @@
 
 SEEDS = range(4)
 DISCOVERY_SECONDS = 8.0
-"""Seconds in which agents that a third one knows learn of each other."""
+"""Seconds within which two agents learn of each other from a common peer."""
 
 
 def partitioned_simulation(seed):
-    """Return a world with an agent and a half of its peers that don't know it."""
+    """Return a simulation with an agent and the half of its peers that don't know it."""
     sim = PacketSimulation(seed, {"tally": 24})
     agents = list(sim.agents_by_address.values())
     alone, *others = agents
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 class TestAgentsThatMissedEachOther:
     def test_learn_of_each_other_from_peers(self, seed):
-        """Guards against searches that leave out an agent for good."""
+        """Searches leave out an agent permanently."""
         sim, alone = partitioned_simulation(seed)
         sim.run(DISCOVERY_SECONDS)
         for agent in sim.agents_by_address.values():
@@ -31,7 +31,7 @@
         assert len(alone.core.roster.by_address) == len(sim.agents_by_address)
 
     def test_lose_no_flow(self, seed):
-        """Guards against resets of flows whose owner their home doesn't know."""
+        """Flows are reset because their home doesn't know the owner."""
         sim, _ = partitioned_simulation(seed)
         flows = [sim.open_flow() for _ in range(120)]
         sim.run(DISCOVERY_SECONDS)
--- a/packages/zinniahook-testkit/tests/test_packet_request_loads.py
+++ b/packages/zinniahook-testkit/tests/test_packet_request_loads.py
@@ -1,8 +1,9 @@
-"""What callers get where requests of open flows wait at the agent, and where not.
+"""Results for callers with and without queueing of requests at the agent.
 
-Loads: six targets of three slots, or one, at half of their capacity with a swing
-of 55 %; 1.7 times as much for 3 s; half of the targets lost; a loss of power. Two
-kinds of requests, feeds, and edits that are worth two; 0.4 s is in time for both.
+Six targets of three slots, or one target, serve half of their capacity with a swing
+of 55 %, 1.7 times as much for 3 s, a loss of half of the targets, or a power failure.
+There are two kinds of requests: feeds, and edits, which are worth two feeds. The goal
+is 0.4 s for both.
 """
 
 import statistics
@@ -20,20 +21,20 @@
     "half_lost": request_loads.half_lost,
     "power_lost": request_loads.power_lost,
 }
-SETTLING = 7.0
-"""Seconds until the last caller has its answer or has given up."""
+SETTLING_SECONDS = 7.0
+"""Seconds until every caller has its answer or has given up."""
 
 
 @cache
 def run_scenario(scenario, wanted, seed, nodes=6):
     load = Load(seed, wanted, nodes)
     SCENARIOS[scenario](load)
-    load.run(SETTLING)
+    load.run(SETTLING_SECONDS)
     return load
 
 
 def mean_shares(scenario, wanted, nodes=6):
-    """Return the mean shares of worth in time: of all, of feeds, of edits."""
+    """Return the mean shares of worth earned: of all requests, feeds and edits."""
     shares = [run_scenario(scenario, wanted, seed, nodes).shares() for seed in SEEDS]
     return [statistics.mean(column) for column in zip(*shares, strict=True)]
 
@@ -50,12 +51,14 @@
     return sum(caller.done is None for caller in load.callers)
 
 
-class TestCalmDay:
-    """Symptom: answers are later on a day on which nothing is wrong. Cause: requests
-    wait at the agent though their target could work on them."""
+class TestCalmLoad:
+    """Answers are later although nothing fails.
+
+    Requests wait at the agent although their target could process them.
+    """
 
     @pytest.mark.parametrize("nodes", [6, 1])
-    def test_nobody_is_served_worse(self, nodes):
+    def test_no_kind_is_served_worse(self, nodes):
         before = mean_shares("swing", False, nodes)
         after = mean_shares("swing", True, nodes)
         assert all(new >= old - 0.004 for old, new in zip(before, after, strict=True))
@@ -71,9 +74,11 @@
 
 
 class TestOverload:
-    """Symptom: targets refuse requests of open flows, while others that began later
-    are served. Sequence: more come than can be worked on. Cause: what comes in an
-    open flow goes straight to its target, which refuses what its queue can't take.
+    """Targets refuse requests of open flows while later requests are served.
+
+    More requests arrive than can be processed. Without queueing at the agent, requests
+    of open flows go straight to their target, which refuses those that don't fit into
+    its queue.
     """
 
     @pytest.mark.parametrize("scenario", ["burst", "half_lost"])
@@ -94,16 +99,19 @@
     @pytest.mark.parametrize("scenario", SCENARIOS)
     @pytest.mark.parametrize("kind", [FEED, EDIT])
     def test_no_kind_starves(self, scenario, kind):
-        """Each request of an open flow that lives is given in `MAX_HOLD_SECONDS`."""
+        """Each request of an open flow is delivered within `MAX_HOLD_SECONDS`."""
         for seed in SEEDS:
             load = run_scenario(scenario, True, seed)
-            assert load.longest_hold <= MAX_HOLD_SECONDS + request_loads.TICK + 0.01
+            assert (
+                load.longest_hold
+                <= MAX_HOLD_SECONDS + request_loads.TICK_SECONDS + 0.01
+            )
             served = [c for c in load.callers if c.kind is kind and c.done]
             assert len(served) >= 0.8 * sum(c.kind is kind for c in load.callers)
 
 
 class TestPackets:
-    """Targets get each packet as a client wrote it, no more often, in order."""
+    """Targets get packets unchanged, in order and no more often than sent."""
 
     @pytest.mark.parametrize("scenario", SCENARIOS)
     @pytest.mark.parametrize("seed", SEEDS)
--- a/packages/zinniahook-testkit/tests/test_packet_room.py
+++ b/packages/zinniahook-testkit/tests/test_packet_room.py
@@ -1,8 +1,8 @@
-"""What callers get while a service has too little room, by kind and data centre.
+"""Results for callers of an overloaded service, by kind and data centre.
 
-Six targets of four slots, 0.1 s a request: 240 requests a second, each on a flow of
-its own. A caller tries three times and wants its answer in 0.4 s; one in five
-edits, which is more urgent.
+Six targets of four slots need 0.1 s for a request, so they serve 240 requests a
+second, each on a flow of its own. A caller tries three times and needs its answer in
+0.4 s. One of five callers sends an edit, which is more urgent.
 """
 
 import random
@@ -18,8 +18,8 @@
 FLOOR = (ServiceShare("floor", 1.0),)
 WORK = 0.1
 RATE = 60.0
-"""Requests a second of a data centre: three quarters of the room in all. A burst of
-3.1 times in one of three is one of 1.7 times in all."""
+"""Requests a second in a data centre: three quarters of the capacity in all. A burst
+of 3.1 times in one of three data centres is one of 1.7 times in all."""
 
 EDITS = 0.2
 GOAL = 0.4
@@ -32,7 +32,7 @@
 
 
 class Caller:
-    """One request and its tries."""
+    """A request and its attempts."""
 
     def __init__(self, sim, centre, route):
         self.begun = self.idle_since = sim.now
@@ -58,16 +58,16 @@
 
     @property
     def worth(self):
-        """What its answer is worth: a third if it comes late."""
+        """The worth of its answer; a late answer is worth 0.3."""
         if self.done is None:
             return 0.0
         return 1.0 if self.done <= GOAL else 0.3
 
 
 class CapacitySimulation(PacketSimulation):
-    """A world in which clients keep to the entries of their data centre.
+    """A simulation in which clients use the entries of their data centre.
 
-    ``wrong`` counts the resets that were sent while an agent had a free slot.
+    ``wrong`` counts resets that were sent while an agent had a free slot.
     """
 
     def __init__(self, seed, features=OFF, agents=6):
@@ -196,7 +196,7 @@
 
 
 def shares(sim):
-    """Return what callers got of what they wanted, by kind and by data centre."""
+    """Return the mean worth of the answers, by kind and by data centre."""
     by_cell = {}
     for caller in sim.callers:
         if sim.now - caller.begun < 1.0:
@@ -207,11 +207,11 @@
 
 
 class TestShortOverload:
-    """Symptom: callers fail in a burst that their three tries would have outlasted.
+    """Callers fail in a burst that their three attempts would have outlasted.
 
-    Sequence: demand is above the capacity for three seconds, a third of the openings
-    is rejected at once, each client tries three times in a second, and the burst
-    isn't over. Cause: a rejection was true at its moment, and still cost an answer.
+    Demand exceeds the capacity for three seconds, and a third of the openings is
+    rejected at once. Each client tries three times within a second, before the burst
+    ends. Each rejection is right at its time but still costs an answer.
     """
 
     @pytest.mark.parametrize("scenario", SHORT)
@@ -222,16 +222,15 @@
 
 
 class TestLongOverload:
-    """Symptom: each try ends in 1.4 s of silence, for as long as a service has half
-    of the capacity that it needs.
+    """Attempts time out after 1.4 s while a service has half of the needed capacity.
 
-    Sequence: openings wait at every agent, the newest are served, the others are
-    given up after 1.2 s, and their clients come back too late for their goal.
-    Cause: nobody tells a client that its try is in vain.
+    Openings wait at every agent. The newest are served, the others are dropped after
+    1.2 s, and their clients try again too late for their goal. Without a rejection
+    clients don't know that an attempt has failed.
     """
 
     @pytest.mark.parametrize("seed", range(2))
-    def test_callers_get_more_and_nobody_starves(self, seed):
+    def test_callers_get_more_and_no_kind_starves(self, seed):
         plain = run_scenario(seed, stays_overloaded, OFF)
         sim = run_scenario(seed, stays_overloaded, ON)
         before, after = shares(plain), shares(sim)
@@ -249,13 +248,13 @@
         assert sim.log.counts["room.relieved"] == sim.log.counts["room.overloaded"]
 
     def test_restarts_in_the_middle_end_it(self):
-        """An agent that has just started rejects nothing until it is sure again."""
+        """An agent that has just started rejects no opening until it knows the load."""
         sim = run_scenario(0, restarted, ON)
         assert sim.log.counts["opening.rejected"] == 0
 
 
 class TestOpenFlows:
-    """No flow that is open is ever ended for want of room."""
+    """No open flow is ended for lack of capacity."""
 
     def test_none_is_reset(self):
         sim = run_scenario(1, stays_overloaded, ON)
@@ -264,7 +263,7 @@
 
 
 class TestSwitches:
-    """Off means as before: no bytes, no other choice."""
+    """Features that are off add no bytes and change no decision."""
 
     def sections(self, features):
         sim = CapacitySimulation(0, features)
@@ -273,11 +272,11 @@
         sim.rates = dict.fromkeys(DATA_CENTRES, RATE)
         sim.run_load(1.0)
         sim.slow_down()
-        told = set()
+        sections = set()
         for agent in sim.agents:
             for member in agent.core.roster.by_address.values():
-                told |= set(member.sections)
-        return told
+                sections |= set(member.sections)
+        return sections
 
     def test_off(self):
         assert self.sections(OFF) == set()
@@ -290,11 +289,11 @@
 
 
 class TestCopies:
-    """What becomes of the copies of an opening that was rejected."""
+    """Copies of a rejected opening."""
 
     @pytest.fixture
     def sim(self):
-        """Return a world in which every home takes all others for full."""
+        """Return a simulation in which every home considers all others overloaded."""
         sim = CapacitySimulation(3, ON)
         names = list(sim.agents_by_address)
         sim.cut = {frozenset((a, b)) for a in names for b in names if a != b}
@@ -308,12 +307,12 @@
             for member in agent.core.roster.by_address.values():
                 if member.address == agent.address:
                     continue
-                # Statuses that an earlier one told stand until these grow old.
+                # A member keeps the state of earlier statuses until they expire.
                 member.state = State.READY
-                told = Status(
+                status = Status(
                     member.incarnation, State.READY, 4, 9.0, 0, 0.0, 9.0, sections
                 )
-                member.update(told, sim.now + 1.5)
+                member.update(status, sim.now + 1.5)
         sim.run(0.25)
         return sim
 
@@ -329,10 +328,10 @@
         assert not any(agent.target.openings for agent in sim.agents)
 
     def test_a_client_that_got_no_reset_is_served(self, sim, monkeypatch):
-        """Symptom: a client is never served though others are.
+        """A client is never served although others are.
 
-        Sequence: its reset gets lost, it sends copies. Cause: they were taken for
-        copies of an opening that has ended.
+        Its reset is lost, and it sends copies, which are treated as copies of an
+        opening that has ended.
         """
         send = sim.send_client
         lost = lambda sender, flow, raw: (  # noqa: E731
@@ -348,7 +347,7 @@
         sim.run(0.5)
         assert flow.answers
 
-    def test_one_that_the_network_doubled_changes_nothing(self, sim):
+    def test_a_duplicate_from_the_network_changes_nothing(self, sim):
         flow = sim.open_at("a", 1)
         again = sim.codec.write(flow.key, Flag.OPENING, flow.first, 0)
         sim.run(0.01)
--- a/packages/zinniahook-testkit/tests/test_packet_slow_openings.py
+++ b/packages/zinniahook-testkit/tests/test_packet_slow_openings.py
@@ -1,4 +1,4 @@
-"""Targets that answer openings late, after their agents have given them up."""
+"""Targets that answer an opening after their agent has withdrawn it."""
 
 import pytest
 from zinniahook_core.packets import Flag
@@ -9,11 +9,11 @@
 FLOW = flow_key("100.64.0.1", 1024, "198.18.0.1", 8443)
 CLIENT_FIRST, TARGET_FIRST = 7000, 90_000
 SILENT_FOR = 0.3
-"""Seconds without an answer: the agent takes its opening back after 0.1."""
+"""Seconds without an answer; the agent withdraws its opening after 0.1 s."""
 
 
 class Recorded:
-    """The links of one agent, which keep what goes to the target."""
+    """The links of one agent, which record packets to the target."""
 
     def __init__(self):
         self.given = []
@@ -27,17 +27,16 @@
             self.resets.append(raw)
 
     def to_peer(self, address, data):
-        """Nobody else is there."""
+        """Do nothing, as there is no peer."""
 
 
 class TestOpeningsThatAreAnsweredLate:
-    """Symptom: a flow is reset as it opens, though its target holds it.
+    """A flow is reset while it opens, although its target holds it.
 
-    Sequence: a target stands still for a moment, its agent takes back the opening
-    that it gave it; then the target answers, a copy of the opening comes, and the
-    client's first data. Cause: the copy was taken for another opening, and what the
-    agent had just learned of the target's number was forgotten until the target
-    repeated it.
+    A target pauses briefly, and its agent withdraws the opening. Then the target
+    answers, and a copy of the opening and the client's first data arrive. If the copy
+    is treated as another opening, the agent forgets the target's initial number until
+    the target repeats it.
     """
 
     @pytest.fixture
@@ -75,7 +74,7 @@
         )
 
     def open_late(self, sim, agent):
-        """Let the target answer an opening that its agent has taken back."""
+        """Answer an opening at the target after its agent has withdrawn it."""
         opening = Flag.OPENING, CLIENT_FIRST, 0
         self.forward(sim, agent, *opening, marks=Mark.PLACED)
         sim.run(SILENT_FOR)
@@ -96,7 +95,7 @@
         assert agent.links.given[-1] == data
 
     def test_data_for_another_target_does_not(self, sim, agent):
-        """The client chose one that answered sooner."""
+        """The client chose another target that answered sooner."""
         self.open_late(sim, agent)
         sequence, acknowledged = CLIENT_FIRST + 1, TARGET_FIRST + (1 << 20)
         data = self.forward(
