--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetsimulation.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetsimulation.py
@@ -266,7 +266,7 @@
         if agent.core is None or target is None or not target.alive or target.silent:
             return
         agent.heartbeats += 1
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             target.name,
             agent.service,
             target.slots,
@@ -275,7 +275,7 @@
             agent.heartbeats,
             agent.born,
         )
-        agent.core.heartbeat(self.now, beat)
+        agent.core.heartbeat(self.now, heartbeat)
         if target.leaving and agent.leaving_reported_at is None:
             agent.leaving_reported_at = self.now
 
@@ -319,8 +319,8 @@
             if agent.centre in self.evacuated:
                 opened = (self.now, agent.address, packet.flow)
                 self.evacuated_openings.append(opened)
-            told = agent.leaving_reported_at
-            if told is not None and self.now - told > DRAIN_SECONDS:
+            reported_at = agent.leaving_reported_at
+            if reported_at is not None and self.now - reported_at > DRAIN_SECONDS:
                 self.late_openings.append(packet.flow)
         for delay, answer in answers:
             self.at(delay, lambda raw=answer: self._from_target(agent, target, raw))
@@ -356,9 +356,9 @@
         if core is None or peer is None:
             return
         known = peer.formers
-        told = known.rows(self.now) if known.is_complete else None
+        rows = known.rows(self.now) if known.is_complete else None
         routes = peer.routes
-        self.at(0.002, lambda: core.configure(self.now, routes, told))
+        self.at(0.002, lambda: core.configure(self.now, routes, rows))
 
     def _core(self, address: str) -> Entry | Agent | None:
         entry = self.entries_by_address.get(address)
--- a/packages/zinniahook-testkit/tests/test_keyspaces.py
+++ b/packages/zinniahook-testkit/tests/test_keyspaces.py
@@ -1,4 +1,4 @@
-"""The stand-in's data against a plain model of every revision."""
+"""The data of the fake store against a plain model of every revision."""
 
 import pytest
 from hypothesis import given
--- a/packages/zinniahook-testkit/tests/test_packet_answers.py
+++ b/packages/zinniahook-testkit/tests/test_packet_answers.py
@@ -127,7 +127,7 @@
         sim.run(1.0)
         bodies = statuses(sim)
         openings_at(sim, agent, 100)
-        told = [decode_status(body).sections for body in bodies]
-        assert any(Section.HEALTH in sections for sections in told)
-        assert not all(Section.HEALTH in sections for sections in told)
+        received = [decode_status(body).sections for body in bodies]
+        assert any(Section.HEALTH in sections for sections in received)
+        assert not all(Section.HEALTH in sections for sections in received)
         assert not sim.findings()
--- a/packages/zinniahook-testkit/tests/test_packet_evacuations.py
+++ b/packages/zinniahook-testkit/tests/test_packet_evacuations.py
@@ -250,9 +250,9 @@
             agent.core.data_centres = frozenset(known)
         sim.evacuate(EVACUATED, "nowhere")
         sim.run(IN_FORCE_SECONDS)
-        told = {
+        logged = {
             tuple(fields["unknown"])
             for name, fields in sim.log.lines
             if name == "evacuations.installed" and fields["centres"]
         }
-        assert (("nowhere",) in told) == bool(known)
+        assert (("nowhere",) in logged) == bool(known)
--- a/packages/zinniahook-testkit/tests/test_packet_machine.py
+++ b/packages/zinniahook-testkit/tests/test_packet_machine.py
@@ -1,9 +1,8 @@
-"""A state machine of the packet service: any troubles, in any order.
+"""A state machine of the packet service: any faults in any order.
 
-Sequences of restarts, crashes, cuts, drains and joins overlap while clients
-open flows and use them. Whatever comes, no flow whose target lives is reset or
-strays, no leaving target takes openings, and once it is calm again every flow
-that a target holds is served.
+Restarts, crashes, cut links, drains and joins overlap while clients open and use
+flows. No flow whose target runs is reset or misrouted, no leaving target takes
+openings, and every flow that a target holds is served once the faults have ended.
 """
 
 from hypothesis import settings
@@ -14,8 +13,8 @@
 INDEX = st.integers(0, 100)
 MOMENT = st.sampled_from([0.0, 0.02, 0.05, 0.1, 0.3, 0.7])
 OUTAGE = st.sampled_from([0.1, 0.5, 1.0, 2.5])
-"""Seconds that a process, a target or a link is away. An outage of over 4 s may
-cost flows, as nobody can tell then whether they still live."""
+"""Seconds for which a process, a target or a link is down. An outage of over 4 s may
+end flows, as no agent knows then whether they are still open."""
 
 SETTLE_SECONDS = 6.0
 MAX_AGENTS = 9
--- a/packages/zinniahook-testkit/tests/test_packet_members.py
+++ b/packages/zinniahook-testkit/tests/test_packet_members.py
@@ -10,7 +10,7 @@
 
 
 def partitioned_simulation(seed):
-    """Return a simulation with an agent and the half of its peers that don't know it."""
+    """Return a simulation and an agent that half of its peers don't know."""
     sim = PacketSimulation(seed, {"tally": 24})
     agents = list(sim.agents_by_address.values())
     alone, *others = agents
--- a/packages/zinniahook-testkit/tests/test_packet_restore_machine.py
+++ b/packages/zinniahook-testkit/tests/test_packet_restore_machine.py
@@ -1,8 +1,8 @@
-"""The state machine of the packet service, with a store that is restored.
+"""The state machine of the packet service with restores of the store.
 
-All troubles of the machine with splits, orders to evacuate a data centre, and the
-store coming back from older copies. Open flows stay where they are, and an order
-is in force within its time, whatever else comes.
+It adds evacuations of data centres and restores of the store from older copies to the
+faults of the machine with splits. Open flows keep their targets, and an order is in
+force within its time limit.
 """
 
 from hypothesis import settings
@@ -14,7 +14,7 @@
 from zinniahook_testkit.packetstores import OPERATOR_DELAY_SECONDS
 
 IN_FORCE_SECONDS = 5.0
-"""Seconds that operators are told."""
+"""The limit that operators are given."""
 
 
 class RestoreMachine(SplitMachine):
@@ -62,10 +62,10 @@
 
 
 class TestTracedExamples:
-    """Examples that broke something once, as they were found."""
+    """Examples that once violated a guarantee, with their original steps."""
 
     def test_flows_of_a_former_service_are_found_after_a_restore(self):
-        """Guards against forgetting a service that a route led to before a restore."""
+        """A service that a route led to before a restore is forgotten."""
         machine = RestoreMachine()
         machine.begin(seed=67, loss=0.02)
         machine.restore_the_store(seconds=5.0)
@@ -75,7 +75,7 @@
         machine.teardown()
 
     def test_owners_are_reached_though_everything_runs_for_a_moment(self):
-        """Guards against strays in the moments between restarts of everything."""
+        """Flows are misrouted in the short times between restarts of everything."""
         misrouted = []
         for seed in (7172, 7186, 7189, 7196, 7197):
             machine = RestoreMachine()
--- a/packages/zinniahook-testkit/tests/test_packet_split_machine.py
+++ b/packages/zinniahook-testkit/tests/test_packet_split_machine.py
@@ -1,7 +1,7 @@
 """The state machine of the packet service with a split route beside a plain one.
 
-Whatever troubles come while a route's split changes, open flows stay where they
-are: none whose target lives is reset or strays.
+Whatever fails while a route's split changes, no open flow whose target runs is reset
+or misrouted.
 """
 
 from hypothesis import settings
@@ -64,13 +64,14 @@
 
 
 class TestTracedExamples:
-    """Examples that broke something once, as they were found."""
+    """Examples that once violated a guarantee, with their original steps."""
 
     def test_what_a_home_did_not_know_is_soon_asked_again(self):
-        """Symptom: packets of a flow reach four other targets and none its own.
-        Sequence: everything restarts, an entry asks both services of a split
-        route, a search finds the owner, the entry gets a packet 3 s later.
-        Cause: it still took both homes for unknowing and had one search anew.
+        """Packets of a flow reach four other targets but not its own.
+
+        Everything restarts, an entry asks both services of a split route, and a search
+        finds the owner. When the entry gets a packet 3 s later, it still assumes that
+        neither home knows the owner and starts another search.
         """
         machine = SplitMachine()
         machine.begin(loss=0.02, seed=2713)
@@ -85,11 +86,12 @@
         machine.nothing_is_broken()
         machine.teardown()
 
-    def test_an_agent_that_runs_before_its_peers_takes_none_for_gone(self):
-        """Symptom: reset of a flow whose target lives. Sequence: an agent is
-        restarted, 0.1 s later every other process is killed for 1.4 s, the
-        agent is home of a flow. Cause: peers that it had never heard passed for
-        gone after 1.2 s.
+    def test_an_agent_that_runs_before_its_peers_considers_none_gone(self):
+        """A flow whose target runs is reset.
+
+        An agent restarts, and 0.1 s later every other process is killed for 1.4 s. The
+        agent is home of a flow and considers peers that it has never heard from gone
+        after 1.2 s.
         """
         machine = SplitMachine()
         machine.begin(loss=0.0, seed=228)
@@ -105,10 +107,11 @@
         machine.teardown()
 
     def test_a_service_with_a_dead_target_does_not_keep_packets_from_others(self):
-        """Symptom: a flow's packets reach five other targets for 2.5 s and none
-        its own. Sequence: a route gets a new service, everything restarts, a
-        target of the new service is down. Cause: the search there waited for
-        the agent of the dead target, and the former service wasn't asked.
+        """A flow's packets reach five other targets for 2.5 s but not its own.
+
+        A route gets a new service, everything restarts, and a target of the new service
+        is down. The search there waits for the agent of the dead target, and the former
+        service isn't asked.
         """
         machine = SplitMachine()
         machine.begin(loss=0.02, seed=1348)
@@ -131,10 +134,11 @@
         machine.teardown()
 
     def test_no_answer_from_a_home_does_not_mean_that_it_does_not_know(self):
-        """Symptom: packets of a flow reach four other targets and none its own.
-        Sequence: a home and an owner are cut off from each other, a packet of a
-        split route comes to an entry without a hint. Cause: the home passed it
-        on in vain, and its silence passed for not knowing the owner.
+        """Packets of a flow reach four other targets but not its own.
+
+        A home and an owner are cut off from each other, and a packet of a split route
+        reaches an entry without a hint. The home forwards it without success, and the
+        entry takes its silence as not knowing the owner.
         """
         machine = SplitMachine()
         machine.begin(loss=0.0, seed=84)
@@ -151,10 +155,11 @@
         machine.teardown()
 
     def test_an_acknowledgement_alone_is_not_searched_for(self):
-        """Symptom: a flow's last packet reaches five other targets and not its
-        own. Sequence: every process restarts, the owner is found by way of one
-        home, the client acknowledges by way of another. Cause: the second home
-        searched for what its target doesn't wait for.
+        """A flow's last packet reaches five other targets but not its own.
+
+        Every process restarts. The owner is found through one home, and the client's
+        acknowledgement goes through another. That home searches for a packet that the
+        target doesn't wait for.
         """
         machine = SplitMachine()
         machine.begin(loss=0.0, seed=8897)
@@ -177,10 +182,10 @@
         machine.teardown()
 
     def test_a_home_waits_for_its_own_target_first(self):
-        """Symptom: three other targets get a packet 4 ms after its own.
-        Sequence: every process restarts, the owner's agent is home itself and
-        tries the packet at its target. Cause: it asked others before a target
-        can have kept a packet twice.
+        """Three other targets get a packet 4 ms after its own.
+
+        Every process restarts. The owner's agent is the home and tries the packet at
+        its target, but asks peers before a target can have kept a packet twice.
         """
         machine = SplitMachine()
         machine.begin(loss=0.0, seed=2065)
@@ -202,12 +207,13 @@
         machine.teardown()
 
     def test_overlapping_restarts_with_loss(self):
-        """Symptom: packets of three flows reach three and more other targets
-        and none their own for 2 s. Sequence: every process restarts twice
-        within 1.3 s beside restarts of single agents, 2 % of datagrams are
-        lost. Cause, traced for the first of them: two homes of one service, asked
-        by two entries, search on while an agent there is away, and their waves
-        reach more targets after the owner was found in the other service. Open.
+        """Packets of three flows reach three or more other targets but not their own.
+
+        Within 1.3 s every process restarts twice and single agents restart, and 2 % of
+        datagrams are lost; the packets are misrouted for 2 s. For the first flow, two
+        homes of one service are asked by two entries and search while an agent there is
+        down. Their waves reach more targets after the owner is found in the other
+        service. This cause isn't fixed.
         """
         machine = SplitMachine()
         machine.begin(seed=3833, loss=0.02)
@@ -230,12 +236,12 @@
         machine.teardown()
 
     def test_a_search_goes_on_in_one_service_after_another_has_the_owner(self):
-        """Symptom: four targets of one service get a packet after a flow was
-        found in another one. Sequence: targets of the first service are down,
-        so that its search lasts; another entry has found the owner meanwhile.
-        Cause: the home that searches isn't told. A message from the entry that
-        learns the owner was tried and didn't help: the search is another
-        entry's. Open.
+        """Four targets of one service get a packet after the owner is found in another.
+
+        Targets of the first service are down, so its search takes longer, and another
+        entry finds the owner meanwhile. The searching home isn't notified. A message
+        from the entry that learns the owner doesn't help, as the search belongs to
+        another entry. This cause isn't fixed.
         """
         machine = SplitMachine()
         machine.begin(loss=0.02, seed=10000)
@@ -258,10 +264,11 @@
         machine.teardown()
 
     def test_an_agent_that_was_heard_for_a_moment_only(self):
-        """Symptom: flows of a living target are reset 1.2 s after everything
-        was restarted. Sequence: its agent runs for 0.05 s, tells of no target
-        yet, and is away for 2.5 s. Cause: who never told of a target passes
-        for gone after 1.2 s, unless most are silent. Open.
+        """Flows of a running target are reset 1.2 s after everything restarts.
+
+        The target's agent runs for 0.05 s, reports no target yet, and is down for
+        2.5 s. An agent that has never reported a target is considered gone after 1.2 s,
+        unless most agents are silent. This cause isn't fixed.
         """
         machine = SplitMachine()
         machine.begin(loss=0.0, seed=256)
@@ -284,7 +291,7 @@
         machine.teardown()
 
     def test_an_agent_that_was_heard_for_a_moment_only_with_loss(self):
-        """Guards against searches whose questions get lost beside an agent's outage."""
+        """Questions of a search are lost during an agent's outage."""
         machine = SplitMachine()
         machine.begin(loss=0.02, seed=30007)
         machine.drain_a_target(index=79)
--- a/packages/zinniahook-testkit/tests/test_packets.py
+++ b/packages/zinniahook-testkit/tests/test_packets.py
@@ -107,7 +107,7 @@
         count_new_answers(sim, flows)
         crashed = next(iter(sim.agents_by_address.values()))
         usual = crashed.core.target.answer_time
-        told = sim.log.counts["request.answered"]
+        answered = sim.log.counts["request.answered"]
         sim.start_target(crashed)
         crashed.target.resets_unknown = True
         lost = [flow for flow in flows if not sim.is_held(flow)]
@@ -116,7 +116,7 @@
         sim.run(0.05)
         assert {flow.state for flow in lost} == {"reset"}
         assert sim.log.counts["request.reset"] == len(lost)
-        assert sim.log.counts["request.answered"] == told
+        assert sim.log.counts["request.answered"] == answered
         assert crashed.core.target.answer_time == usual
 
 
