--- a/packages/zinniahook-testkit/src/zinniahook_testkit/packetsimulation.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/packetsimulation.py
@@ -37,6 +37,7 @@
 HEARTBEAT_SECONDS = 1.0
 NEAR_SECONDS = 0.0002
 FAR_SECONDS = 0.001
+"""Minimum delay of a datagram between data centres; `NEAR_SECONDS` within one."""
 CLIENT_DELAY_SECONDS = 0.001
 SERVICE_PORT = 8443
 DRAIN_SECONDS = 3.0
