--- a/packages/zinniahook-testkit/src/zinniahook_testkit/capacity.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/capacity.py
@@ -17,54 +17,54 @@
 ENTRIES = 7_300
 ENDPOINTS = 37_000
 SERVICES = 5_800
-FLOWS = 120_000_000
-NEW_FLOWS = 690_000
-CHANGES_A_DAY = 13_000
-FAILURES_A_DAY = 100
-RESTARTS_A_DAY = 3_000
+OPEN_FLOWS = 120_000_000
+NEW_FLOWS_PER_SECOND = 690_000
+CHANGES_PER_DAY = 13_000
+FAILURES_PER_DAY = 100
+RESTARTS_PER_DAY = 3_000
 DATA_CENTRES = 4
 
-DAY = 86_400.0
-WRITES_A_FAILURE = 3
+DAY_SECONDS = 86_400.0
+WRITES_PER_FAILURE = 3
 """Marked down, announced again, ready."""
 
-WRITES_A_RESTART = 4
+WRITES_PER_RESTART = 4
 """Leaving, removed, announced, ready."""
 
-TICKS = 10
+TICKS_PER_SECOND = 10
 FAN_OUT = 8
 LEAVES = math.ceil(ENDPOINTS / ENTRIES)
 PEERS = round(ENDPOINTS / SERVICES)
-ROSTER_CHANGES_A_DAY = (
-    FAILURES_A_DAY * WRITES_A_FAILURE + RESTARTS_A_DAY * WRITES_A_RESTART
+ROSTER_CHANGES_PER_DAY = (
+    FAILURES_PER_DAY * WRITES_PER_FAILURE + RESTARTS_PER_DAY * WRITES_PER_RESTART
 )
 
-MEMORY_BOUND = 32e6
-PROCESSOR_BOUND = 0.035
-RATE_BOUND = 8_000.0
-STORE_WRITES = 300.0
+MEMORY_BOUND_BYTES = 32e6
+PROCESSOR_BOUND_SHARE = 0.035
+RATE_BOUND_BYTES_PER_SECOND = 8_000.0
+STORE_WRITES_PER_SECOND = 300.0
 """Writes a second that we count on; the platform says several hundred."""
 
-STORE_READS = 2_000.0
+STORE_READS_PER_SECOND = 2_000.0
 
 
-PACKETS = "packet-service"
-PACKET_TICKS = 20
-BYTES_A_ROUTE = 33
+PACKET_SCENARIO = "packet-service"
+PACKET_TICKS_PER_SECOND = 20
+BYTES_PER_ROUTE = 33
 """Of a route in the operator's document as daemons pass it on, compressed:
 155 bytes before, counted in one with 5,800 routes of random names."""
 
-BYTES_A_DIFFERENCE = 186
+BYTES_PER_DIFFERENCE = 186
 """Of one changed route among 5,800, compressed; counted likewise."""
 
-BYTES_A_CALL = 900
+BYTES_PER_CALL = 900
 """Of a call between daemons: its connection, two heads and the question, with
 the heads of IP and TCP; ten packets of 52 bytes and 380 bytes of text."""
 
-LOOK_EVERY = 0.4
+POLL_INTERVAL_SECONDS = 0.4
 """Seconds between two reads of the daemon that watches the store."""
 
-CALLS_A_START = 4
+CALLS_PER_START = 4
 """Configuration, agents, announcement, withdrawal."""
 
 
@@ -126,7 +126,7 @@
         "memory of control",
         base + SERVICES * service + ENDPOINTS * one,
         "B",
-        MEMORY_BOUND,
+        MEMORY_BOUND_BYTES,
         f"{base:,.0f} + {SERVICES} x {service:.0f} + {ENDPOINTS} x {one:.0f}",
         "entry-memory",
     )
@@ -137,7 +137,7 @@
         "private memory that the size adds to the process",
         large - small,
         "B",
-        MEMORY_BOUND,
+        MEMORY_BOUND_BYTES,
         f"{large / 1e6:.1f} MB at full size, {small / 1e6:.1f} MB with one service",
         "distribution",
     )
@@ -146,7 +146,7 @@
         "private memory of the whole process",
         large,
         "B",
-        MEMORY_BOUND,
+        MEMORY_BOUND_BYTES,
         "the interpreter and imports with it",
         "distribution",
     )
@@ -156,7 +156,7 @@
         figure("entry-memory", "bytes per open flow"),
         "B",
         None,
-        f"{FLOWS / ENTRIES:,.0f} open flows an entry",
+        f"{OPEN_FLOWS / ENTRIES:,.0f} open flows an entry",
         "entry-memory",
     )
     tick = figure("entry-control", f"tick at {SERVICES}") * 1e-6
@@ -165,11 +165,12 @@
     yield Row(
         "entry",
         "processor of the core",
-        TICKS * tick + (CHANGES_A_DAY * change + ROSTER_CHANGES_A_DAY * roster) / DAY,
+        TICKS_PER_SECOND * tick
+        + (CHANGES_PER_DAY * change + ROSTER_CHANGES_PER_DAY * roster) / DAY_SECONDS,
         "s/s",
-        PROCESSOR_BOUND,
-        f"{TICKS}/s x {tick * 1e6:.1f} µs + {CHANGES_A_DAY} a day x"
-        f" {change * 1e3:.2f} ms + {ROSTER_CHANGES_A_DAY} a day x"
+        PROCESSOR_BOUND_SHARE,
+        f"{TICKS_PER_SECOND}/s x {tick * 1e6:.1f} µs + {CHANGES_PER_DAY} a day x"
+        f" {change * 1e3:.2f} ms + {ROSTER_CHANGES_PER_DAY} a day x"
         f" {roster * 1e6:.0f} µs",
         "entry-control",
     )
@@ -180,7 +181,7 @@
         1e6 / packet,
         "1/s",
         None,
-        f"1 / {packet:.1f} µs; {NEW_FLOWS / ENTRIES:.0f} new flows a second",
+        f"1 / {packet:.1f} µs; {NEW_FLOWS_PER_SECOND / ENTRIES:.0f} new flows a second",
         "entry-packets",
     )
 
@@ -194,7 +195,7 @@
         "memory of control in the core",
         base + PEERS * one,
         "B",
-        MEMORY_BOUND,
+        MEMORY_BOUND_BYTES,
         f"{base:,.0f} + {PEERS} x {one:.0f}",
         "agent-memory",
     )
@@ -204,7 +205,7 @@
             f"processor of control, {peers} peers",
             figure("agent-control", f"processor at {peers} peers"),
             "s/s",
-            PROCESSOR_BOUND,
+            PROCESSOR_BOUND_SHARE,
             "as measured",
             "agent-control",
         )
@@ -213,11 +214,11 @@
             f"bytes sent, {peers} peers",
             figure("agent-control", f"sent at {peers} peers"),
             "B/s",
-            RATE_BOUND,
+            RATE_BOUND_BYTES_PER_SECOND,
             "as measured, headers of IP and UDP included",
             "agent-control",
         )
-    flows = FLOWS / ENDPOINTS
+    flows = OPEN_FLOWS / ENDPOINTS
     connection = figure("agent-connections", "bytes per open connection")
     yield Row(
         "agent",
@@ -238,7 +239,7 @@
         f"{flows:,.0f} x {plain:.0f}",
         "agent-memory",
     )
-    new = NEW_FLOWS / ENDPOINTS
+    new = NEW_FLOWS_PER_SECOND / ENDPOINTS
     spent = figure("agent-connections", "processor per connection")
     yield Row(
         "agent",
@@ -256,14 +257,16 @@
     whole = figure("distribution", "change, all services")
     roster = figure("distribution", "change of a roster")
     digests = figure("distribution", "digests a second, all services")
-    received = (CHANGES_A_DAY * whole + ROSTER_CHANGES_A_DAY * roster) / DAY + digests
+    received = (
+        CHANGES_PER_DAY * whole + ROSTER_CHANGES_PER_DAY * roster
+    ) / DAY_SECONDS + digests
     yield Row(
         "relay",
         "bytes received",
         received,
         "B/s",
-        RATE_BOUND,
-        f"{CHANGES_A_DAY} a day x {whole:.0f} + {ROSTER_CHANGES_A_DAY} a day x"
+        RATE_BOUND_BYTES_PER_SECOND,
+        f"{CHANGES_PER_DAY} a day x {whole:.0f} + {ROSTER_CHANGES_PER_DAY} a day x"
         f" {roster:.0f} + {digests:.0f}/s",
         "distribution",
     )
@@ -273,7 +276,7 @@
         "bytes sent",
         FAN_OUT * received + LEAVES * leaf,
         "B/s",
-        RATE_BOUND,
+        RATE_BOUND_BYTES_PER_SECOND,
         f"{FAN_OUT} subscribers of all services, {LEAVES} agents x {leaf:.0f}",
         "distribution",
     )
@@ -282,10 +285,10 @@
     yield Row(
         "relay",
         "processor of changes",
-        CHANGES_A_DAY * max(child, parent) / DAY,
+        CHANGES_PER_DAY * max(child, parent) / DAY_SECONDS,
         "s/s",
-        PROCESSOR_BOUND,
-        f"{CHANGES_A_DAY} a day x {max(child, parent) * 1e3:.1f} ms",
+        PROCESSOR_BOUND_SHARE,
+        f"{CHANGES_PER_DAY} a day x {max(child, parent) * 1e3:.1f} ms",
         "distribution",
     )
 
@@ -295,40 +298,40 @@
     yield Row(
         "store",
         "calls of configuration changes",
-        CHANGES_A_DAY * calls / DAY,
+        CHANGES_PER_DAY * calls / DAY_SECONDS,
         "1/s",
-        STORE_READS,
-        f"{CHANGES_A_DAY} a day x {calls:.1f}, whatever the fleet",
+        STORE_READS_PER_SECOND,
+        f"{CHANGES_PER_DAY} a day x {calls:.1f}, whatever the fleet",
         "rollout-tree",
     )
     yield Row(
         "store",
         "roster writes, ordinary day",
-        ROSTER_CHANGES_A_DAY / DAY,
+        ROSTER_CHANGES_PER_DAY / DAY_SECONDS,
         "1/s",
-        STORE_WRITES,
-        f"{FAILURES_A_DAY} x {WRITES_A_FAILURE} + {RESTARTS_A_DAY} x"
-        f" {WRITES_A_RESTART} a day",
+        STORE_WRITES_PER_SECOND,
+        f"{FAILURES_PER_DAY} x {WRITES_PER_FAILURE} + {RESTARTS_PER_DAY} x"
+        f" {WRITES_PER_RESTART} a day",
         "by counting",
     )
     yield Row(
         "store",
         "seconds to mark a data centre down",
-        min(SERVICES, ENDPOINTS / DATA_CENTRES) / STORE_WRITES,
+        min(SERVICES, ENDPOINTS / DATA_CENTRES) / STORE_WRITES_PER_SECOND,
         "s",
         None,
         "one write a roster marks all of its silent members;"
-        f" {SERVICES} rosters at {STORE_WRITES:.0f}/s",
+        f" {SERVICES} rosters at {STORE_WRITES_PER_SECOND:.0f}/s",
         "by counting",
     )
     back = ENDPOINTS / DATA_CENTRES * 2
     yield Row(
         "store",
         "seconds to announce a data centre again",
-        back / STORE_WRITES,
+        back / STORE_WRITES_PER_SECOND,
         "s",
         None,
-        f"{back:,.0f} writes at {STORE_WRITES:.0f}/s",
+        f"{back:,.0f} writes at {STORE_WRITES_PER_SECOND:.0f}/s",
         "by counting",
     )
     largest = results.figure("configuration-size", "largest value of the limit")
@@ -347,9 +350,9 @@
     """Compute the rows of the packet service."""
 
     def figure(name: str) -> float:
-        return results.figure(PACKETS, name)
+        return results.figure(PACKET_SCENARIO, name)
 
-    hints = FLOWS / ENTRIES
+    hints = OPEN_FLOWS / ENTRIES
     yield Row(
         "packet entry",
         "memory of owners remembered (data path)",
@@ -357,7 +360,7 @@
         "B",
         None,
         f"{hints:,.0f} open flows x {figure('entry: bytes a flow'):.0f}",
-        PACKETS,
+        PACKET_SCENARIO,
     )
     packet = figure("entry: processor a packet")
     yield Row(
@@ -367,9 +370,9 @@
         "1/s",
         None,
         f"1 / {packet:.1f} us",
-        PACKETS,
+        PACKET_SCENARIO,
     )
-    flows = FLOWS / ENDPOINTS
+    flows = OPEN_FLOWS / ENDPOINTS
     yield Row(
         "packet agent",
         "memory of flows (data path)",
@@ -377,7 +380,7 @@
         "B",
         None,
         f"{flows:,.0f} x {figure('agent: bytes a flow'):.0f}",
-        PACKETS,
+        PACKET_SCENARIO,
     )
     for peers in (6, 44):
         tick = figure(f"agent: processor a tick with {peers} peers")
@@ -386,40 +389,41 @@
             f"bytes sent to {peers} peers",
             figure(f"agent: bytes sent with {peers} peers"),
             "B/s",
-            RATE_BOUND,
+            RATE_BOUND_BYTES_PER_SECOND,
             "as measured, headers of IP and UDP included",
-            PACKETS,
+            PACKET_SCENARIO,
         )
         yield Row(
             "packet agent",
             f"processor of ticks, {peers} peers",
-            PACKET_TICKS * tick / 1e6,
+            PACKET_TICKS_PER_SECOND * tick / 1e6,
             "s/s",
-            PROCESSOR_BOUND,
-            f"{PACKET_TICKS}/s x {tick:.0f} us",
-            PACKETS,
+            PROCESSOR_BOUND_SHARE,
+            f"{PACKET_TICKS_PER_SECOND}/s x {tick:.0f} us",
+            PACKET_SCENARIO,
         )
-    whole = SERVICES * BYTES_A_ROUTE
-    starts = RESTARTS_A_DAY / (ENTRIES + ENDPOINTS)
-    changes = CHANGES_A_DAY * (BYTES_A_DIFFERENCE + BYTES_A_CALL)
+    whole = SERVICES * BYTES_PER_ROUTE
+    starts = RESTARTS_PER_DAY / (ENTRIES + ENDPOINTS)
+    changes = CHANGES_PER_DAY * (BYTES_PER_DIFFERENCE + BYTES_PER_CALL)
     yield Row(
         "packet daemon",
         "bytes of configurations received",
-        (changes + starts * whole) / DAY,
+        (changes + starts * whole) / DAY_SECONDS,
         "B/s",
-        RATE_BOUND,
-        f"{CHANGES_A_DAY} a day x ({BYTES_A_DIFFERENCE} + {BYTES_A_CALL} of the "
+        RATE_BOUND_BYTES_PER_SECOND,
+        f"{CHANGES_PER_DAY} a day x ({BYTES_PER_DIFFERENCE} + {BYTES_PER_CALL} of the "
         f"call) + {starts:.2f} starts x {whole}; whole documents with each change "
-        f"would be {CHANGES_A_DAY / DAY * whole / 1000:.1f} KB/s",
+        f"would be {CHANGES_PER_DAY / DAY_SECONDS * whole / 1000:.1f} KB/s",
         "by counting",
     )
     yield Row(
         "store",
         "calls of the packet service, ordinary day",
-        1 / LOOK_EVERY + RESTARTS_A_DAY * CALLS_A_START / DAY,
+        1 / POLL_INTERVAL_SECONDS + RESTARTS_PER_DAY * CALLS_PER_START / DAY_SECONDS,
         "1/s",
-        STORE_READS,
-        f"one watcher each {LOOK_EVERY} s + {RESTARTS_A_DAY} starts x {CALLS_A_START}",
+        STORE_READS_PER_SECOND,
+        f"one watcher each {POLL_INTERVAL_SECONDS} s + {RESTARTS_PER_DAY} starts x"
+        f" {CALLS_PER_START}",
         "by counting",
     )
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/connections.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/connections.py
@@ -37,9 +37,9 @@
 __all__ = ["Cost", "Stream", "measure", "measure_streams"]
 
 PATH = "/ledger?size=1000"
-AT_A_TIME = 8
-WARMING = 16
-IDLE_TIMEOUT = 300.0
+MAX_CONCURRENT_OPENS = 8
+WARMUP_CONNECTIONS = 16
+IDLE_TIMEOUT_SECONDS = 300.0
 
 PLAN = ServicePlan(
     name="ledger",
@@ -112,12 +112,14 @@
 
 async def _open(address: Address, count: int, stack: AsyncExitStack) -> None:
     """Open connections that last until the stack closes."""
-    limit = asyncio.Semaphore(AT_A_TIME)
+    limit = asyncio.Semaphore(MAX_CONCURRENT_OPENS)
     configuration = QuicConfiguration(
-        alpn_protocols=["h3"], verify_mode=ssl.CERT_NONE, idle_timeout=IDLE_TIMEOUT
+        alpn_protocols=["h3"],
+        verify_mode=ssl.CERT_NONE,
+        idle_timeout=IDLE_TIMEOUT_SECONDS,
     )
 
-    async def one() -> None:
+    async def open_one() -> None:
         async with limit:
             client = await stack.enter_async_context(
                 connect(*address, configuration=configuration, create_protocol=Client)
@@ -126,13 +128,13 @@
             if status != b"200":
                 raise RuntimeError(f"a request ended with status {status!r}")
 
-    await asyncio.gather(*(one() for _ in range(count)))
+    await asyncio.gather(*(open_one() for _ in range(count)))
 
 
 async def cost(process: Process, address: Address, count: int) -> Cost:
     """Measure one serving process over ``count`` new connections."""
     async with AsyncExitStack() as stack:
-        await _open(address, WARMING, stack)
+        await _open(address, WARMUP_CONNECTIONS, stack)
         memory, processor = process.resident(), process.processor_time()
         await _open(address, count, stack)
         return Cost(
@@ -187,7 +189,9 @@
         If the answer isn't whole.
     """
     configuration = QuicConfiguration(
-        alpn_protocols=["h3"], verify_mode=ssl.CERT_NONE, idle_timeout=IDLE_TIMEOUT
+        alpn_protocols=["h3"],
+        verify_mode=ssl.CERT_NONE,
+        idle_timeout=IDLE_TIMEOUT_SECONDS,
     )
     async with connect(
         *address, configuration=configuration, create_protocol=Client
@@ -230,7 +234,7 @@
 
 async def _serve_plain(certificate: str, key: str) -> None:
     configuration = QuicConfiguration(
-        alpn_protocols=["h3"], is_client=False, idle_timeout=IDLE_TIMEOUT
+        alpn_protocols=["h3"], is_client=False, idle_timeout=IDLE_TIMEOUT_SECONDS
     )
     configuration.load_cert_chain(certificate, key)
     server = await serve(
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/distributions.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/distributions.py
@@ -34,27 +34,27 @@
 from .scenarios import Figure, scenario
 from .slopes import roster
 
-__all__ = ["Bench", "Listener", "Spent", "measure"]
+__all__ = ["Bench", "Listener", "Usage", "measure"]
 
-READY_TIMEOUT = 90.0
+READY_TIMEOUT_SECONDS = 90.0
 """Seconds for an entry to read, or to learn, everything."""
 
-ARRIVAL_TIMEOUT = 30.0
+ARRIVAL_TIMEOUT_SECONDS = 30.0
 """Seconds for a change to reach a subscriber."""
 
-SETTLED = 0.1
+SETTLE_SECONDS = 0.1
 """Seconds after the arrival in which what belongs to a change still flows."""
 
-IDLE = 10.0
+IDLE_SECONDS = 10.0
 """Seconds over which the digests are counted."""
 
-HEADERS = 104
+HEADER_BYTES = 104
 """Bytes of IPv4 and TCP with timestamps around one message and its
 acknowledgement, assumed; a proxy doesn't see them."""
 
-DAY = 86400.0
+DAY_SECONDS = 86400.0
 FIRST_PORT = 10_000
-WATCHED = "service-1"
+SUBSCRIBED_SERVICE = "service-1"
 """The service of the subscriber that wants a single one."""
 
 CLASSES_BY_NAME = {
@@ -62,7 +62,7 @@
 }
 
 
-class Spent(NamedTuple):
+class Usage(NamedTuple):
     """Bytes to each kind of subscriber, and processor seconds of both entries."""
 
     all_services: float
@@ -70,20 +70,20 @@
     parent: float
     child: float
 
-    def __sub__(self, other: Spent) -> Spent:
-        return Spent(*(a - b for a, b in zip(self, other, strict=True)))
+    def __sub__(self, other: Usage) -> Usage:
+        return Usage(*(a - b for a, b in zip(self, other, strict=True)))
 
-    def __truediv__(self, count: float) -> Spent:
-        return Spent(*(value / count for value in self))
+    def __truediv__(self, count: float) -> Usage:
+        return Usage(*(value / count for value in self))
 
 
 class Costs(NamedTuple):
     """What a second without changes costs, and one change of each kind."""
 
-    idle: Spent
-    change: Spent
-    own: Spent
-    roster: Spent
+    idle: Usage
+    change: Usage
+    own: Usage
+    roster: Usage
 
 
 class Listener:
@@ -105,7 +105,7 @@
 
     async def wait(self, generation: int = 0, revision: int = 0) -> None:
         """Wait until a generation and a revision of the roster have come."""
-        async with asyncio.timeout(ARRIVAL_TIMEOUT), self._changed:
+        async with asyncio.timeout(ARRIVAL_TIMEOUT_SECONDS), self._changed:
             await self._changed.wait_for(
                 lambda: self.generation >= generation and self.revision >= revision
             )
@@ -118,16 +118,16 @@
 
     async def _read(self) -> None:
         request = SubscribeRequest(
-            subscriber="127.0.0.1:1", revisions_by_service={WATCHED: 0}
+            subscriber="127.0.0.1:1", revisions_by_service={SUBSCRIBED_SERVICE: 0}
         )
         async with ControlStub(self._channel).Subscribe.open() as stream:
             await stream.send_message(request, end=True)
             async for update in stream:
                 async with self._changed:
-                    self._note(update)
+                    self._record(update)
                     self._changed.notify_all()
 
-    def _note(self, update) -> None:
+    def _record(self, update) -> None:
         if update.WhichOneof("update") == "digest":
             # Sent after all that it sums up.
             self.generation = update.digest.generation
@@ -157,7 +157,9 @@
         self._files = Authority(self._folder).issue("bench")
         self._keys = new_keys()
         self._generation = 0
-        self._services = {one.name: one for one in map(_service, _numbers(services))}
+        self._services = {
+            service.name: service for service in map(_service, _numbers(services))
+        }
         self._sizes = {
             name: members // services + (number <= members % services)
             for number, name in enumerate(self._services, 1)
@@ -171,7 +173,7 @@
         values_by_key = {
             documents.roster_key(name): self._roster(name) for name in self._services
         }
-        _written(await self.store.put_many(values_by_key))
+        _require_written(await self.store.put_many(values_by_key))
         self.parent = self._entry(1, None)
         control = self.parent.ready["control"]
         self.to_child = self._stack.enter_context(faults.start(control))
@@ -182,9 +184,11 @@
         """Subscribe for one service at a control address."""
         return Listener(Address.parse(address), _context(self._files))
 
-    def draw(self, rng: random.Random, count: int) -> list[str]:
+    def sample_services(self, rng: random.Random, count: int) -> list[str]:
         """Draw services besides the one that listeners want."""
-        return rng.sample([name for name in self._services if name != WATCHED], count)
+        return rng.sample(
+            [name for name in self._services if name != SUBSCRIBED_SERVICE], count
+        )
 
     async def change(self, name: str) -> int:
         """Change one service; return the generation."""
@@ -195,11 +199,11 @@
     async def change_roster(self, name: str) -> int:
         """Write a roster once more, as after a target's change; return its revision."""
         outcome = await self.store.put(documents.roster_key(name), self._roster(name))
-        return _written(outcome)
+        return _require_written(outcome)
 
-    def spent(self) -> Spent:
+    def usage(self) -> Usage:
         """Return what has been spent up to now."""
-        return Spent(
+        return Usage(
             sum(self.to_child.state()["bytes"].values()),
             sum(self.to_listener.state()["bytes"].values()),
             _processor_time(self.parent),
@@ -224,14 +228,14 @@
             values_by_key = {
                 key: value for key, value in values_by_key.items() if key not in held
             }
-        _written(await self.store.put_many(values_by_key))
+        _require_written(await self.store.put_many(values_by_key))
         key = documents.generation_key(self._generation)
         pointer = documents.Pointer(self._generation, operation)
         last = {
             key: documents.manifest_to_json(parts.manifest),
             documents.POINTER_KEY: documents.pointer_to_json(pointer),
         }
-        _written(await self.store.transact({}, last))
+        _require_written(await self.store.transact({}, last))
         return self._generation
 
     def _roster(self, name: str) -> bytes:
@@ -264,7 +268,7 @@
         path = self._folder / f"entry-{number}.toml"
         path.write_text(tomli_w.dumps(settings))
         process = start(
-            "zinniahook_daemon.main", "--settings", path, timeout=READY_TIMEOUT
+            "zinniahook_daemon.main", "--settings", path, timeout=READY_TIMEOUT_SECONDS
         )
         return self._stack.enter_context(process)
 
@@ -298,8 +302,8 @@
         bench = Bench(stack, services, members, seed)
         costs = asyncio.run(_measure(bench, changes, random.Random(seed)))
         private, resident = bench.child.private(), bench.child.resident()
-    a_second = _rates(costs, changes_a_day / DAY)
-    relay = a_second.all_services * fan_out + a_second.one_service * leaves
+    per_second = _rates(costs, changes_a_day / DAY_SECONDS)
+    relay = per_second.all_services * fan_out + per_second.one_service * leaves
     return [
         Figure("change, all services", costs.change.all_services, "B"),
         Figure("change of another, one service", costs.change.one_service, "B"),
@@ -307,8 +311,8 @@
         Figure("change of a roster", costs.roster.all_services, "B"),
         Figure("digests a second, all services", costs.idle.all_services, "B/s"),
         Figure("digests a second, one service", costs.idle.one_service, "B/s"),
-        Figure("subscriber of all services", a_second.all_services, "B/s"),
-        Figure("subscriber of one service", a_second.one_service, "B/s"),
+        Figure("subscriber of all services", per_second.all_services, "B/s"),
+        Figure("subscriber of one service", per_second.one_service, "B/s"),
         Figure("daemon with its subscribers", relay, "B/s"),
         Figure("parent's processor time a change", costs.change.parent * 1e3, "ms"),
         Figure("child's processor time a change", costs.change.child * 1e3, "ms"),
@@ -320,57 +324,65 @@
 async def _measure(bench: Bench, changes: int, rng: random.Random) -> Costs:
     await bench.start()
     async with (
-        aclosing(bench.listen(bench.to_listener.address)) as near,
-        aclosing(bench.listen(bench.child.ready["control"])) as far,
+        aclosing(bench.listen(bench.to_listener.address)) as parent_listener,
+        aclosing(bench.listen(bench.child.ready["control"])) as child_listener,
     ):
-        await near.wait(1, 1)
-        await far.wait(1, 1)
+        await parent_listener.wait(1, 1)
+        await child_listener.wait(1, 1)
         idle = await _idle(bench)
-        change = await _changes(bench, (near, far), bench.draw(rng, changes))
-        own = await _changes(bench, (near, far), [WATCHED] * changes)
-        written = await _rosters(bench, (near, far), changes)
+        change = await _changes(
+            bench,
+            (parent_listener, child_listener),
+            bench.sample_services(rng, changes),
+        )
+        own = await _changes(
+            bench, (parent_listener, child_listener), [SUBSCRIBED_SERVICE] * changes
+        )
+        written = await _rosters(bench, (parent_listener, child_listener), changes)
     bench.store.close()
     return Costs(idle, change, own, written)
 
 
-def _rates(costs: Costs, changes: float) -> Spent:
+def _rates(costs: Costs, changes: float) -> Usage:
     """Return what is spent a second, with headers, at so many changes a second."""
     idle, change = costs.idle, costs.change
-    return Spent(
-        idle.all_services + HEADERS + (change.all_services + HEADERS) * changes,
-        idle.one_service + HEADERS + (change.one_service + HEADERS) * changes,
+    return Usage(
+        idle.all_services
+        + HEADER_BYTES
+        + (change.all_services + HEADER_BYTES) * changes,
+        idle.one_service + HEADER_BYTES + (change.one_service + HEADER_BYTES) * changes,
         idle.parent + change.parent * changes,
         idle.child + change.child * changes,
     )
 
 
-async def _idle(bench: Bench) -> Spent:
+async def _idle(bench: Bench) -> Usage:
     """Return what is spent a second while nothing changes."""
-    before = bench.spent()
-    await asyncio.sleep(IDLE)
-    return (bench.spent() - before) / IDLE
+    before = bench.usage()
+    await asyncio.sleep(IDLE_SECONDS)
+    return (bench.usage() - before) / IDLE_SECONDS
 
 
 async def _changes(
     bench: Bench, listeners: tuple[Listener, ...], names: list[str]
-) -> Spent:
-    before = bench.spent()
+) -> Usage:
+    before = bench.usage()
     for name in names:
         generation = await bench.change(name)
         for listener in listeners:
             await listener.wait(generation=generation)
-        await asyncio.sleep(SETTLED)
-    return (bench.spent() - before) / len(names)
+        await asyncio.sleep(SETTLE_SECONDS)
+    return (bench.usage() - before) / len(names)
 
 
-async def _rosters(bench: Bench, listeners: tuple[Listener, ...], count: int) -> Spent:
-    before = bench.spent()
+async def _rosters(bench: Bench, listeners: tuple[Listener, ...], count: int) -> Usage:
+    before = bench.usage()
     for _ in range(count):
-        revision = await bench.change_roster(WATCHED)
+        revision = await bench.change_roster(SUBSCRIBED_SERVICE)
         for listener in listeners:
             await listener.wait(revision=revision)
-        await asyncio.sleep(SETTLED)
-    return (bench.spent() - before) / count
+        await asyncio.sleep(SETTLE_SECONDS)
+    return (bench.usage() - before) / count
 
 
 def _numbers(count: int) -> Iterator[int]:
@@ -389,7 +401,7 @@
     )
 
 
-def _written(outcome) -> int:
+def _require_written(outcome) -> int:
     """Return the revision of a write.
 
     Raises
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/imbalance.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/imbalance.py
@@ -101,16 +101,16 @@
 
 UTILIZATION = 0.7
 FLOWS_PER_TARGET = 200
-FLOW_LIFE = 60.0
+MEAN_FLOW_SECONDS = 60.0
 RATE_SPREAD = 1.0
-LATENCY = 0.001
-WARM_UP = 60.0
-SAMPLE = 0.25
-WINDOW = 10.0
-REPORT_PERIOD = 1.0
-STALE_REPORT = 5.0
+LATENCY_SECONDS = 0.001
+WARMUP_SECONDS = 60.0
+SAMPLE_INTERVAL_SECONDS = 0.25
+WINDOW_SECONDS = 10.0
+REPORT_INTERVAL_SECONDS = 1.0
+STALE_REPORT_SECONDS = 5.0
 FAILING_SHARE = 0.8
-FAILING_TIME = 0.01
+FAILED_REQUEST_SECONDS = 0.01
 IDEAL = "ideal"
 """Every request to the least filled target, known at once: the floor."""
 POLICIES = (*BASELINES_BY_NAME, "placement-flows", "placement", IDEAL)
@@ -175,7 +175,7 @@
     def run(self, seconds: float) -> list[Target]:
         """Run the model and return the targets with their samples."""
         self._start()
-        until = WARM_UP + seconds
+        until = WARMUP_SECONDS + seconds
         while self._events and self._events[0][0] <= until:
             self._now, _, action, arguments = heapq.heappop(self._events)
             action(*arguments)
@@ -211,11 +211,13 @@
         for target in self._targets_by_name.values():
             if target.placement is not None:
                 target.placement.roster(0.0, roster)
-                self._after(self._period() * self._rng.random(), self._beat, target)
+                self._after(
+                    self._period() * self._rng.random(), self._send_heartbeat, target
+                )
             self._after(0.0, self._report, target)
         for _ in range(FLOWS_PER_TARGET * len(self._names)):
-            self._after(WARM_UP / 4 * self._rng.random(), self._open)
-        self._after(WARM_UP, self._sample)
+            self._after(WARMUP_SECONDS / 4 * self._rng.random(), self._open)
+        self._after(WARMUP_SECONDS, self._sample)
 
     def _after(self, delay: float, action: Callable[..., None], *arguments) -> None:
         self._order += 1
@@ -224,14 +226,14 @@
 
     def _period(self) -> float:
         if self._reports is Reports.SPARSE:
-            return STALE_REPORT
+            return STALE_REPORT_SECONDS
         return interval_for(self._size.targets - 1)
 
     # Flows
 
     def _open(self) -> None:
         flow = self._rng.randbytes(8)
-        life = self._rng.expovariate(1 / FLOW_LIFE)
+        life = self._rng.expovariate(1 / MEAN_FLOW_SECONDS)
         rate = self._rate * self._rng.lognormvariate(0.0, RATE_SPREAD)
         ends = self._now + life
         target = self._owner(flow)
@@ -274,7 +276,7 @@
             return
         self.moved += 1
         target.placement.handed(self._now, peer)
-        self._after(LATENCY, self._arrive, self._targets_by_name[peer], seconds)
+        self._after(LATENCY_SECONDS, self._arrive, self._targets_by_name[peer], seconds)
 
     def _least_filled(self) -> Target:
         targets = list(self._targets_by_name.values())
@@ -290,11 +292,13 @@
 
     def _run(self, target: Target, arrived: float, seconds: float) -> None:
         target.busy += 1
-        if self._now >= WARM_UP:
+        if self._now >= WARMUP_SECONDS:
             self.waits.append(self._now - arrived)
         fails = target.fails and self._rng.random() < FAILING_SHARE
         self.failed += fails
-        self._after(FAILING_TIME if fails else seconds, self._finish, target, fails)
+        self._after(
+            FAILED_REQUEST_SECONDS if fails else seconds, self._finish, target, fails
+        )
 
     def _finish(self, target: Target, failed: bool) -> None:
         target.busy -= 1
@@ -305,26 +309,30 @@
 
     # Reports
 
-    def _beat(self, target: Target) -> None:
-        self._after(self._period(), self._beat, target)
+    def _send_heartbeat(self, target: Target) -> None:
+        self._after(self._period(), self._send_heartbeat, target)
         target.sequence += 1
         load = target.placement.reported(self._now, target.load())
         heartbeat = Heartbeat(1, target.sequence, 1, load)
         for peer in self._targets_by_name.values():
             if peer is not target:
                 self._after(
-                    LATENCY, peer.placement.heartbeat, self._now, target.name, heartbeat
+                    LATENCY_SECONDS,
+                    peer.placement.heartbeat,
+                    self._now,
+                    target.name,
+                    heartbeat,
                 )
 
     def _report(self, target: Target) -> None:
-        self._after(REPORT_PERIOD, self._report, target)
+        self._after(REPORT_INTERVAL_SECONDS, self._report, target)
         load, healthy = target.load(), True
         if self._reports in (Reports.LYING, Reports.FAILING):
             number = self._names.index(target.name)
             load = load._replace(busy=0, queued=0) if number % 3 == 0 else load
             healthy = number % 3 != 1
         stale = self._reports in (Reports.STALE, Reports.SPARSE)
-        lag = STALE_REPORT if stale else 0.0
+        lag = STALE_REPORT_SECONDS if stale else 0.0
         target.reports.append((self._now, load))
         while target.reports[0][0] <= self._now - lag:
             _, self._reports_by_name[target.name] = target.reports.popleft()
@@ -335,7 +343,7 @@
             target.placement.health.reported(self._now, report)
 
     def _sample(self) -> None:
-        self._after(SAMPLE, self._sample)
+        self._after(SAMPLE_INTERVAL_SECONDS, self._sample)
         for target in self._targets_by_name.values():
             target.samples.append(target.busy)
             target.flow_samples.append(target.flows)
@@ -368,7 +376,7 @@
     model = Model(size, policy, reports, seed)
     targets = model.run(seconds)
     samples = [target.samples for target in targets]
-    windows = [list(_windows(one)) for one in samples]
+    windows = [list(_windows(series)) for series in samples]
     return Imbalance(
         size.name,
         policy,
@@ -383,7 +391,7 @@
 
 
 def _windows(samples: list[int]) -> Iterable[float]:
-    length = round(WINDOW / SAMPLE)
+    length = round(WINDOW_SECONDS / SAMPLE_INTERVAL_SECONDS)
     for start in range(0, len(samples) - length + 1, length):
         yield statistics.fmean(samples[start : start + length])
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/overload.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/overload.py
@@ -37,17 +37,17 @@
 __all__ = ["Goodput", "Result", "measure"]
 
 SLOTS = 4
-MEAN_SERVICE = 0.05
-CAPACITY = SLOTS / MEAN_SERVICE
-CALLER_PATIENCE = 2.0
+MEAN_SERVICE_SECONDS = 0.05
+CAPACITY_PER_SECOND = SLOTS / MEAN_SERVICE_SECONDS
+CALLER_TIMEOUT_SECONDS = 2.0
 """Seconds after which a caller takes an attempt for lost and sends another."""
 
-HASTE = (0.05, 0.5)
+IMPATIENT_RETRY_SECONDS = (0.05, 0.5)
 """Seconds after which a caller that minds no Retry-After comes back."""
 
-BEFORE = 30.0
-SETTLING = 5.0
-ANYWHERE = Address("127.0.0.1", 1)
+WARMUP_SECONDS = 30.0
+SETTLE_SECONDS = 5.0
+ANY_ADDRESS = Address("127.0.0.1", 1)
 
 
 class Goodput(NamedTuple):
@@ -85,7 +85,7 @@
 class Caller:
     """One request that is tried until it is answered."""
 
-    born: float
+    arrived_at: float
     obeys: bool
     attempt: int = 0
     number: int = 0
@@ -118,11 +118,20 @@
     def __init__(self, clock: Clock, answer: Callable[[int, Outcome], None]) -> None:
         self._clock = clock
         self._answer = answer
-        rule = RequestClass("ledger", "/ledger", queue=16, deadline=CALLER_PATIENCE)
-        service = Service("ledger", 1, ANYWHERE, classes_by_name={"ledger": rule})
+        rule = RequestClass(
+            "ledger", "/ledger", queue=16, deadline=CALLER_TIMEOUT_SECONDS
+        )
+        service = Service("ledger", 1, ANY_ADDRESS, classes_by_name={"ledger": rule})
         self._core = Requests("agent-1", service, clock.rng)
         member = Member(
-            "agent-1", ANYWHERE, ANYWHERE, ANYWHERE, "dc", 1, AgentState.READY, SLOTS
+            "agent-1",
+            ANY_ADDRESS,
+            ANY_ADDRESS,
+            ANY_ADDRESS,
+            "dc",
+            1,
+            AgentState.READY,
+            SLOTS,
         )
         roster = Roster("ledger", 1, {"agent-1": member})
         self._handle(clock.now, RosterChanged(roster))
@@ -130,7 +139,7 @@
 
     def arrive(self, now: float, number: int, attempt: int) -> None:
         """Take one attempt."""
-        deadline = now + CALLER_PATIENCE
+        deadline = now + CALLER_TIMEOUT_SECONDS
         event = RequestArrived(number, "ledger", True, b"", attempt, deadline)
         self._handle(now, event)
 
@@ -145,7 +154,7 @@
     def _handle(self, now: float, event: Any) -> None:
         for effect in self._core.handle(now, event):
             if isinstance(effect, Run):
-                seconds = self._clock.rng.uniform(0.5, 1.5) * MEAN_SERVICE
+                seconds = self._clock.rng.uniform(0.5, 1.5) * MEAN_SERVICE_SECONDS
                 number = effect.request
                 self._clock.at(now + seconds, lambda number=number: self._ended(number))
             elif isinstance(effect, FinishRequest):
@@ -178,7 +187,7 @@
         while self._waiting and self._busy < SLOTS:
             number = self._waiting.popleft()
             self._busy += 1
-            seconds = self._clock.rng.uniform(0.5, 1.5) * MEAN_SERVICE
+            seconds = self._clock.rng.uniform(0.5, 1.5) * MEAN_SERVICE_SECONDS
             self._clock.at(
                 self._clock.now + seconds, lambda number=number: self._ended(number)
             )
@@ -216,10 +225,12 @@
         caller.number = next(self._numbers)
         self._by_number[caller.number] = caller
         number = caller.number
-        self._clock.at(self._clock.now + CALLER_PATIENCE, lambda: self._lost(number))
+        self._clock.at(
+            self._clock.now + CALLER_TIMEOUT_SECONDS, lambda: self._timed_out(number)
+        )
         self._server.arrive(self._clock.now, number, caller.attempt)
 
-    def _lost(self, number: int) -> None:
+    def _timed_out(self, number: int) -> None:
         caller = self._by_number.pop(number, None)
         if caller is None:
             return
@@ -235,7 +246,11 @@
             caller.answered_at = now
             self.answered.append(now)
             return
-        wait = outcome.retry_after if caller.obeys else self._clock.rng.uniform(*HASTE)
+        wait = (
+            outcome.retry_after
+            if caller.obeys
+            else self._clock.rng.uniform(*IMPATIENT_RETRY_SECONDS)
+        )
         self._clock.at(now + wait, lambda: self._try(caller))
 
 
@@ -276,12 +291,12 @@
     at_capacity = _goodput(server, 1.0, overload, obeying, seed)
     clock = Clock(random.Random(seed))
     callers = Callers(clock, server, obeying)
-    start, end = BEFORE, BEFORE + overload
-    callers.offer(0.0, start, 0.7 * CAPACITY)
-    callers.offer(start, end, factor * CAPACITY)
-    callers.offer(end, end + after, 0.7 * CAPACITY)
+    start, end = WARMUP_SECONDS, WARMUP_SECONDS + overload
+    callers.offer(0.0, start, 0.7 * CAPACITY_PER_SECOND)
+    callers.offer(start, end, factor * CAPACITY_PER_SECOND)
+    callers.offer(end, end + after, 0.7 * CAPACITY_PER_SECOND)
     clock.until(end + after)
-    overloaded = _rate(callers.answered, start + SETTLING, end)
+    overloaded = _rate(callers.answered, start + SETTLE_SECONDS, end)
     return Goodput(at_capacity, overloaded, _recovery(callers, end, after))
 
 
@@ -290,10 +305,14 @@
 ) -> float:
     clock = Clock(random.Random(seed))
     callers = Callers(clock, server, obeying)
-    callers.offer(0.0, BEFORE, 0.7 * CAPACITY)
-    callers.offer(BEFORE, BEFORE + seconds, factor * CAPACITY)
-    clock.until(BEFORE + seconds)
-    return _rate(callers.answered, BEFORE + SETTLING, BEFORE + seconds)
+    callers.offer(0.0, WARMUP_SECONDS, 0.7 * CAPACITY_PER_SECOND)
+    callers.offer(
+        WARMUP_SECONDS, WARMUP_SECONDS + seconds, factor * CAPACITY_PER_SECOND
+    )
+    clock.until(WARMUP_SECONDS + seconds)
+    return _rate(
+        callers.answered, WARMUP_SECONDS + SETTLE_SECONDS, WARMUP_SECONDS + seconds
+    )
 
 
 def _rate(times: list[float], start: float, end: float) -> float:
@@ -311,16 +330,17 @@
     good = [0] * int(after)
     total = [0] * int(after)
     for caller in callers.callers:
-        second = int(caller.born - end)
-        if caller.born < end or second >= len(total):
+        second = int(caller.arrived_at - end)
+        if caller.arrived_at < end or second >= len(total):
             continue
         total[second] += 1
         answered = caller.answered_at
         good[second] += (
-            answered is not None and answered - caller.born <= CALLER_PATIENCE
+            answered is not None
+            and answered - caller.arrived_at <= CALLER_TIMEOUT_SECONDS
         )
     # The last callers had no time to be answered.
-    last = int(after) - window - int(CALLER_PATIENCE)
+    last = int(after) - window - int(CALLER_TIMEOUT_SECONDS)
     recovered = after
     for second in range(last, -1, -1):
         share = sum(good[second : second + window])
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/rollout.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/rollout.py
@@ -29,14 +29,14 @@
 
 __all__ = ["Rollout", "Sizes", "measure", "measure_sizes"]
 
-LIMIT = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 """Bytes of the largest value that the platform's service takes."""
 
-ENTRIES_SHARE = 2
+DAEMONS_PER_ENTRY = 2
 """Daemons to each entry among them; an agent needs a target process as well."""
 
 
-PARTED_TIMEOUT = 120.0
+WATCHERS_TIMEOUT_SECONDS = 120.0
 """Seconds for daemons to part into those that watch the store and the rest."""
 
 
@@ -103,11 +103,11 @@
     document = Document(
         {one.name: one for one in map(_service, range(1, services + 1))}
     )
-    ring = new_keys()
-    parts = _split(document, ring, 1)
+    keys = new_keys()
+    parts = _split(document, keys, 1)
     edited = document.services_by_name["service-1"]._replace(drain=31.0)
     changed = {**document.services_by_name, edited.name: edited}
-    after = _split(Document(changed), ring, 2)
+    after = _split(Document(changed), keys, 2)
     each = -(-targets // services)
     roster = Roster("service-1", 1, {f"target-{n}": _member(n) for n in range(each)})
     sizes = [len(value) for value in parts.values_by_key.values()]
@@ -122,17 +122,19 @@
 
 
 async def _measure(daemons: int, changes: int, delay: float, watchers: int) -> Rollout:
-    entries = max(1, daemons // ENTRIES_SHARE)
+    entries = max(1, daemons // DAEMONS_PER_ENTRY)
     plan = ServicePlan("tally", 1, daemons - entries, 4, (Class("all", "/"),))
     deployment = Deployment("rollout", ("east", "west"), entries, 0.0, (plan,))
     with tempfile.TemporaryDirectory() as folder:
         cluster = Cluster(deployment, Path(folder))
         cluster.watchers = watchers
         async with cluster:
-            await cluster.change(_drain_of(1.5))
+            await cluster.change(_set_drain(1.5))
             await _in_force(cluster, 2)
             if watchers:
-                await _parted(cluster, watchers * len(deployment.data_centres))
+                await _wait_for_watchers(
+                    cluster, watchers * len(deployment.data_centres)
+                )
             store = StoreProcess(cluster.store_process)
             await asyncio.to_thread(store.set_faults, delay=delay)
             return await _commit_all(cluster, store, daemons, changes)
@@ -146,8 +148,10 @@
     seconds: list[float] = []
     for number in range(changes):
         began = time.monotonic()
-        generation = await cluster.change(_drain_of(2.0 + number))
-        seconds += [moment - began for moment in await _in_force(cluster, generation)]
+        generation = await cluster.change(_set_drain(2.0 + number))
+        seconds += [
+            in_force_at - began for in_force_at in await _in_force(cluster, generation)
+        ]
     own = sum(cluster.store.calls_by_kind.values()) - own_before
     calls = await _calls(store) - before
     return Rollout(daemons, tuple(seconds), calls / changes, own / changes)
@@ -161,24 +165,24 @@
 
 async def _in_force(cluster: Cluster, generation: int) -> list[float]:
     """Return when each daemon had the generation in force, by our clock."""
-    moments: list[float] = []
+    times: list[float] = []
 
     async def everywhere() -> bool:
         replies = await cluster.statuses()
         now = time.monotonic()
-        moments[:] = [now - reply.in_force for reply in replies]
+        times[:] = [now - reply.in_force for reply in replies]
         return all(reply.generation >= generation for reply in replies)
 
     await cluster.until(everywhere, f"generation {generation} everywhere")
-    return moments
+    return times
 
 
-async def _parted(cluster: Cluster, watchers: int) -> None:
+async def _wait_for_watchers(cluster: Cluster, watchers: int) -> None:
     """Wait until only so many daemons learn from the store itself.
 
     Daemons that start together all watch it at first.
     """
-    async with asyncio.timeout(PARTED_TIMEOUT):
+    async with asyncio.timeout(WATCHERS_TIMEOUT_SECONDS):
         while True:
             replies = await cluster.statuses()
             if sum(reply.depth <= 1 for reply in replies) <= watchers:
@@ -186,7 +190,7 @@
             await asyncio.sleep(1.0)
 
 
-def _drain_of(seconds: float):
+def _set_drain(seconds: float):
     def edit(document: Document) -> Document:
         service = document.services_by_name["tally"]._replace(drain=seconds)
         return document._replace(services_by_name={"tally": service})
@@ -194,10 +198,10 @@
     return edit
 
 
-def _split(document: Document, ring, generation: int) -> documents.Parts:
+def _split(document: Document, keys, generation: int) -> documents.Parts:
     return documents.split(
         document,
-        ring,
+        keys,
         generation=generation,
         parent=generation - 1,
         author="an-operator",
@@ -263,7 +267,7 @@
         Figure("largest chunk", sizes.chunk, "B"),
         Figure("manifest", sizes.manifest, "B"),
         Figure("roster", sizes.roster, "B"),
-        Figure("largest value of the limit", sizes.largest / LIMIT, "ratio"),
+        Figure("largest value of the limit", sizes.largest / MAX_VALUE_BYTES, "ratio"),
         Figure("whole configuration", sizes.whole, "B"),
         Figure(
             "values written by a change of one service", sizes.values_by_change, "count"
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/scaledesigns.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/scaledesigns.py
@@ -28,19 +28,19 @@
 __all__: list[str] = []
 
 SLOTS = 2
-USED = 0.6
+UTILIZATION = 0.6
 """Share of the slots that the load takes."""
 
-WORK = 0.06
-STATUS_EVERY = 0.2
+MEAN_WORK_SECONDS = 0.06
+STATUS_INTERVAL_SECONDS = 0.2
 STATUS_BUDGET = 100.0
-STATUSES_LOST = 5
-CELL = 12
-REACH = 6
-WINDOW = 4
+MISSED_STATUSES = 5
+CELL_SIZE = 12
+NEIGHBOURS_PER_SIDE = 6
+HOME_WINDOW = 4
 JITTER = 0.1
 NORMAL_95 = 1.96
-REQUESTS_MOST = 6000
+MAX_REQUESTS = 6000
 """Requests of one run; of 1,000 agents each gets six."""
 
 
@@ -49,7 +49,7 @@
 
     ``home`` tells the home of a key, ``near`` those that may open it as the home
     knows them, ``far`` those that are searched if none of them has it, ``peers``
-    to how many agents a status goes, ``asked`` how many loads are asked for at
+    to how many agents a status goes, ``polled`` how many loads are asked for at
     the moment instead.
     """
 
@@ -57,13 +57,13 @@
     near: Callable[[int], list[int]]
     far: Callable[[int], list[int]]
     peers: float
-    asked: int = 0
+    polled: int = 0
     budget: float = STATUS_BUDGET
 
     @property
     def interval(self) -> float:
         """Seconds between two statuses of an agent."""
-        return max(STATUS_EVERY, self.peers / self.budget)
+        return max(STATUS_INTERVAL_SECONDS, self.peers / self.budget)
 
 
 _designs_by_name: dict[str, Callable[[list[int]], Design]] = {}
@@ -90,7 +90,7 @@
 
 
 @_design("everybody")
-def _everybody(agents: list[int]) -> Design:
+def _full_mesh(agents: list[int]) -> Design:
     def every(key: int) -> list[int]:
         return agents
 
@@ -100,7 +100,7 @@
 @_design("cells")
 def _cells(agents: list[int]) -> Design:
     count = 1
-    while len(agents) / count > CELL * 1.4:
+    while len(agents) / count > CELL_SIZE * 1.4:
         count *= 2
     by_cell: dict[int, list[int]] = {}
     for agent in agents:
@@ -131,15 +131,15 @@
         return [order[place] for place in sorted(places)]
 
     return Design(
-        lambda key: _best(key, window(key, 0, WINDOW)),
-        lambda key: window(key, REACH, REACH + 1),
-        lambda key: window(key, 3 * REACH, 3 * REACH),
-        min(size - 1, 2 * REACH),
+        lambda key: _best(key, window(key, 0, HOME_WINDOW)),
+        lambda key: window(key, NEIGHBOURS_PER_SIDE, NEIGHBOURS_PER_SIDE + 1),
+        lambda key: window(key, 3 * NEIGHBOURS_PER_SIDE, 3 * NEIGHBOURS_PER_SIDE),
+        min(size - 1, 2 * NEIGHBOURS_PER_SIDE),
     )
 
 
 @_design("first eight")
-def _first(agents: list[int]) -> Design:
+def _first_eight(agents: list[int]) -> Design:
     roster = members.Roster("model")
     by_name = {str(agent): agent for agent in agents}
     for order, name in enumerate(by_name):
@@ -171,7 +171,7 @@
         self._design = design
         self._rng = rng
         self._done_by_agent: dict[int, list[float]] = {a: [] for a in agents}
-        self._told: dict[tuple[int, int], tuple[float, float]] = {}
+        self._reports: dict[tuple[int, int], tuple[float, float]] = {}
         self._placed: dict[tuple[int, int], float] = {}
         self._phase = {a: rng.random() for a in agents}
 
@@ -182,33 +182,33 @@
             heapq.heappop(done)
         return len(done)
 
-    def believed(self, now: float, home: int, agent: int) -> float:
+    def known_load(self, now: float, home: int, agent: int) -> float:
         """Return the load of an agent as a home knows it."""
-        interval = LOAD_FRESH_SECONDS if self._design.asked else self._design.interval
+        interval = LOAD_FRESH_SECONDS if self._design.polled else self._design.interval
         at = (now // interval + self._phase[agent]) * interval
         at -= interval if at > now else 0.0
-        told = self._told.get((home, agent))
-        if told is None or told[0] < at:
+        report = self._reports.get((home, agent))
+        if report is None or report[0] < at:
             # All homes hear the same status; the first that needs it works it out.
             load = self.busy(now, agent)
-            self._told[home, agent] = (at, load)
+            self._reports[home, agent] = (at, load)
             self._placed[home, agent] = 0.0
             return load
-        return told[1] + self._placed[home, agent]
+        return report[1] + self._placed[home, agent]
 
-    def place(self, now: float, home: int, takers: list[int]) -> tuple[int, float]:
+    def place(self, now: float, home: int, candidates: list[int]) -> tuple[int, float]:
         """Place a request; return its agent and how long it waits."""
         chosen = min(
-            takers,
+            candidates,
             key=lambda agent: (
-                self.believed(now, home, agent) + JITTER * self._rng.random()
+                self.known_load(now, home, agent) + JITTER * self._rng.random()
             ),
         )
         self._placed[home, chosen] += 1
         done = self._done_by_agent[chosen]
         self.busy(now, chosen)
         free_at = heapq.nlargest(SLOTS, done)[-1] if len(done) >= SLOTS else now
-        heapq.heappush(done, free_at + self._rng.expovariate(1 / WORK))
+        heapq.heappush(done, free_at + self._rng.expovariate(1 / MEAN_WORK_SECONDS))
         return chosen, free_at - now
 
 
@@ -220,17 +220,17 @@
 def _place(design: Design, agents: list[int], seed: int, requests_each: int) -> _Placed:
     rng = random.Random(seed)
     load = _Load(design, agents, rng)
-    rate = len(agents) * SLOTS * USED / WORK
+    rate = len(agents) * SLOTS * UTILIZATION / MEAN_WORK_SECONDS
     counts = dict.fromkeys(agents, 0)
     waits = []
     now = 0.0
-    for key in range(min(REQUESTS_MOST, requests_each * len(agents))):
+    for key in range(min(MAX_REQUESTS, requests_each * len(agents))):
         now += rng.expovariate(rate)
         flow = key + seed * 1_000_003
-        takers = design.near(flow)
-        if design.asked:
-            takers = rng.sample(takers, min(design.asked, len(takers)))
-        chosen, waited = load.place(now, design.home(flow), takers)
+        candidates = design.near(flow)
+        if design.polled:
+            candidates = rng.sample(candidates, min(design.polled, len(candidates)))
+        chosen, waited = load.place(now, design.home(flow), candidates)
         counts[chosen] += 1
         waits.append(waited)
     mean = statistics.mean(counts.values())
@@ -245,7 +245,7 @@
     """Shares of the agents that join and that are gone."""
 
     joined: float
-    gone: float
+    left: float
 
 
 CHANGES = {
@@ -256,20 +256,20 @@
 }
 
 
-def _missed(
+def _missed_owners(
     make: Callable, size: int, change: Change, seed: int, flows: int
 ) -> tuple[float, float]:
     """Return the shares of owners outside the first stage, and the second."""
     rng = random.Random(seed)
     former = list(range(size))
-    gone = set(rng.sample(former, round(size * change.gone)))
+    left = set(rng.sample(former, round(size * change.left)))
     joined = list(range(size, size + round(size * change.joined)))
     before = make(former)
-    after = make([agent for agent in former if agent not in gone] + joined)
+    after = make([agent for agent in former if agent not in left] + joined)
     missed = lost = found = 0
     for key in range(flows):
         owner = rng.choice(before.near(key))
-        if owner not in gone:
+        if owner not in left:
             found += 1
             missed += owner not in after.near(key)
             lost += owner not in after.far(key)
@@ -317,10 +317,12 @@
     waits = [each.waited * 1e3 for each in placed]
     first = statistics.mean(len(design.near(key)) for key in range(flows))
     wide = statistics.mean(len(design.far(key)) for key in range(flows))
-    noticed = POLL_TIMEOUT_SECONDS if design.asked else STATUSES_LOST * design.interval
+    detected = (
+        POLL_TIMEOUT_SECONDS if design.polled else MISSED_STATUSES * design.interval
+    )
     figures = [
         Figure(f"statuses a second, {about}", design.peers / design.interval, ""),
-        Figure(f"dead avoided, {about}", noticed, "s"),
+        Figure(f"dead avoided, {about}", detected, "s"),
         Figure(f"busiest/mean, {about}", statistics.mean(busiest), "ratio"),
         Figure(f"busiest/mean +-, {about}", _half_width(busiest), "ratio"),
         Figure(f"99th wait, {about}", statistics.mean(waits), "ms"),
@@ -329,7 +331,9 @@
         Figure(f"searched at most, {about}", wide, ""),
     ]
     for what, change in CHANGES.items():
-        pairs = [_missed(make, size, change, seed, flows) for seed in range(seeds)]
+        pairs = [
+            _missed_owners(make, size, change, seed, flows) for seed in range(seeds)
+        ]
         missed, lost = map(statistics.mean, zip(*pairs, strict=True))
         figures.append(Figure(f"not in first, {what}, {about}", missed, "share"))
         figures.append(Figure(f"not in any, {what}, {about}", lost, "share"))
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/slopes.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/slopes.py
@@ -49,9 +49,9 @@
 
 __all__ = ["AgentCost", "agent_cost", "configuration", "member", "roster"]
 
-IP_AND_UDP_HEADER = 28
+IP_AND_UDP_HEADER_BYTES = 28
 TICKS_PER_SECOND = 10
-NOWHERE = Address("0.0.0.0", 0)
+UNSPECIFIED_ADDRESS = Address("0.0.0.0", 0)
 SECRET = b"k" * 32
 CLASSES_BY_NAME = {
     kind: RequestClass(kind, f"/{kind}") for kind in ("stream", "ticket", "export")
@@ -115,28 +115,28 @@
     core.handle(0.0, RosterChanged(members))
     tunnel = Tunnel({1: Key(1, SECRET)}, 1)
     sent = messages = 0
-    beat_at = 0.0
+    heartbeat_at = 0.0
     started = time.process_time()
     for tick in range(seconds * TICKS_PER_SECOND):
         now = tick / TICKS_PER_SECOND
         effects = core.handle(now, Tick())
-        if now >= beat_at:
-            beat_at += interval_for(peer_count)
+        if now >= heartbeat_at:
+            heartbeat_at += interval_for(peer_count)
             for peer in others:
-                effects += _hear(core, now, peer, tick, tunnel)
+                effects += _deliver_heartbeat(core, now, peer, tick, tunnel)
         for effect in effects:
             if isinstance(effect, SendPeer):
-                sent += len(_sealed(tunnel, own.name, effect)) + IP_AND_UDP_HEADER
+                sent += len(_sealed(tunnel, own.name, effect)) + IP_AND_UDP_HEADER_BYTES
                 messages += 1
     spent = time.process_time() - started
     return AgentCost(spent / seconds, sent / seconds, messages / seconds)
 
 
-def _hear(
+def _deliver_heartbeat(
     core: AgentCore, now: float, peer: Member, sequence: int, tunnel: Tunnel
 ) -> list:
-    beat = Heartbeat(peer.incarnation, sequence, 1, Load(4, 1, 0, 2000, 500))
-    data = _sealed(tunnel, peer.name, SendPeer("", beat))
+    heartbeat = Heartbeat(peer.incarnation, sequence, 1, Load(4, 1, 0, 2000, 500))
+    data = _sealed(tunnel, peer.name, SendPeer("", heartbeat))
     payload = tunnel.decode(data).payload
     sender, message = peers.decode(payload)
     return list(core.handle(now, PeerDatagram(sender, message)))
@@ -145,7 +145,16 @@
 def _sealed(tunnel: Tunnel, sender: str, effect: SendPeer) -> bytes:
     payload = peers.encode(sender, effect.message)
     return tunnel.encode(
-        TunnelDatagram(TunnelKind.PEER, 1, 1, 0, False, NOWHERE, NOWHERE, payload)
+        TunnelDatagram(
+            TunnelKind.PEER,
+            1,
+            1,
+            0,
+            False,
+            UNSPECIFIED_ADDRESS,
+            UNSPECIFIED_ADDRESS,
+            payload,
+        )
     )
 
 
@@ -311,8 +320,8 @@
     core.handle(0.0, ConfigurationChanged(configuration(1, Protocol.UDP)))
     core.handle(0.0, RosterChanged(members))
     for peer in others:
-        beat = Heartbeat(peer.incarnation, 1, 1, Load(4, 1, 0, 2000, 500))
-        core.handle(0.1, PeerDatagram(peer.name, beat))
+        heartbeat = Heartbeat(peer.incarnation, 1, 1, Load(4, 1, 0, 2000, 500))
+        core.handle(0.1, PeerDatagram(peer.name, heartbeat))
     return core
 
 
