--- a/packages/zinniahook-testkit/src/zinniahook_testkit/__init__.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/__init__.py
@@ -1,5 +1,5 @@
 """Stand-ins, load tool and invariant checks.
 
-Each module is used by its name and most are run with ``python -m``; nothing
-is imported here, as Python would then load a module that is run twice.
+Import the modules by name; most of them also run with ``python -m``. This file
+imports none of them, as Python would then load a module that is run twice.
 """
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/atmostonce.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/atmostonce.py
@@ -1,7 +1,7 @@
 """Measure whether requests run at most once and "not run" is true.
 
-Several real ``Requests`` cores under a fake clock exchange claim messages over
-a network that loses, doubles and delays them, while agents crash, pause, join
+Several real ``Requests`` cores with a fake clock exchange claim messages over a
+network that loses, duplicates and delays them, while agents crash, pause, join
 and leave, and callers retry and send late copies.
 """
 
@@ -19,14 +19,14 @@
 __all__ = ["DENSE_FAULTS", "USUAL_FAULTS", "Faults", "Result", "measure"]
 
 USUAL_FAULTS = Faults()
-"""A fault about every 18 seconds among six agents."""
+"""About one fault in 18 seconds among six agents."""
 
 DENSE_FAULTS = Faults(crash_gap=20.0, pause_gap=15.0, leave_gap=40.0)
-"""So many that two members are nearly always missing at once."""
+"""So many faults that two members are nearly always missing at once."""
 
 
 class Result(NamedTuple):
-    """What became of the requests; counts unless a name says otherwise."""
+    """The outcomes of the requests; counts unless a name says otherwise."""
 
     requests: int
     done: int
@@ -43,7 +43,7 @@
 
     @property
     def unknown_share(self) -> float:
-        """Requests whose caller was left without a certain answer."""
+        """The share of requests whose caller got no certain outcome."""
         return self.unknown / self.requests
 
 
@@ -55,23 +55,23 @@
     faults: Faults = USUAL_FAULTS,
     make_core: CoreFactory = Requests,
 ) -> Result:
-    """Send non-idempotent requests through faults and count what went wrong.
+    """Send non-idempotent requests under faults and count the violations.
 
     Parameters
     ----------
     requests : int
-        Logical requests, each with its own key and as many attempts as its
-        caller needs.
+        Number of logical requests, each with its own key and as many attempts as
+        its caller needs.
     agents : int
-        Agents at the start.
+        Number of agents at the start.
     rate : float
-        New requests a second.
+        New requests per second.
     seed : int
-        Seeds everything random.
+        Seed of all random choices.
     faults : Faults
-        What goes wrong, how often.
+        The faults and their frequency.
     make_core : callable
-        Makes a core; a broken one must be caught.
+        Factory of the cores; tests pass broken cores, which must be detected.
     """
     world = World(agents, faults, seed, make_core)
     world.run_until(WARM_UP)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/baselines.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/baselines.py
@@ -1,7 +1,7 @@
-"""Naive ways of placing flows, to measure the system's own against.
+"""Baseline policies for placing flows, to compare the system's placement with.
 
-They choose at the entries, where each flow is seen once, as plain balancers
-do. None of them is used by the product.
+Like plain load balancers they choose at the entries, once for each flow. The
+product uses none of them.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 @_baseline("hashing")
 class Hashing:
-    """Plain consistent hashing of the flow, whatever the load."""
+    """Plain consistent hashing of the flow, independent of load."""
 
     def __init__(self, names: Sequence[str], rng: random.Random) -> None:
         self._names = tuple(names)
@@ -63,7 +63,7 @@
 
 @_baseline("least-reported")
 class LeastReported:
-    """The target whose own report, however old, shows the least load."""
+    """The target whose latest own report, however old, shows the least load."""
 
     def __init__(self, names: Sequence[str], rng: random.Random) -> None:
         self._names = tuple(names)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/behaviours.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/behaviours.py
@@ -1,4 +1,4 @@
-"""What a stand-in target does, and its own record of what really ran."""
+"""The behaviour of a stand-in target and its record of the requests that it ran."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
     ``service_time`` (s) is the mean of an Erlang-4 distribution, multiplied
     by ``slowness``, and by ``cold_factor`` during the first ``cold`` seconds.
-    ``shed_share`` is the part of requests shed at once, ``shed_queue`` the
-    waiting requests beyond which all are shed. ``health`` and ``load`` are
-    ``honest``, ``lagging`` (by ``lag`` seconds), ``lying`` (always fine and
-    idle) or ``failing``. ``export_rate`` (B/s) bounds one export, 0 does not.
+    ``shed_share`` is the share of requests shed at once, ``shed_queue`` the
+    number of waiting requests above which all are shed. ``health`` and ``load``
+    are ``honest``, ``lagging`` (by ``lag`` seconds), ``lying`` (always healthy and
+    idle) or ``failing``. ``export_rate`` (B/s) limits one export, 0 for no limit.
     """
 
     service_time: float
@@ -127,7 +127,7 @@
         return self._rng.random() < behaviour["shed_share"]
 
     async def take_slot(self) -> None:
-        """Wait for a free slot; the caller must `free_slot` it."""
+        """Wait for a free slot, which the caller must release by `free_slot`."""
         self.waiting += 1
         try:
             await self._semaphore.acquire()
@@ -136,7 +136,7 @@
         self.busy += 1
 
     def free_slot(self) -> None:
-        """Free a slot taken by `take_slot`."""
+        """Release a slot taken by `take_slot`."""
         self.busy -= 1
         self._semaphore.release()
 
@@ -149,7 +149,7 @@
         return self._rng.gammavariate(4, mean / 4)
 
     def load(self) -> dict[str, Any]:
-        """Return what the load endpoint says, as the behaviour has it."""
+        """Return the answer of the load endpoint according to the behaviour."""
         now = time.monotonic()
         truth = {
             "slots": self.slots,
@@ -171,7 +171,7 @@
         return truth
 
     def ledger(self) -> dict[str, Any]:
-        """Return the target's own record of what ran."""
+        """Return the target's own record of the requests that it ran."""
         return {
             "service": self.service,
             "target": self.name,
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/bench.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/bench.py
@@ -1,7 +1,7 @@
 """The experiment tool behind ``make bench``.
 
-Runs scenario files from ``bench/``, prints each figure beside its bound and
-the committed earlier figure, and fails if a bound is broken.
+Run scenario files from ``bench/``, print each figure with its bound and the
+committed earlier figure, and fail if a bound is broken.
 """
 
 from __future__ import annotations
@@ -47,11 +47,11 @@
     Parameters
     ----------
     names : str
-        Scenarios to run (file names without ``.toml``); all if none is given.
+        Scenarios to run (file names without ``.toml``); all by default.
     update : bool
         Write the figures to ``results/`` beside the scenarios, to be committed.
     folder : Path
-        Where the scenario files are.
+        Folder of the scenario files.
     """
     for module in MEASURING_MODULES:
         importlib.import_module(f"{__package__}.{module}")
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/capacity.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/capacity.py
@@ -1,7 +1,7 @@
-"""What each role costs at the size to design for, from measured slopes.
+"""The cost of each role at the design size, computed from measured slopes.
 
-Every row is computed from the committed results in ``bench/results`` and the
-sizes below; run ``python docs/pages.py`` after new results.
+Every row follows from the committed results in ``bench/results`` and the sizes
+below; run ``python docs/pages.py`` after new results.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 
 DAY_SECONDS = 86_400.0
 WRITES_PER_FAILURE = 3
-"""Marked down, announced again, ready."""
+"""Mark the agent down, announce it again, mark it ready."""
 
 WRITES_PER_RESTART = 4
-"""Leaving, removed, announced, ready."""
+"""Mark the agent as leaving, remove it, announce it again, mark it ready."""
 
 TICKS_PER_SECOND = 10
 FAN_OUT = 8
@@ -43,7 +43,7 @@
 PROCESSOR_BOUND_SHARE = 0.035
 RATE_BOUND_BYTES_PER_SECOND = 8_000.0
 STORE_WRITES_PER_SECOND = 300.0
-"""Writes a second that we count on; the platform says several hundred."""
+"""Assumed rate; the platform states several hundred writes per second."""
 
 STORE_READS_PER_SECOND = 2_000.0
 
@@ -51,28 +51,28 @@
 PACKET_SCENARIO = "packet-service"
 PACKET_TICKS_PER_SECOND = 20
 BYTES_PER_ROUTE = 33
-"""Of a route in the operator's document as daemons pass it on, compressed:
-155 bytes before, counted in one with 5,800 routes of random names."""
+"""Compressed size of a route in the document that daemons distribute: 155 bytes
+uncompressed, from a document with 5,800 routes with random names."""
 
 BYTES_PER_DIFFERENCE = 186
-"""Of one changed route among 5,800, compressed; counted likewise."""
+"""Compressed size of a change of one route among 5,800, from the same document."""
 
 BYTES_PER_CALL = 900
-"""Of a call between daemons: its connection, two heads and the question, with
-the heads of IP and TCP; ten packets of 52 bytes and 380 bytes of text."""
+"""Size of a call between daemons: connection, both HTTP headers and the request,
+with IP and TCP headers; ten packets of 52 bytes and 380 bytes of text."""
 
 POLL_INTERVAL_SECONDS = 0.4
-"""Seconds between two reads of the daemon that watches the store."""
+"""Interval at which the daemon that watches the store reads it."""
 
 CALLS_PER_START = 4
-"""Configuration, agents, announcement, withdrawal."""
+"""Read the configuration and the agents, announce the agent, withdraw it."""
 
 
 class Row(NamedTuple):
-    """One figure at the size to design for.
+    """One figure at the design size.
 
-    ``bound`` is None for what the users set no bound for; ``source`` names
-    the scenario of ``make bench`` that measured the slope.
+    ``bound`` is None if the users set no bound; ``source`` is the scenario of
+    ``make bench`` that measured the slope.
     """
 
     role: str
@@ -85,7 +85,7 @@
 
 
 class Results:
-    """The committed figures, by scenario and name."""
+    """The committed figures by scenario and name."""
 
     def __init__(self, folder: Path) -> None:
         self._figures_by_name = {
@@ -99,7 +99,7 @@
         Raises
         ------
         KeyError
-            If the scenario has no committed result, or not this figure.
+            If the scenario has no committed result or lacks this figure.
         """
         return self._figures_by_name[scenario][name]
 
@@ -347,7 +347,7 @@
 
 
 def _packets(results: Results) -> Iterator[Row]:
-    """Compute the rows of the packet service."""
+    """Yield the rows of the packet service."""
 
     def figure(name: str) -> float:
         return results.figure(PACKET_SCENARIO, name)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/certificates.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/certificates.py
@@ -18,7 +18,7 @@
 
 
 class Files(NamedTuple):
-    """Paths of PEM files: a certificate, its key, and who signed it."""
+    """Paths of PEM files: a certificate, its key and its authority's certificate."""
 
     certificate: Path
     key: Path
@@ -31,7 +31,7 @@
     Parameters
     ----------
     folder : Path
-        Where the files go.
+        Folder for the files.
     name : str
         Common name of the authority, and the name of its file.
     """
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/connections.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/connections.py
@@ -1,9 +1,9 @@
-"""What an open QUIC connection and a new one cost an agent.
+"""Cost of open and new QUIC connections at an agent.
 
-The same callers open the same connections to an agent, by way of a fabric and
-an entry, and to a server made of aioquic's own classes. Each asks for a small
-answer and stays open. Memory is the growth of the serving process, work is
-its processor time. Run ``python -m zinniahook_testkit.connections plain
+The same callers open the same connections to an agent, through a fabric and an
+entry, and to a server built on aioquic's classes alone. Each connection requests
+a small answer and stays open. Memory is the growth of the serving process, and
+work is its processor time. Run ``python -m zinniahook_testkit.connections plain
 CERTIFICATE KEY`` for the plain server alone.
 """
 
@@ -52,7 +52,7 @@
 
 
 class Cost(NamedTuple):
-    """What one connection costs: bytes while open, seconds of processor."""
+    """Cost of one connection: bytes while open, and processor seconds."""
 
     memory: float
     processor: float
@@ -69,7 +69,7 @@
         self.received = 0
 
     def quic_event_received(self, event: QuicEvent) -> None:
-        """Take an event of the connection."""
+        """Handle an event of the connection."""
         for http_event in self._http.handle_event(event):
             if isinstance(http_event, HeadersReceived):
                 self._status = dict(http_event.headers)[b":status"]
@@ -79,7 +79,7 @@
                 self._ended.set()
 
     async def get(self, path: str = PATH) -> bytes:
-        """Return the status of the answer."""
+        """Send a request and return the status of its answer."""
         names = {":method": "GET", ":scheme": "https", ":authority": "localhost"}
         headers = {**names, ":path": path}.items()
         stream_id = self._quic.get_next_available_stream_id()
@@ -91,7 +91,7 @@
 
 
 class PlainServer(QuicConnectionProtocol):
-    """Answers each request with as many bytes as its path says."""
+    """Answers each request with the number of bytes that its path gives."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
@@ -132,7 +132,7 @@
 
 
 async def cost(process: Process, address: Address, count: int) -> Cost:
-    """Measure one serving process over ``count`` new connections."""
+    """Return the cost per connection of a process over ``count`` new connections."""
     async with AsyncExitStack() as stack:
         await _open(address, WARMUP_CONNECTIONS, stack)
         memory, processor = process.resident(), process.processor_time()
@@ -174,7 +174,7 @@
 
 
 class Stream(NamedTuple):
-    """One long answer: bytes a second, and processor seconds of the server."""
+    """One long answer: bytes per second, and processor seconds of the server."""
 
     rate: float
     processor: float
@@ -186,7 +186,7 @@
     Raises
     ------
     RuntimeError
-        If the answer isn't whole.
+        If the answer is incomplete.
     """
     configuration = QuicConfiguration(
         alpn_protocols=["h3"],
@@ -218,7 +218,7 @@
 
 @scenario("agent-stream")
 def measure_streams(size: int = 20_000_000) -> list[Figure]:
-    """Compare a long answer through the whole path with one of plain aioquic."""
+    """Compare a long answer through the whole path with one from plain aioquic."""
     agent, plain = asyncio.run(_measure_streams(size))
     return [
         Figure("bytes a second through the path", agent.rate, "B/s"),
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/decisions.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/decisions.py
@@ -1,4 +1,4 @@
-"""Scenarios of the decisions: placement, overload, at most once."""
+"""Scenarios of placement, overload and requests that run at most once."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 def measure_imbalance(
     seconds_by_size: Mapping[str, float], policies: Sequence[str], seed: int = 1
 ) -> list[Figure]:
-    """Compare placement with the baselines at sizes, for each kind of report.
+    """Compare placement with the baselines for several sizes and kinds of report.
 
-    Ratios are of coefficients of variation of busy slots over the targets, of
-    each target's mean over ten seconds or, where a name says so, at instants.
+    Ratios compare the coefficients of variation of busy slots over the targets.
+    They use each target's mean over ten seconds, or values at instants where the
+    name says so.
     """
     figures = []
     for size in SIZES:
@@ -85,7 +86,7 @@
 def measure_at_most_once(
     requests: int, agents: int, rate: float, seeds: Sequence[int]
 ) -> list[Figure]:
-    """Count doubled and falsely refused requests under faults, over seeds."""
+    """Count repeated and falsely refused requests under faults, over all seeds."""
     results = [atmostonce.measure(requests, agents, rate, seed) for seed in seeds]
 
     def total(name: str) -> int:
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/deployments.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments of today as data: their services, sizes and latencies."""
+"""The two current deployments as data: services, sizes and latencies."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 class ServicePlan(NamedTuple):
     """One service of a deployment.
 
-    ``loads`` lack the address, which a running cluster adds. ``targets`` is
-    how many endpoints serve it, each with ``slots``.
+    ``loads`` have no address, which a running cluster adds. ``targets`` is the
+    number of its endpoints, each with ``slots``.
     """
 
     name: str
@@ -35,8 +35,9 @@
 class Deployment(NamedTuple):
     """One user's data centres and services.
 
-    ``latency`` is one way, in seconds, between callers and agents: that to
-    the clients plus that between two data centres, as most flows cross one.
+    ``latency`` is the one-way delay in seconds between callers and agents: the
+    delay to the clients plus that between two data centres, as most flows cross
+    between two.
     """
 
     name: str
@@ -47,7 +48,7 @@
 
     @property
     def services_by_name(self) -> dict[str, ServicePlan]:
-        """The services by their names."""
+        """The services by name."""
         return {service.name: service for service in self.services}
 
 
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/etcd.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/etcd.py
@@ -1,4 +1,4 @@
-"""The JSON forms of etcd v3 that the store's stand-in reads and writes."""
+"""The JSON encoding of etcd v3, as the store's stand-in reads and writes it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 ]
 
 VALUE_LIMIT = 1_048_576
-"""Largest value that the service takes, in bytes."""
+"""Largest value that the service accepts, in bytes."""
 
 
 def decode(text: str | None) -> bytes:
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/participants.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/participants.py
@@ -1,4 +1,4 @@
-"""Who takes part in the measurement of requests that run at most once."""
+"""The agents and callers of the model of requests that run at most once."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Faults(NamedTuple):
-    """How often things fail; shares are per message, gaps in seconds."""
+    """Frequency of faults: shares per message, mean gaps and delays in seconds."""
 
     loss: float = 0.03
     duplication: float = 0.05
@@ -36,7 +36,7 @@
 
 @dataclass
 class Caller:
-    """One logical request of a caller that retries until it is told."""
+    """One logical request of a caller that retries until it gets an outcome."""
 
     key: bytes
     attempt: int = 0
@@ -46,9 +46,9 @@
 
 @dataclass
 class Copy:
-    """One copy of a request at one agent.
+    """One copy of a request at an agent.
 
-    ``origin`` is the agent and request that relayed it, if any did.
+    ``origin`` is the agent that relayed it and the request there, if any.
     """
 
     caller: Caller
@@ -61,7 +61,7 @@
 
 @dataclass
 class Agent:
-    """One core with what its driver keeps."""
+    """An agent core with the state that its driver keeps."""
 
     name: str
     core: Requests
@@ -76,7 +76,7 @@
 
 
 class TwoChoices:
-    """A placement that relays now and then, whatever the load."""
+    """A placement that relays a share of requests at random, whatever the load."""
 
     def __init__(self, world: World, name: str, share: float) -> None:
         self._world = world
@@ -86,7 +86,7 @@
     def choose_for_request(
         self, now: float, slots_needed: int, local: Load, forced: bool = False
     ) -> str | None:
-        """Return a random ready peer, seldom unless ``forced``."""
+        """Return a random ready peer, or mostly None unless ``forced``."""
         if not forced and self._world.rng.random() >= self._share:
             return None
         peers = [
@@ -97,4 +97,4 @@
         return self._world.rng.choice(peers) if peers else None
 
     def handed(self, now: float, peer: str, slots: int = 1) -> None:
-        """Take note of nothing."""
+        """Ignore the relayed request."""
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/relay.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/relay.py
@@ -1,7 +1,7 @@
-"""A bare UDP relay in Python: the yardstick for one entry's packet rate.
+"""A minimal UDP relay in Python, the baseline for one entry's packet rate.
 
-It does what any relay must (read in batches when the socket is ready, send
-each datagram on) and nothing else: no routing, no authentication.
+It only reads in batches when the socket is ready and forwards each datagram: no
+routing, no authentication.
 """
 
 from __future__ import annotations
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/scenarios.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/scenarios.py
@@ -1,9 +1,8 @@
 """Scenarios of the experiment tool: a registry, figures and their bounds.
 
 A scenario file is TOML: ``kind`` names a registered function, ``parameters``
-are its keyword arguments, and ``bounds`` limit its figures. Bounds stand on
-ratios, counts and shares that one run yields, never on the speed of the
-machine.
+are its keyword arguments, and ``bounds`` limit its figures. Bounds apply to
+ratios, counts and shares from a single run, never to the speed of the machine.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 
 class Bound(NamedTuple):
-    """The least and the most that a figure may be."""
+    """The minimum and maximum of a figure, None for no limit."""
 
     figure: str
     least: float | None = None
@@ -43,7 +42,7 @@
 
 
 class Result(TypedDict):
-    """What a run leaves behind as JSON."""
+    """The result of a run, as written to JSON."""
 
     name: str
     kind: str
@@ -53,7 +52,7 @@
 
 
 class Broken(NamedTuple):
-    """A bound that a run did not keep; ``value`` is None if it wasn't measured."""
+    """A bound that a run broke; ``value`` is None if it wasn't measured."""
 
     figure: str
     value: float | None
@@ -103,7 +102,7 @@
 
 
 def run(item: Scenario) -> tuple[Result, list[Broken]]:
-    """Measure one scenario and hold its figures against its bounds.
+    """Measure one scenario and compare its figures with its bounds.
 
     Raises
     ------
@@ -128,7 +127,7 @@
 def broken_bounds(
     bounds: tuple[Bound, ...], figures: Mapping[str, float]
 ) -> list[Broken]:
-    """List the bounds that ``figures`` break; an absent figure breaks its own."""
+    """Return the bounds that ``figures`` break; a missing figure breaks its bound."""
     broken = []
     for bound in bounds:
         value = figures.get(bound.figure)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/standins.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/standins.py
@@ -1,4 +1,4 @@
-"""What the stand-ins that run as processes share: an admin server and an end."""
+"""The admin server and shutdown of stand-ins that run as processes."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 async def serve(
     routes: list[tuple[Any, ...]], host: str = LOOPBACK, **ready: Any
 ) -> None:
-    """Serve the admin address, tell that all is ready, wait for SIGTERM.
+    """Serve the admin address, print the ready line and wait for SIGTERM.
 
     Parameters
     ----------
     routes : list of tuple
-        The handlers of the admin address, as tornado takes them.
+        The handlers of the admin address, in tornado's form.
     host : str
         Loopback address to listen on; the port is picked by the system.
     **ready
-        What the line on standard output tells besides the admin address.
+        Fields of the ready line besides the admin address.
     """
     admin = bind_sockets(0, host, socket.AF_INET)
     application = tornado.web.Application(routes, log_function=lambda handler: None)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/tables.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/tables.py
@@ -11,18 +11,18 @@
 __all__ = ["results_table"]
 
 SUMMED_KINDS = frozenset({"experiment"})
-"""Kinds with a scenario a fault, which have a table of their own."""
+"""Kinds with one scenario per fault, which have a table of their own."""
 
 IMBALANCE_SHOWN = ("to hashing", "lying to fresh")
 
 
 def results_table(folder: Path) -> str:
-    """Return a row a figure of every scenario with a committed result.
+    """Return a table with each figure of every scenario with a committed result.
 
     Parameters
     ----------
     folder : Path
-        The scenario files; the results are in ``results`` below it.
+        Folder of the scenario files; the results are in its ``results`` folder.
     """
     lines = ["| command | figure | value | bound |", "|---|---|---|---|"]
     for path in sorted(folder.glob("*.toml")):
