--- a/packages/zinniahook-testkit/src/zinniahook_testkit/distributions.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/distributions.py
@@ -1,9 +1,9 @@
-"""What it costs daemons to tell each other of changes, at the size to design for.
+"""Cost of distributing changes between daemons at the design size.
 
-Real processes: the stand-in store, an entry that learns from it and one that
-learns from the first entry through a proxy, which counts the bytes of TLS,
-HTTP/2 and the messages both ways. A second proxy stands before a subscriber
-that wants a single service. Headers of TCP and IP are not counted.
+Uses real processes: the stand-in store, an entry that watches it, and an entry
+that subscribes to the first through a proxy, which counts the bytes of TLS, HTTP/2
+and messages in both directions. A second proxy serves a subscriber of a single
+service. Headers of TCP and IP are not counted.
 """
 
 from __future__ import annotations
@@ -37,25 +37,25 @@
 __all__ = ["Bench", "Listener", "Usage", "measure"]
 
 READY_TIMEOUT_SECONDS = 90.0
-"""Seconds for an entry to read, or to learn, everything."""
+"""Limit for an entry to read or receive the whole state."""
 
 ARRIVAL_TIMEOUT_SECONDS = 30.0
-"""Seconds for a change to reach a subscriber."""
+"""Limit for a change to reach a subscriber."""
 
 SETTLE_SECONDS = 0.1
-"""Seconds after the arrival in which what belongs to a change still flows."""
+"""Time after the arrival of a change in which its remaining bytes are sent."""
 
 IDLE_SECONDS = 10.0
-"""Seconds over which the digests are counted."""
+"""Time over which the digests are counted."""
 
 HEADER_BYTES = 104
-"""Bytes of IPv4 and TCP with timestamps around one message and its
-acknowledgement, assumed; a proxy doesn't see them."""
+"""Assumed IPv4 and TCP headers, with timestamps, of one message and its
+acknowledgement, which a proxy doesn't see."""
 
 DAY_SECONDS = 86400.0
 FIRST_PORT = 10_000
 SUBSCRIBED_SERVICE = "service-1"
-"""The service of the subscriber that wants a single one."""
+"""The service of the subscriber of a single service."""
 
 CLASSES_BY_NAME = {
     name: RequestClass(name, f"/{name}") for name in ("stream", "ticket", "export")
@@ -78,7 +78,7 @@
 
 
 class Costs(NamedTuple):
-    """What a second without changes costs, and one change of each kind."""
+    """The cost of a second without changes, and of one change of each kind."""
 
     idle: Usage
     change: Usage
@@ -87,14 +87,14 @@
 
 
 class Listener:
-    """A subscriber that wants the roster of one service.
+    """A subscriber of the roster of one service.
 
     Parameters
     ----------
     address : Address
-        Control address of the daemon to learn from.
+        Control address of the daemon to subscribe to.
     context : ssl.SSLContext
-        With the certificate of a daemon.
+        TLS context with the certificate of a daemon.
     """
 
     def __init__(self, address: Address, context: ssl.SSLContext) -> None:
@@ -104,7 +104,7 @@
         self._reading = asyncio.create_task(self._read())
 
     async def wait(self, generation: int = 0, revision: int = 0) -> None:
-        """Wait until a generation and a revision of the roster have come."""
+        """Wait until a generation and a revision of the roster have arrived."""
         async with asyncio.timeout(ARRIVAL_TIMEOUT_SECONDS), self._changed:
             await self._changed.wait_for(
                 lambda: self.generation >= generation and self.revision >= revision
@@ -129,23 +129,23 @@
 
     def _record(self, update) -> None:
         if update.WhichOneof("update") == "digest":
-            # Sent after all that it sums up.
+            # The digest is sent after all the updates that it covers.
             self.generation = update.digest.generation
         elif update.WhichOneof("update") == "roster":
             self.revision = update.roster.revision
 
 
 class Bench:
-    """The processes and what is in force among them.
+    """The processes and the configuration in force.
 
     Parameters
     ----------
     stack : ExitStack
         Ends the processes when it closes.
     services, members : int
-        How many services there are, and targets of all of them.
+        Number of services, and of the targets of all services together.
     seed : int
-        Of the ids of writes.
+        Seed of the ids of writes.
     """
 
     def __init__(
@@ -181,28 +181,28 @@
         self.child = self._entry(2, self.to_child.address)
 
     def listen(self, address: str) -> Listener:
-        """Subscribe for one service at a control address."""
+        """Subscribe to one service at a control address."""
         return Listener(Address.parse(address), _context(self._files))
 
     def sample_services(self, rng: random.Random, count: int) -> list[str]:
-        """Draw services besides the one that listeners want."""
+        """Return random services other than the listeners' one."""
         return rng.sample(
             [name for name in self._services if name != SUBSCRIBED_SERVICE], count
         )
 
     async def change(self, name: str) -> int:
-        """Change one service; return the generation."""
+        """Change one service and return the generation."""
         service = self._services[name]
         self._services[name] = service._replace(drain=service.drain + 1.0)
         return await self._commit_services()
 
     async def change_roster(self, name: str) -> int:
-        """Write a roster once more, as after a target's change; return its revision."""
+        """Rewrite a roster, as for a change of a target, and return its revision."""
         outcome = await self.store.put(documents.roster_key(name), self._roster(name))
         return _require_written(outcome)
 
     def usage(self) -> Usage:
-        """Return what has been spent up to now."""
+        """Return the total usage so far."""
         return Usage(
             sum(self.to_child.state()["bytes"].values()),
             sum(self.to_listener.state()["bytes"].values()),
@@ -288,15 +288,15 @@
     Parameters
     ----------
     services, members : int
-        How many services there are, and targets of all of them.
+        Number of services, and of the targets of all services together.
     changes : int
-        Changes of each kind, one after the other.
+        Number of changes of each kind, made in turn.
     changes_a_day : int
-        For the bytes a second, evenly over the day.
+        Changes per day for the bytes per second, spread evenly over the day.
     fan_out, leaves : int
-        Subscribers of one daemon, those of all services and those of one.
+        Subscribers of one daemon: of all services, and of a single service.
     seed : int
-        Of what is changed.
+        Seed of the choice of changed services.
     """
     with ExitStack() as stack:
         bench = Bench(stack, services, members, seed)
@@ -344,7 +344,7 @@
 
 
 def _rates(costs: Costs, changes: float) -> Usage:
-    """Return what is spent a second, with headers, at so many changes a second."""
+    """Return the usage per second, with headers, at a rate of changes per second."""
     idle, change = costs.idle, costs.change
     return Usage(
         idle.all_services
@@ -357,7 +357,7 @@
 
 
 async def _idle(bench: Bench) -> Usage:
-    """Return what is spent a second while nothing changes."""
+    """Return the usage per second without changes."""
     before = bench.usage()
     await asyncio.sleep(IDLE_SECONDS)
     return (bench.usage() - before) / IDLE_SECONDS
@@ -407,7 +407,7 @@
     Raises
     ------
     RuntimeError
-        If it was not written.
+        If the store refused the write.
     """
     if not isinstance(outcome, Written):
         raise RuntimeError(f"not written: {outcome}")
@@ -423,6 +423,6 @@
 
 
 def _processor_time(process: Process) -> float:
-    """Return the process's time on a processor, in seconds, to the nanosecond."""
+    """Return the process's processor time in seconds, with nanosecond resolution."""
     with open(f"/proc/{process.pid}/schedstat") as file:
         return int(file.read().split()[0]) / 1e9
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/imbalance.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/imbalance.py
@@ -1,10 +1,9 @@
-"""Imbalance across targets: placement against the naive baselines.
+"""Imbalance across targets: placement compared with the baselines.
 
 A seeded event model of one service's targets, which drives real ``Placement``
-objects and hands them their peers' counts as a network would. Flows come and
-go and send requests at uneven rates; a target runs as many requests as it has
-slots and queues the rest. Nothing of routing, membership or transport is
-modelled.
+objects and passes them their peers' counts as a network would. Flows open and
+close and send requests at uneven rates; a target runs as many requests as it has
+slots and queues the others. Routing, membership and transport are not modelled.
 """
 
 from __future__ import annotations
@@ -58,12 +57,12 @@
 
 
 class Reports(enum.StrEnum):
-    """How well the reports describe the targets.
+    """The accuracy of the targets' reports.
 
     With STALE, the targets' own reports are five seconds old; with SPARSE, the
-    agents' heartbeats come only every five seconds besides. With LYING, every
-    third target claims to be idle and healthy and every other third claims to
-    be unhealthy. FAILING is LYING, and the first target fails FAILING_SHARE of
+    agents also send heartbeats only every five seconds. With LYING, a third of
+    the targets claims to be idle and healthy, and another third claims to be
+    unhealthy. FAILING is LYING, and the first target also fails FAILING_SHARE of
     its requests at once while it claims to be healthy.
     """
 
@@ -75,15 +74,15 @@
 
 
 class Imbalance(NamedTuple):
-    """What one run measured.
-
-    ``deviation`` is the coefficient of variation of busy slots over targets
-    and ``peak`` the busiest target over the mean, both averaged over instants;
-    ``window_deviation`` and ``window_peak`` are the same of each target's mean
-    over WINDOW seconds. ``flow_deviation`` is that of open flows at instants.
-    ``waiting`` is the mean time in queue in seconds, ``moved`` the share of
-    requests that ran away from their flow's target, ``failed`` the share that
-    a failing target failed.
+    """The figures of one run.
+
+    ``deviation`` is the coefficient of variation of busy slots over targets and
+    ``peak`` the busiest target over the mean, both averaged over instants.
+    ``window_deviation`` and ``window_peak`` are the same for each target's mean
+    over WINDOW_SECONDS. ``flow_deviation`` is the coefficient of variation of open
+    flows at instants. ``waiting`` is the mean time in queue in seconds, ``moved``
+    the share of requests that ran at another target than their flow's, ``failed``
+    the share that a failing target failed.
     """
 
     size: str
@@ -112,13 +111,13 @@
 FAILING_SHARE = 0.8
 FAILED_REQUEST_SECONDS = 0.01
 IDEAL = "ideal"
-"""Every request to the least filled target, known at once: the floor."""
+"""Lower bound: each request goes to the least loaded target, known without delay."""
 POLICIES = (*BASELINES_BY_NAME, "placement-flows", "placement", IDEAL)
 
 
 @dataclass(slots=True)
 class Target:
-    """A target and the agent beside it."""
+    """A target and its agent."""
 
     name: str
     slots: int
@@ -133,11 +132,11 @@
     fails: bool = False
 
     def filled(self) -> float:
-        """Return requests running and queued per slot."""
+        """Return the running and queued requests per slot."""
         return (self.busy + len(self.queue)) / self.slots
 
     def load(self) -> Load:
-        """Count what is in progress."""
+        """Return the current load."""
         return Load(self.slots, self.busy, len(self.queue), self.flows, 0)
 
 
@@ -280,7 +279,7 @@
 
     def _least_filled(self) -> Target:
         targets = list(self._targets_by_name.values())
-        # Its own generator: callers stay the same for every policy.
+        # A separate generator keeps the callers the same for every policy.
         self._ties.shuffle(targets)
         return min(targets, key=Target.filled)
 
@@ -357,14 +356,14 @@
     Parameters
     ----------
     size : Size
-        Targets and their work.
+        The targets and their request times.
     policy : str
         One of POLICIES: a baseline, ``placement-flows`` (openings only) or
         ``placement`` (openings and requests).
     reports : Reports
-        How well reports describe the targets.
+        The accuracy of the targets' reports.
     seed : int
-        Same seed, same callers for every policy and the same result.
+        The same seed gives the same callers for every policy and the same result.
     seconds : float
         Modelled time after the warm-up.
 
@@ -397,7 +396,7 @@
 
 
 def _spread(series: list[list[float]]) -> tuple[float, float]:
-    """Return coefficient of variation and peak, each averaged over time."""
+    """Return the coefficient of variation and the peak, each averaged over time."""
     rows = [row for row in zip(*series, strict=True) if sum(row)]
     deviation = statistics.fmean(_deviation(row) for row in rows)
     peak = statistics.fmean(max(row) / statistics.fmean(row) for row in rows)
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/overload.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/overload.py
@@ -1,8 +1,8 @@
 """Measure goodput under overload, and the time to recover from it.
 
-One agent's real ``Requests`` core under a fake clock serves callers that never
-give up: some obey Retry-After, some come back at once. The baseline is an
-unbounded first-in-first-out queue that knows nothing of its callers.
+One agent's real ``Requests`` core with a fake clock serves callers that never give
+up: some obey Retry-After, some retry at once. The baseline is an unbounded
+first-in-first-out queue that ignores cancellations and deadlines.
 """
 
 from __future__ import annotations
@@ -40,10 +40,10 @@
 MEAN_SERVICE_SECONDS = 0.05
 CAPACITY_PER_SECOND = SLOTS / MEAN_SERVICE_SECONDS
 CALLER_TIMEOUT_SECONDS = 2.0
-"""Seconds after which a caller takes an attempt for lost and sends another."""
+"""Time after which a caller considers an attempt lost and sends another."""
 
 IMPATIENT_RETRY_SECONDS = (0.05, 0.5)
-"""Seconds after which a caller that minds no Retry-After comes back."""
+"""Range of the delay after which a caller that ignores Retry-After retries."""
 
 WARMUP_SECONDS = 30.0
 SETTLE_SECONDS = 5.0
@@ -51,7 +51,7 @@
 
 
 class Goodput(NamedTuple):
-    """Answers a second that reached a caller that still waited."""
+    """Answers per second that reached a caller still waiting for them."""
 
     at_capacity: float
     overloaded: float
@@ -65,25 +65,25 @@
 
 
 class Result(NamedTuple):
-    """The core beside the baseline."""
+    """The results of the core and of the baseline."""
 
     core: Goodput
     baseline: Goodput
 
 
 class Server(Protocol):
-    """What the callers use."""
+    """The interface that callers use."""
 
     def arrive(self, now: float, number: int, attempt: int) -> None:
-        """Take one attempt."""
+        """Handle one attempt."""
 
     def cancel(self, now: float, number: int) -> None:
-        """Learn that the caller has given an attempt up."""
+        """Handle the cancellation of an attempt."""
 
 
 @dataclass(slots=True)
 class Caller:
-    """One request that is tried until it is answered."""
+    """One request that is retried until it is answered."""
 
     arrived_at: float
     obeys: bool
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True)
 class Clock:
-    """A fake clock that carries out what is scheduled."""
+    """A fake clock that runs scheduled actions."""
 
     rng: random.Random
     now: float = 0.0
@@ -106,14 +106,14 @@
         heapq.heappush(self.events, (time, next(self.order), action))
 
     def until(self, end: float) -> None:
-        """Let time pass."""
+        """Run the scheduled actions up to a time."""
         while self.events and self.events[0][0] <= end:
             self.now, _, action = heapq.heappop(self.events)
             action()
 
 
 class CoreServer:
-    """The core with a target that takes ``SLOTS`` requests at once."""
+    """The core with a target that runs ``SLOTS`` requests at once."""
 
     def __init__(self, clock: Clock, answer: Callable[[int, Outcome], None]) -> None:
         self._clock = clock
@@ -138,13 +138,13 @@
         self._tick()
 
     def arrive(self, now: float, number: int, attempt: int) -> None:
-        """Take one attempt."""
+        """Pass one attempt to the core."""
         deadline = now + CALLER_TIMEOUT_SECONDS
         event = RequestArrived(number, "ledger", True, b"", attempt, deadline)
         self._handle(now, event)
 
     def cancel(self, now: float, number: int) -> None:
-        """Pass the caller's cancellation on."""
+        """Pass the cancellation to the core."""
         self._handle(now, RequestCancelled(number))
 
     def _tick(self) -> None:
@@ -167,7 +167,7 @@
 
 
 class QueueServer:
-    """The baseline: everything waits its turn, whatever became of its caller."""
+    """The baseline: attempts run in order, even if their callers have given up."""
 
     def __init__(self, clock: Clock, answer: Callable[[int, Outcome], None]) -> None:
         self._clock = clock
@@ -181,7 +181,7 @@
         self._start()
 
     def cancel(self, now: float, number: int) -> None:
-        """Go on regardless."""
+        """Ignore the cancellation."""
 
     def _start(self) -> None:
         while self._waiting and self._busy < SLOTS:
@@ -211,7 +211,7 @@
         self.answered: list[float] = []
 
     def offer(self, start: float, end: float, rate: float) -> None:
-        """Schedule new callers, ``rate`` a second."""
+        """Schedule new callers at ``rate`` per second."""
         time = start
         while (time := time + self._clock.rng.expovariate(rate)) < end:
             caller = Caller(time, self._clock.rng.random() < self._obeying)
@@ -261,18 +261,18 @@
     obeying: float = 0.7,
     seed: int = 1,
 ) -> Result:
-    """Compare the core with the baseline through one overload.
+    """Compare the core with the baseline during and after one overload.
 
     Parameters
     ----------
     factor : float
-        Offered load during the overload, in capacities; it is 0.7 after.
+        Offered load during the overload, relative to capacity; 0.7 otherwise.
     overload, after : float
-        Seconds of overload, and seconds watched after it.
+        Seconds of overload, and seconds measured after it.
     obeying : float
-        Share of callers that obey Retry-After; the rest come back at once.
+        Share of callers that obey Retry-After; the others retry at once.
     seed : int
-        Seeds everything random.
+        Seed of all random choices.
     """
     return Result(
         _measure(CoreServer, factor, overload, after, obeying, seed),
@@ -320,11 +320,11 @@
 
 
 def _recovery(callers: Callers, end: float, after: float) -> float:
-    """Return when new callers are served again, in seconds after ``end``.
+    """Return the time until new callers are served again, in seconds after ``end``.
 
-    That is the start of the first second from which on 90 in 100 of the new
-    callers, over any five seconds, were answered while they waited for their
-    first attempt. ``after`` if there is none.
+    This is the first second from which on, in every window of five seconds, 90 %
+    of the new callers got an answer within the timeout of their first attempt.
+    Return ``after`` if there is no such second.
     """
     window = 5
     good = [0] * int(after)
@@ -339,7 +339,7 @@
             answered is not None
             and answered - caller.arrived_at <= CALLER_TIMEOUT_SECONDS
         )
-    # The last callers had no time to be answered.
+    # The last callers didn't have enough time to get an answer.
     last = int(after) - window - int(CALLER_TIMEOUT_SECONDS)
     recovered = after
     for second in range(last, -1, -1):
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/rollout.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/rollout.py
@@ -1,8 +1,7 @@
-"""How fast a change is in force, what it costs the store, and how it is split.
+"""Time until a change is in force, its calls to the store, and its stored size.
 
-The daemons are real processes. When a generation came into force is taken
-from each daemon's own answer (seconds since then), so that asking late or
-slowly doesn't add to the figure.
+The daemons are real processes. Each daemon reports how many seconds ago a
+generation came into force, so that late or slow queries don't add to the figure.
 """
 
 from __future__ import annotations
@@ -30,22 +29,23 @@
 __all__ = ["Rollout", "Sizes", "measure", "measure_sizes"]
 
 MAX_VALUE_BYTES = 1_000_000
-"""Bytes of the largest value that the platform's service takes."""
+"""Largest value that the platform's service accepts."""
 
 DAEMONS_PER_ENTRY = 2
-"""Daemons to each entry among them; an agent needs a target process as well."""
+"""Number of daemons per entry among them; the others are agents, each of which
+also needs a target process."""
 
 
 WATCHERS_TIMEOUT_SECONDS = 120.0
-"""Seconds for daemons to part into those that watch the store and the rest."""
+"""Limit for the daemons to settle on the few that watch the store."""
 
 
 class Rollout(NamedTuple):
-    """What changes cost with ``daemons`` daemons.
+    """The cost of changes with ``daemons`` daemons.
 
-    ``seconds`` are, for each change and daemon, those from when the commit
-    was begun to when the daemon had it in force; ``calls`` those at the store
-    for one change by all daemons and the operator, without waiting watches.
+    ``seconds`` holds, for each change and daemon, the time from the start of the
+    commit until it was in force on the daemon. ``calls`` is the number of calls
+    to the store for one change by all daemons and the operator, without watches.
     """
 
     daemons: int
@@ -82,16 +82,16 @@
 def measure(
     daemons: int, changes: int, delay: float = 0.0, watchers: int = 0
 ) -> Rollout:
-    """Commit changes and see when each daemon has them in force.
+    """Commit changes and measure when they are in force on each daemon.
 
     Parameters
     ----------
     daemons : int
-        Agents and entries together, at least 2.
+        Number of agents and entries together, at least 2.
     changes : int
-        Changes, one after the other.
+        Number of changes, made in turn.
     delay : float
-        Seconds that the store holds each call and each message back.
+        Seconds by which the store delays each call and each message.
     watchers : int
         Daemons of each data centre that watch the store; all of them if 0.
     """
@@ -99,7 +99,7 @@
 
 
 def measure_sizes(services: int, targets: int) -> Sizes:
-    """Split a configuration of this size and encode its rosters."""
+    """Return the sizes of a configuration's values and of its rosters."""
     document = Document(
         {one.name: one for one in map(_service, range(1, services + 1))}
     )
@@ -158,13 +158,13 @@
 
 
 async def _calls(store: StoreProcess) -> int:
-    """Return how many calls the store has had, without waiting watches."""
+    """Return the number of calls to the store, without watches."""
     state = await asyncio.to_thread(store.state)
     return sum(count for kind, count in state["calls"].items() if kind != "watch")
 
 
 async def _in_force(cluster: Cluster, generation: int) -> list[float]:
-    """Return when each daemon had the generation in force, by our clock."""
+    """Return when the generation came into force on each daemon, by the local clock."""
     times: list[float] = []
 
     async def everywhere() -> bool:
@@ -178,7 +178,7 @@
 
 
 async def _wait_for_watchers(cluster: Cluster, watchers: int) -> None:
-    """Wait until only so many daemons learn from the store itself.
+    """Wait until at most ``watchers`` daemons watch the store.
 
     Daemons that start together all watch it at first.
     """
@@ -242,7 +242,7 @@
 def measure_rollout(
     daemon_counts: Sequence[int], changes: int, delay: float = 0.0, watchers: int = 0
 ) -> list[Figure]:
-    """Measure the time to in force, and the slope of the store's calls."""
+    """Measure the time until in force, and the slope of the store's calls."""
     results = [measure(count, changes, delay, watchers) for count in daemon_counts]
     slope, base = linear_regression(daemon_counts, [one.calls for one in results])
     last = results[-1]
@@ -261,7 +261,7 @@
 
 @scenario("configuration-size")
 def measure_configuration_size(services: int, targets: int) -> list[Figure]:
-    """Measure the stored values of a configuration of full size."""
+    """Measure the stored values of a full-size configuration."""
     sizes = measure_sizes(services, targets)
     return [
         Figure("largest chunk", sizes.chunk, "B"),
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/scaledesigns.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/scaledesigns.py
@@ -1,9 +1,8 @@
-"""Which agents know each other: designs for a service of any size, compared.
+"""Compare designs of which agents know each other, for services of any size.
 
-An abstract model without packets. Requests come to homes, homes place them by
-what agents have told of their load; then agents join, leave and are replaced,
-and the owners of open flows are searched for. Every design is measured in the
-same run on the same chance.
+An abstract model without packets. Requests come to homes, which place them by the
+loads that agents have reported. Then agents join, leave and are replaced, and the
+owners of open flows are searched for. All designs run with the same seeds.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
 
 SLOTS = 2
 UTILIZATION = 0.6
-"""Share of the slots that the load takes."""
+"""Share of the slots that the load uses."""
 
 MEAN_WORK_SECONDS = 0.06
 STATUS_INTERVAL_SECONDS = 0.2
@@ -41,16 +40,16 @@
 JITTER = 0.1
 NORMAL_95 = 1.96
 MAX_REQUESTS = 6000
-"""Requests of one run; of 1,000 agents each gets six."""
+"""Limit for one run; with 1,000 agents, each gets six requests."""
 
 
 class Design(NamedTuple):
-    """Who knows whom, for one set of agents.
+    """The relations between the agents of one set.
 
-    ``home`` tells the home of a key, ``near`` those that may open it as the home
-    knows them, ``far`` those that are searched if none of them has it, ``peers``
-    to how many agents a status goes, ``polled`` how many loads are asked for at
-    the moment instead.
+    ``home`` returns the home of a key, ``near`` the agents known to the home that
+    may open its flow, and ``far`` the agents to search if none of these has it.
+    ``peers`` is the number of agents that get each status. ``polled`` is the
+    number of agents whose load is polled for each request instead, 0 for none.
     """
 
     home: Callable[[int], int]
@@ -62,7 +61,7 @@
 
     @property
     def interval(self) -> float:
-        """Seconds between two statuses of an agent."""
+        """The seconds between two statuses of an agent."""
         return max(STATUS_INTERVAL_SECONDS, self.peers / self.budget)
 
 
@@ -107,11 +106,11 @@
         by_cell.setdefault(_point(agent) % count, []).append(agent)
 
     def near(key: int) -> list[int]:
-        # A flow goes to a cell in proportion to its agents.
+        # The share of flows in a cell is proportional to its number of agents.
         return by_cell[_point(_best(key, agents)) % count]
 
     def far(key: int) -> list[int]:
-        # Where it lay before cells were joined or split once.
+        # The other cell held the flow before one merge or split of cells.
         cell = _point(_best(key, agents)) % count
         return near(key) + by_cell.get((cell + count // 2) % count, [])
 
@@ -165,7 +164,7 @@
 
 
 class _Load:
-    """What agents work on, and what homes believe of it."""
+    """The requests in progress at agents, and their loads as homes know them."""
 
     def __init__(self, design: Design, agents: list[int], rng: random.Random) -> None:
         self._design = design
@@ -176,7 +175,7 @@
         self._phase = {a: rng.random() for a in agents}
 
     def busy(self, now: float, agent: int) -> float:
-        """Return the requests in progress at a moment."""
+        """Return the number of requests in progress at a time."""
         done = self._done_by_agent[agent]
         while done and done[0] <= now:
             heapq.heappop(done)
@@ -189,7 +188,8 @@
         at -= interval if at > now else 0.0
         report = self._reports.get((home, agent))
         if report is None or report[0] < at:
-            # All homes hear the same status; the first that needs it works it out.
+            # All homes get the same status. Its load is only computed when a
+            # home first needs it.
             load = self.busy(now, agent)
             self._reports[home, agent] = (at, load)
             self._placed[home, agent] = 0.0
@@ -197,7 +197,7 @@
         return report[1] + self._placed[home, agent]
 
     def place(self, now: float, home: int, candidates: list[int]) -> tuple[int, float]:
-        """Place a request; return its agent and how long it waits."""
+        """Place a request and return its agent and its waiting time."""
         chosen = min(
             candidates,
             key=lambda agent: (
@@ -242,7 +242,7 @@
 
 
 class Change(NamedTuple):
-    """Shares of the agents that join and that are gone."""
+    """The shares of agents that join and that leave."""
 
     joined: float
     left: float
@@ -259,7 +259,7 @@
 def _missed_owners(
     make: Callable, size: int, change: Change, seed: int, flows: int
 ) -> tuple[float, float]:
-    """Return the shares of owners outside the first stage, and the second."""
+    """Return the shares of owners missed by the first search stage and by both."""
     rng = random.Random(seed)
     former = list(range(size))
     left = set(rng.sample(former, round(size * change.left)))
@@ -291,13 +291,13 @@
     Parameters
     ----------
     sizes : list of int
-        Numbers of agents of one service.
+        Numbers of agents of a service.
     seeds : int
-        Runs of each; figures are their means.
+        Number of runs of each design and size; figures are their means.
     requests_each : int
-        Requests that are placed, for each agent.
+        Number of placed requests per agent.
     flows : int
-        Flows that are searched for.
+        Number of flows to search for.
     """
     figures: list[Figure] = []
     for name, make in _designs_by_name.items():
--- a/packages/zinniahook-testkit/src/zinniahook_testkit/slopes.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/slopes.py
@@ -1,8 +1,8 @@
-"""Slopes behind docs/CAPACITY.md: cost of control against what it grows with.
+"""Slopes for docs/CAPACITY.md: the cost of control per service, member or flow.
 
 Every slope is a linear fit over several sizes, measured on real cores in one
-process: memory by ``tracemalloc``, processor time by ``process_time``, bytes
-by encoding each message that a core wants sent.
+process: memory by ``tracemalloc``, processor time by ``process_time``, and bytes
+by encoding each message that a core sends.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
 
 class AgentCost(NamedTuple):
-    """What control costs one agent: seconds and bytes are a second of time."""
+    """The cost of control for one agent, in seconds and bytes per second."""
 
     processor: float
     sent: float
@@ -67,7 +67,7 @@
 
 
 def member(name: str, number: int, state: AgentState = AgentState.READY) -> Member:
-    """Make a member with addresses derived from ``number``."""
+    """Return a member with addresses derived from ``number``."""
     host = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}"
     return Member(
         name,
@@ -82,7 +82,7 @@
 
 
 def roster(service: str, size: int, first: int = 0, revision: int = 1) -> Roster:
-    """Make a roster of ``size`` ready members."""
+    """Return a roster of ``size`` ready members."""
     names = [f"{service}-{index}" for index in range(size)]
     by_name = {name: member(name, first + i) for i, name in enumerate(names)}
     return Roster(service, revision, by_name)
@@ -91,7 +91,7 @@
 def configuration(
     services: int, protocol: Protocol = Protocol.QUIC, generation: int = 1
 ) -> Configuration:
-    """Make a configuration of ``services`` services with three classes each."""
+    """Return a configuration of ``services`` services with three classes each."""
     by_name = {}
     for number in range(1, services + 1):
         name = f"service-{number}"
@@ -102,10 +102,10 @@
 
 
 def agent_cost(peer_count: int, seconds: int = 20, seed: int = 1) -> AgentCost:
-    """Drive one agent among ``peer_count`` peers through ``seconds`` of control.
+    """Run the control of one agent among ``peer_count`` peers for ``seconds``.
 
-    Each peer's heartbeats are decoded and handled, as many as it sends; what
-    the core wants sent is encoded and put into a tunnel datagram.
+    Every heartbeat of each peer is decoded and handled, and every message that the
+    core sends is encoded into a tunnel datagram.
     """
     service = "service-1"
     members = roster(service, peer_count + 1)
@@ -159,7 +159,7 @@
 
 
 def held(build: Callable[[], object]) -> int:
-    """Count the bytes that the result of ``build`` keeps allocated."""
+    """Return the bytes that the result of ``build`` keeps allocated."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -195,7 +195,7 @@
 
 
 def _entry(services: int, members_each: int) -> EntryCore:
-    """Make an entry's core as the daemon drives it, all services in use."""
+    """Return an entry's core as the daemon runs it, with all services in use."""
     rosters = Rosters()
     core = EntryCore(random.Random(1), rosters.get)
     core.handle(0.0, ConfigurationChanged(configuration(services)))
@@ -252,7 +252,7 @@
 def _entry_costs(
     services: int, members_each: int, repeat: int
 ) -> tuple[float, float, float]:
-    """Seconds for a tick, a generation that changes one service, a roster."""
+    """Return the seconds for a tick, a generation with one change, and a roster."""
     core = _entry(services, members_each)
     current = configuration(services)
     changed = current.services_by_name["service-1"]
@@ -278,7 +278,7 @@
 
 
 def _flow_growth(count: int, seed: int) -> int:
-    """Bytes that an entry keeps after routing a packet of ``count`` flows."""
+    """Return the bytes that an entry keeps after routing ``count`` flows' packets."""
     core = _entry(1, 8)
     service = configuration(1).services_by_name["service-1"]
     rng = random.Random(seed)
@@ -326,7 +326,7 @@
 
 
 def _agent_with_flows(count: int, seed: int) -> World:
-    """Make one ready agent alone in its service, with open UDP flows."""
+    """Return a world with a single ready agent that has open UDP flows."""
     world = World(agents=1, entries=1, seed=seed)
     world.run_until(SETTLE)
     (agent,) = world.agents_by_name.values()
--- a/packages/zinniahook-testkit/tests/conftest.py
+++ b/packages/zinniahook-testkit/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Lets the tests of this folder import the stories beside them."""
+"""Let the tests import the helper modules in this folder."""
 
 import pathlib
 import sys
--- a/packages/zinniahook-testkit/tests/test_checks.py
+++ b/packages/zinniahook-testkit/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Each invariant check must convict, and must not convict the innocent."""
+"""Each invariant check finds its violation and accepts a correct run."""
 
 import copy
 
@@ -45,7 +45,7 @@
 
 @pytest.fixture
 def evidence():
-    """Return evidence of a run in which everything went well."""
+    """Return the evidence of a run without violations."""
     ledgers = (
         ledger("tally-1", ["t-1", "t-2"], started_tickets=2, started_feed=1),
         ledger("tally-2", ["t-3"], started_tickets=1, started_feed=1),
@@ -127,5 +127,5 @@
         assert summary.flows_opened == 3
         assert (summary.run, summary.run_twice) == (5, 1)
         assert (summary.refused, summary.unknown, summary.broken) == (1, 1, 0)
-        # The leaving target is no part of the imbalance.
+        # The figures of imbalance exclude leaving targets.
         assert summary.work_max_to_mean == 1.0
--- a/packages/zinniahook-testkit/tests/test_fabric.py
+++ b/packages/zinniahook-testkit/tests/test_fabric.py
@@ -11,7 +11,7 @@
 
 
 class Entry(asyncio.DatagramProtocol):
-    """Echoes what it gets, and remembers it."""
+    """An entry that echoes and records datagrams."""
 
     def __init__(self):
         self.received = []
@@ -25,7 +25,7 @@
 
 
 class Caller(asyncio.DatagramProtocol):
-    """Remembers what comes, from where, and when."""
+    """A caller that records received datagrams and their sources."""
 
     def __init__(self):
         self.received = []
@@ -144,7 +144,7 @@
             network.fabric.faults = Faults(duplication=1.0)
             caller = await network.caller()
             network.send(caller, 20)
-            # Doubled on the way there and again on the way back.
+            # Datagrams are duplicated in both directions.
             await network.until(lambda: len(caller.received) == 80)
             assert sorted(set(caller.received)) == sorted(b"%d" % n for n in range(20))
 
@@ -198,12 +198,11 @@
 
 class TestSockets:
     def test_a_dead_entry_harms_nobody(self, on_network):
-        """The death of an entry stops the relay of a caller.
+        """A dead entry stops the relay of a caller although two entries run.
 
-        Symptom: a caller gets nothing although two entries live.
-        Sequence: an entry's port is closed; a datagram to it brings an ICMP
-        error, which is reported on the caller's socket.
-        Cause: the error was taken for the end of the socket.
+        An entry's port is closed, so a datagram to it causes an ICMP error, which
+        is reported on the caller's socket. The relay must not take the error for
+        the end of the socket.
         """
 
         async def check(network):
--- a/packages/zinniahook-testkit/tests/test_faults.py
+++ b/packages/zinniahook-testkit/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""The TCP fault proxy in front of a real connection."""
+"""The TCP fault proxy with real connections."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class Echo:
-    """An upstream that returns what it gets, and a proxy in front of it."""
+    """An echo server with a proxy in front of it."""
 
     async def __aenter__(self):
         self.received = []
--- a/packages/zinniahook-testkit/tests/test_imbalance.py
+++ b/packages/zinniahook-testkit/tests/test_imbalance.py
@@ -1,4 +1,4 @@
-"""The model of imbalance, and what placement has to keep in it."""
+"""The imbalance model, and the limits that placement keeps in it."""
 
 from zinniahook_testkit.imbalance import SIZES, Reports, measure
 
@@ -25,11 +25,10 @@
         assert lying.window_deviation > 2 * honest.window_deviation
 
     def test_lying_and_old_reports_change_nothing_for_placement(self):
-        """A target that claims to be idle drew all the work of its service.
+        """A target that claims to be idle gets all the work of its service.
 
-        Symptom: one target queues while it reports that it has no load.
-        Sequence: its load endpoint sticks at zero.
-        Cause: choosing by what targets claim.
+        Its load endpoint always reports zero. Its queue grows if targets are
+        chosen by their own reports.
         """
         fresh = run("placement")
         for reports in (Reports.LYING, Reports.STALE):
--- a/packages/zinniahook-testkit/tests/test_loads.py
+++ b/packages/zinniahook-testkit/tests/test_loads.py
@@ -30,12 +30,11 @@
 
 class TestOpenLoop:
     def test_waits_behind_a_slow_answer_count(self):
-        """Slow answers hide the wait of the calls behind them.
+        """A slow answer hides the wait of the calls behind it.
 
-        Symptom: the load tool shows 50 ms while callers wait half a second.
-        Sequence: a call is slow; those due meanwhile start after it.
-        Cause: time was taken from the start of a call, not from when it was
-        due (coordinated omission).
+        A call is slow, and the calls due meanwhile start after it. If latency
+        counts from the start of a call instead of its due time (coordinated
+        omission), the load tool shows 50 ms while callers wait half a second.
         """
 
         async def check():
--- a/packages/zinniahook-testkit/tests/test_processes.py
+++ b/packages/zinniahook-testkit/tests/test_processes.py
@@ -42,10 +42,9 @@
             processes.start("zinniahook_testkit.stores", "--unknown")
 
     def test_killed_starter_leaves_nothing_behind(self):
-        """Test run that is killed.
+        """Stand-ins outlive a killed test run and load the machine.
 
-        Symptom: stand-ins of an earlier run load the machine. Sequence: the
-        run gets SIGKILL. Cause: its cleanup never runs.
+        The run gets SIGKILL, so its own cleanup never runs.
         """
         starter = subprocess.Popen(
             [sys.executable, "-c", STARTER], stdout=subprocess.PIPE
--- a/packages/zinniahook-testkit/tests/test_soak_parts.py
+++ b/packages/zinniahook-testkit/tests/test_soak_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the soak: schedules, judgement, relays."""
+"""The parts of the soak: schedules, verification, relays."""
 
 import asyncio
 import random
@@ -34,7 +34,7 @@
         assert len(tries) < 60
 
 
-class TestJudgement:
+class TestVerification:
     def test_a_reset_of_a_held_flow_is_found(self):
         verifier = Verifier()
         verifier.record_reset(10.0, FLOW, "10.0.0.1", "10.0.0.2")
@@ -68,7 +68,7 @@
         verifier.record_opening(10.0, FLOW, "10.0.0.1")
         assert len(verifier.violations(30.0, {})) == 1
 
-    def test_a_flow_that_strays(self):
+    def test_a_misrouted_flow(self):
         verifier = Verifier()
         verifier.foreign += [(at, FLOW, "10.0.0.1") for at in (1.0, 1.5, 2.5)]
         assert len(verifier.violations(20.0, {FLOW: "10.0.0.2"})) == 1
@@ -85,7 +85,7 @@
         self.cut = cut
 
     async def arrived(self, count, wanted):
-        """Return what arrives of some datagrams, once as much as wanted has."""
+        """Send ``count`` datagrams and return the first ``wanted`` that arrive."""
         sender, address = "127.0.1.1", "127.0.1.2"
         inner = bound(address)
         port, inner_port = free_port(address), inner.getsockname()[1]
