--- a/packages/zinniahook-testkit/src/zinniahook_testkit/processes.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/processes.py
@@ -158,18 +158,18 @@
 
 
 class StandIn:
-    """A process that is steered over the ``admin`` address of its ready line."""
+    """A process that is controlled over the ``admin`` address of its ready line."""
 
     def __init__(self, process: Process) -> None:
         self.process = process
         self._admin: str = process.ready["admin"]
 
     def state(self) -> dict[str, Any]:
-        """Return what the process tells of itself."""
+        """Return the state that the process reports."""
         return self._get("state")
 
     def post(self, action: str, **fields: Any) -> dict[str, Any]:
-        """Steer the process and return its new state."""
+        """Send an action to the process and return its new state."""
         return self._get(action, json.dumps(fields).encode())
 
     def _get(self, action: str, body: bytes | None = None) -> dict[str, Any]:
