--- a/packages/zinniahook-testkit/src/zinniahook_testkit/overload.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/overload.py
@@ -1,8 +1,8 @@
 """Measure goodput under overload, and the time to recover from it.
 
-One agent's real ``Requests`` core under a fake clock serves callers that never
-give up: some obey Retry-After, some come back at once. The baseline is an
-unbounded first-in-first-out queue that knows nothing of its callers.
+One agent's real ``Requests`` core with a fake clock serves callers that never give
+up: some obey Retry-After, some retry at once. The baseline is an unbounded
+first-in-first-out queue that ignores cancellations and deadlines.
 """
 
 from __future__ import annotations
@@ -37,21 +37,21 @@
 __all__ = ["Goodput", "Result", "measure"]
 
 SLOTS = 4
-MEAN_SERVICE = 0.05
-CAPACITY = SLOTS / MEAN_SERVICE
-CALLER_PATIENCE = 2.0
-"""Seconds after which a caller takes an attempt for lost and sends another."""
+MEAN_SERVICE_SECONDS = 0.05
+CAPACITY_PER_SECOND = SLOTS / MEAN_SERVICE_SECONDS
+CALLER_TIMEOUT_SECONDS = 2.0
+"""Time after which a caller considers an attempt lost and sends another."""
 
-HASTE = (0.05, 0.5)
-"""Seconds after which a caller that minds no Retry-After comes back."""
+IMPATIENT_RETRY_SECONDS = (0.05, 0.5)
+"""Range of the delay after which a caller that ignores Retry-After retries."""
 
-BEFORE = 30.0
-SETTLING = 5.0
-ANYWHERE = Address("127.0.0.1", 1)
+WARMUP_SECONDS = 30.0
+SETTLE_SECONDS = 5.0
+ANY_ADDRESS = Address("127.0.0.1", 1)
 
 
 class Goodput(NamedTuple):
-    """Answers a second that reached a caller that still waited."""
+    """Answers per second that reached a caller still waiting for them."""
 
     at_capacity: float
     overloaded: float
@@ -65,27 +65,27 @@
 
 
 class Result(NamedTuple):
-    """The core beside the baseline."""
+    """The results of the core and of the baseline."""
 
     core: Goodput
     baseline: Goodput
 
 
 class Server(Protocol):
-    """What the callers use."""
+    """The interface that callers use."""
 
     def arrive(self, now: float, number: int, attempt: int) -> None:
-        """Take one attempt."""
+        """Handle one attempt."""
 
     def cancel(self, now: float, number: int) -> None:
-        """Learn that the caller has given an attempt up."""
+        """Handle the cancellation of an attempt."""
 
 
 @dataclass(slots=True)
 class Caller:
-    """One request that is tried until it is answered."""
+    """One request that is retried until it is answered."""
 
-    born: float
+    arrived_at: float
     obeys: bool
     attempt: int = 0
     number: int = 0
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True)
 class Clock:
-    """A fake clock that carries out what is scheduled."""
+    """A fake clock that runs scheduled actions."""
 
     rng: random.Random
     now: float = 0.0
@@ -106,36 +106,45 @@
         heapq.heappush(self.events, (time, next(self.order), action))
 
     def until(self, end: float) -> None:
-        """Let time pass."""
+        """Run the scheduled actions up to a time."""
         while self.events and self.events[0][0] <= end:
             self.now, _, action = heapq.heappop(self.events)
             action()
 
 
 class CoreServer:
-    """The core with a target that takes ``SLOTS`` requests at once."""
+    """The core with a target that runs ``SLOTS`` requests at once."""
 
     def __init__(self, clock: Clock, answer: Callable[[int, Outcome], None]) -> None:
         self._clock = clock
         self._answer = answer
-        rule = RequestClass("ledger", "/ledger", queue=16, deadline=CALLER_PATIENCE)
-        service = Service("ledger", 1, ANYWHERE, classes_by_name={"ledger": rule})
+        rule = RequestClass(
+            "ledger", "/ledger", queue=16, deadline=CALLER_TIMEOUT_SECONDS
+        )
+        service = Service("ledger", 1, ANY_ADDRESS, classes_by_name={"ledger": rule})
         self._core = Requests("agent-1", service, clock.rng)
         member = Member(
-            "agent-1", ANYWHERE, ANYWHERE, ANYWHERE, "dc", 1, AgentState.READY, SLOTS
+            "agent-1",
+            ANY_ADDRESS,
+            ANY_ADDRESS,
+            ANY_ADDRESS,
+            "dc",
+            1,
+            AgentState.READY,
+            SLOTS,
         )
         roster = Roster("ledger", 1, {"agent-1": member})
         self._handle(clock.now, RosterChanged(roster))
         self._tick()
 
     def arrive(self, now: float, number: int, attempt: int) -> None:
-        """Take one attempt."""
-        deadline = now + CALLER_PATIENCE
+        """Pass one attempt to the core."""
+        deadline = now + CALLER_TIMEOUT_SECONDS
         event = RequestArrived(number, "ledger", True, b"", attempt, deadline)
         self._handle(now, event)
 
     def cancel(self, now: float, number: int) -> None:
-        """Pass the caller's cancellation on."""
+        """Pass the cancellation to the core."""
         self._handle(now, RequestCancelled(number))
 
     def _tick(self) -> None:
@@ -145,7 +154,7 @@
     def _handle(self, now: float, event: Any) -> None:
         for effect in self._core.handle(now, event):
             if isinstance(effect, Run):
-                seconds = self._clock.rng.uniform(0.5, 1.5) * MEAN_SERVICE
+                seconds = self._clock.rng.uniform(0.5, 1.5) * MEAN_SERVICE_SECONDS
                 number = effect.request
                 self._clock.at(now + seconds, lambda number=number: self._ended(number))
             elif isinstance(effect, FinishRequest):
@@ -158,7 +167,7 @@
 
 
 class QueueServer:
-    """The baseline: everything waits its turn, whatever became of its caller."""
+    """The baseline: attempts run in order, even if their callers have given up."""
 
     def __init__(self, clock: Clock, answer: Callable[[int, Outcome], None]) -> None:
         self._clock = clock
@@ -172,13 +181,13 @@
         self._start()
 
     def cancel(self, now: float, number: int) -> None:
-        """Go on regardless."""
+        """Ignore the cancellation."""
 
     def _start(self) -> None:
         while self._waiting and self._busy < SLOTS:
             number = self._waiting.popleft()
             self._busy += 1
-            seconds = self._clock.rng.uniform(0.5, 1.5) * MEAN_SERVICE
+            seconds = self._clock.rng.uniform(0.5, 1.5) * MEAN_SERVICE_SECONDS
             self._clock.at(
                 self._clock.now + seconds, lambda number=number: self._ended(number)
             )
@@ -202,7 +211,7 @@
         self.answered: list[float] = []
 
     def offer(self, start: float, end: float, rate: float) -> None:
-        """Schedule new callers, ``rate`` a second."""
+        """Schedule new callers at ``rate`` per second."""
         time = start
         while (time := time + self._clock.rng.expovariate(rate)) < end:
             caller = Caller(time, self._clock.rng.random() < self._obeying)
@@ -216,10 +225,12 @@
         caller.number = next(self._numbers)
         self._by_number[caller.number] = caller
         number = caller.number
-        self._clock.at(self._clock.now + CALLER_PATIENCE, lambda: self._lost(number))
+        self._clock.at(
+            self._clock.now + CALLER_TIMEOUT_SECONDS, lambda: self._timed_out(number)
+        )
         self._server.arrive(self._clock.now, number, caller.attempt)
 
-    def _lost(self, number: int) -> None:
+    def _timed_out(self, number: int) -> None:
         caller = self._by_number.pop(number, None)
         if caller is None:
             return
@@ -235,7 +246,11 @@
             caller.answered_at = now
             self.answered.append(now)
             return
-        wait = outcome.retry_after if caller.obeys else self._clock.rng.uniform(*HASTE)
+        wait = (
+            outcome.retry_after
+            if caller.obeys
+            else self._clock.rng.uniform(*IMPATIENT_RETRY_SECONDS)
+        )
         self._clock.at(now + wait, lambda: self._try(caller))
 
 
@@ -246,18 +261,18 @@
     obeying: float = 0.7,
     seed: int = 1,
 ) -> Result:
-    """Compare the core with the baseline through one overload.
+    """Compare the core with the baseline during and after one overload.
 
     Parameters
     ----------
     factor : float
-        Offered load during the overload, in capacities; it is 0.7 after.
+        Offered load during the overload, relative to capacity; 0.7 otherwise.
     overload, after : float
-        Seconds of overload, and seconds watched after it.
+        Seconds of overload, and seconds measured after it.
     obeying : float
-        Share of callers that obey Retry-After; the rest come back at once.
+        Share of callers that obey Retry-After; the others retry at once.
     seed : int
-        Seeds everything random.
+        Seed of all random choices.
     """
     return Result(
         _measure(CoreServer, factor, overload, after, obeying, seed),
@@ -276,12 +291,12 @@
     at_capacity = _goodput(server, 1.0, overload, obeying, seed)
     clock = Clock(random.Random(seed))
     callers = Callers(clock, server, obeying)
-    start, end = BEFORE, BEFORE + overload
-    callers.offer(0.0, start, 0.7 * CAPACITY)
-    callers.offer(start, end, factor * CAPACITY)
-    callers.offer(end, end + after, 0.7 * CAPACITY)
+    start, end = WARMUP_SECONDS, WARMUP_SECONDS + overload
+    callers.offer(0.0, start, 0.7 * CAPACITY_PER_SECOND)
+    callers.offer(start, end, factor * CAPACITY_PER_SECOND)
+    callers.offer(end, end + after, 0.7 * CAPACITY_PER_SECOND)
     clock.until(end + after)
-    overloaded = _rate(callers.answered, start + SETTLING, end)
+    overloaded = _rate(callers.answered, start + SETTLE_SECONDS, end)
     return Goodput(at_capacity, overloaded, _recovery(callers, end, after))
 
 
@@ -290,10 +305,14 @@
 ) -> float:
     clock = Clock(random.Random(seed))
     callers = Callers(clock, server, obeying)
-    callers.offer(0.0, BEFORE, 0.7 * CAPACITY)
-    callers.offer(BEFORE, BEFORE + seconds, factor * CAPACITY)
-    clock.until(BEFORE + seconds)
-    return _rate(callers.answered, BEFORE + SETTLING, BEFORE + seconds)
+    callers.offer(0.0, WARMUP_SECONDS, 0.7 * CAPACITY_PER_SECOND)
+    callers.offer(
+        WARMUP_SECONDS, WARMUP_SECONDS + seconds, factor * CAPACITY_PER_SECOND
+    )
+    clock.until(WARMUP_SECONDS + seconds)
+    return _rate(
+        callers.answered, WARMUP_SECONDS + SETTLE_SECONDS, WARMUP_SECONDS + seconds
+    )
 
 
 def _rate(times: list[float], start: float, end: float) -> float:
@@ -301,26 +320,27 @@
 
 
 def _recovery(callers: Callers, end: float, after: float) -> float:
-    """Return when new callers are served again, in seconds after ``end``.
+    """Return the time until new callers are served again, in seconds after ``end``.
 
-    That is the start of the first second from which on 90 in 100 of the new
-    callers, over any five seconds, were answered while they waited for their
-    first attempt. ``after`` if there is none.
+    This is the first second from which on, in every window of five seconds, 90 %
+    of the new callers got an answer within the timeout of their first attempt.
+    Return ``after`` if there is no such second.
     """
     window = 5
     good = [0] * int(after)
     total = [0] * int(after)
     for caller in callers.callers:
-        second = int(caller.born - end)
-        if caller.born < end or second >= len(total):
+        second = int(caller.arrived_at - end)
+        if caller.arrived_at < end or second >= len(total):
             continue
         total[second] += 1
         answered = caller.answered_at
         good[second] += (
-            answered is not None and answered - caller.born <= CALLER_PATIENCE
+            answered is not None
+            and answered - caller.arrived_at <= CALLER_TIMEOUT_SECONDS
         )
-    # The last callers had no time to be answered.
-    last = int(after) - window - int(CALLER_PATIENCE)
+    # The last callers didn't have enough time to get an answer.
+    last = int(after) - window - int(CALLER_TIMEOUT_SECONDS)
     recovered = after
     for second in range(last, -1, -1):
         share = sum(good[second : second + window])
