--- a/packages/zinniahook-testkit/src/zinniahook_testkit/scaledesigns.py
+++ b/packages/zinniahook-testkit/src/zinniahook_testkit/scaledesigns.py
@@ -156,7 +156,7 @@
         far,
         len(agents) - 1,
         KNOWN_LOADS,
-        members.STATUS_BUDGET,
+        members.STATUSES_PER_SECOND,
     )
 
 
